--- a/placement/breaker.go
+++ b/placement/breaker.go
@@ -3,62 +3,64 @@
 import "time"
 
 const (
-	// tripAfter is how many attempts in a row must fail before an instance gets none. An
-	// engine that fails a third of its requests does so once in 80 series of four.
-	tripAfter = 4
-	// firstPause and lastPause bound how long an instance gets none before one request
-	// tries it again; each vain try doubles the pause.
-	firstPause = 250 * time.Millisecond
-	lastPause  = 4 * time.Second
+	// maxConsecutiveFailures is the number of failed attempts in a row that opens the breaker. An
+	// engine that fails a third of its requests reaches it in about one of 80 series of four.
+	maxConsecutiveFailures = 4
+	// minOpenTime and maxOpenTime bound the time for which an open breaker rejects all requests
+	// before it lets one probe through. Each failed probe doubles the time.
+	minOpenTime = 250 * time.Millisecond
+	maxOpenTime = 4 * time.Second
 )
 
-// breaker keeps requests away from an instance that fails all of them. One that refuses
-// at once never has work in hand, so that it looks like the least loaded of all, and would
-// use the retry budget up.
+// breaker is a circuit breaker for one instance. Without it, an instance that fails every request
+// at once would attract more of them, because it never has requests in flight and looks the least
+// loaded, and would use up the retry budget.
 type breaker struct {
-	// failed counts the attempts in a row that failed, failedAt is when the last did.
-	failed   int
+	// failures counts consecutive failed attempts. failedAt is the time of the last one.
+	failures int
 	failedAt time.Time
-	// pause is 0 while the breaker is closed.
-	pause time.Duration
-	// until is when the next request may try the instance, trying is true while one does.
-	until  time.Time
-	trying bool
+	// openTime is the current backoff, 0 while the breaker is closed.
+	openTime time.Duration
+	// probeAt is the earliest time of the next probe request. probing is true while a probe is in
+	// flight.
+	probeAt time.Time
+	probing bool
 }
 
-// allows reports whether the instance may get a request.
-func (b *breaker) allows(now time.Time) bool { return b.pause == 0 || !now.Before(b.until) }
+// canSend reports whether a request may be sent to the instance.
+func (b *breaker) canSend(now time.Time) bool { return b.openTime == 0 || !now.Before(b.probeAt) }
 
-// sent notes that a request is sent. While the breaker is open, no other one follows
-// before it has ended or the pause has passed once more.
-func (b *breaker) sent(now time.Time) {
-	if b.pause > 0 {
-		b.trying, b.until = true, now.Add(b.pause)
+// recordSend records that a request was sent. While the breaker is open that request is the probe,
+// and no other request follows until it has ended or the open time has passed again.
+func (b *breaker) recordSend(now time.Time) {
+	if b.openTime > 0 {
+		b.probing, b.probeAt = true, now.Add(b.openTime)
 	}
 }
 
-// sound takes in that an attempt ended well. One that began before the last failure says
-// nothing: an instance that refuses what is new may finish what it has.
-func (b *breaker) sound(begun time.Time) {
-	if begun.After(b.failedAt) {
+// recordSuccess records a successful attempt and closes the breaker. An attempt that began before
+// the last failure is ignored: an instance that rejects new requests may still finish those in
+// flight.
+func (b *breaker) recordSuccess(startedAt time.Time) {
+	if startedAt.After(b.failedAt) {
 		*b = breaker{}
 	}
 }
 
-// fail takes in that an attempt failed. Those that began before the breaker opened don't
-// make the pause longer.
-func (b *breaker) fail(now time.Time) {
-	b.failed++
+// recordFailure records a failed attempt. Failures of attempts that began before the breaker opened
+// don't extend its open time.
+func (b *breaker) recordFailure(now time.Time) {
+	b.failures++
 	b.failedAt = now
 	switch {
-	case b.failed < tripAfter:
+	case b.failures < maxConsecutiveFailures:
 		return
-	case b.pause == 0:
-		b.pause = firstPause
-	case b.trying:
-		b.pause = min(2*b.pause, lastPause)
+	case b.openTime == 0:
+		b.openTime = minOpenTime
+	case b.probing:
+		b.openTime = min(2*b.openTime, maxOpenTime)
 	default:
 		return
 	}
-	b.trying, b.until = false, now.Add(b.pause)
+	b.probing, b.probeAt = false, now.Add(b.openTime)
 }
--- a/placement/breaker_test.go
+++ b/placement/breaker_test.go
@@ -7,25 +7,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAnInstanceThatRefusesAllIsLeftAlone replays four seconds in which one of four
-// engines refuses whatever it gets, at once, and finishes the one stream that it has: with
-// nothing new in hand it looks like the least loaded one.
-func TestAnInstanceThatRefusesAllIsLeftAlone(t *testing.T) {
+// TestBreakerLimitsRequestsToAFailingInstance simulates four seconds in which one of four engines
+// fails every new request at once and finishes only its one open stream. Without new requests in
+// flight it looks like the least loaded engine.
+func TestBreakerLimitsRequestsToAFailingInstance(t *testing.T) {
 	now := time.Unix(0, 0)
 	p := New("a", nil, nil)
 	p.SetClock(func() time.Time { return now })
-	all := fleetOf(0, 4)
+	all := instancesByRole(0, 4)
 	for _, i := range all {
 		i.Slots = 64
 	}
-	_, own := p.Place(job(all[:1], "s", 100))
+	_, own := p.Place(testJob(all[:1], "s", 100))
 	for range 180 {
-		_, ticket := p.Place(job(all[1:], "s", 100))
+		_, ticket := p.Place(testJob(all[1:], "s", 100))
 		ticket.FirstEvent()
 	}
 	refused := 0
 	send := func() bool {
-		plan, ticket := p.Place(job(all, "s", 100))
+		plan, ticket := p.Place(testJob(all, "s", 100))
 		if plan.Runner == all[0] {
 			refused++
 			ticket.Run(Failed)
@@ -42,51 +42,51 @@
 		}
 	}
 	require.Less(t, refused, 12)
-	require.Greater(t, refused, tripAfter, "it is tried again")
+	require.Greater(t, refused, maxConsecutiveFailures, "an open breaker still admits probes")
 
-	now = now.Add(lastPause)
+	now = now.Add(maxOpenTime)
 	sent := 0
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
-		plan, ticket := p.Place(job(all, "s", 100))
+		plan, ticket := p.Place(testJob(all, "s", 100))
 		if plan.Runner == all[0] {
 			sent++
 		}
 		ticket.Run(Sound)
 	}
-	require.Greater(t, sent, 10, "one that answers again is used again")
+	require.Greater(t, sent, 10, "a recovered instance is used again")
 }
 
-// TestFailuresAtOnceOpenABreakerOnce covers an engine that crashes with many requests in
-// hand: their failures don't lengthen its pause.
-func TestFailuresAtOnceOpenABreakerOnce(t *testing.T) {
+// TestConcurrentFailuresOpenBreakerOnce covers an engine that crashes with many requests in flight:
+// their failures must not extend the breaker's open time.
+func TestConcurrentFailuresOpenBreakerOnce(t *testing.T) {
 	var b breaker
 	now := time.Unix(0, 0)
 	for range 30 {
-		b.fail(now)
+		b.recordFailure(now)
 	}
-	require.Equal(t, firstPause, b.pause)
-	now = now.Add(firstPause)
-	require.True(t, b.allows(now))
-	b.sent(now)
-	require.False(t, b.allows(now), "one tries it at a time")
-	b.fail(now)
-	require.Equal(t, 2*firstPause, b.pause)
-	now = now.Add(2 * firstPause)
-	b.sent(now)
-	b.sound(now.Add(-time.Second))
-	require.False(t, b.allows(now), "what began before says nothing")
-	b.sound(now.Add(time.Nanosecond))
-	require.True(t, b.allows(now))
+	require.Equal(t, minOpenTime, b.openTime)
+	now = now.Add(minOpenTime)
+	require.True(t, b.canSend(now))
+	b.recordSend(now)
+	require.False(t, b.canSend(now), "one probe at a time")
+	b.recordFailure(now)
+	require.Equal(t, 2*minOpenTime, b.openTime)
+	now = now.Add(2 * minOpenTime)
+	b.recordSend(now)
+	b.recordSuccess(now.Add(-time.Second))
+	require.False(t, b.canSend(now), "an attempt from before the last failure is ignored")
+	b.recordSuccess(now.Add(time.Nanosecond))
+	require.True(t, b.canSend(now))
 }
 
-// TestOpenBreakersDontRefuse covers a service whose instances all fail: one is tried all
-// the same.
-func TestOpenBreakersDontRefuse(t *testing.T) {
+// TestOpenBreakersDoNotReject covers a service whose instances all fail: requests are still sent to
+// one of them.
+func TestOpenBreakersDoNotReject(t *testing.T) {
 	p := New("a", nil, nil)
-	all := fleetOf(0, 2)
+	all := instancesByRole(0, 2)
 	for range 40 {
-		_, ticket := p.Place(job(all, "s", 100))
+		_, ticket := p.Place(testJob(all, "s", 100))
 		require.NotNil(t, ticket)
 		ticket.Run(Failed)
 	}
--- a/placement/cache.go
+++ b/placement/cache.go
@@ -8,100 +8,99 @@
 	"github.com/rockdoor/rockdoor/engine"
 )
 
-// Part is a shared part of a prompt as it is told to other processes.
+// Part is a shared part of a prompt as it is sent to other processes.
 type Part struct {
-	// ID is the hash of the part's ID.
+	// ID is the hash of the engine.Part's ID.
 	ID     uint64
 	Tokens int
 }
 
-// partsOf returns the shared parts of a call's prompt, in order.
-func partsOf(c *engine.Call) []Part {
+// sharedParts returns the shared parts of a call's prompt, in order.
+func sharedParts(c *engine.Call) []Part {
 	if len(c.Parts) < 2 {
 		return nil
 	}
 	shared := c.Parts[:len(c.Parts)-1]
 	out := make([]Part, len(shared))
 	for n, p := range shared {
-		out[n] = hashed(p)
+		out[n] = hashPart(p)
 	}
 	return out
 }
 
-func hashed(p engine.Part) Part { return Part{xxhash.Sum64String(p.ID), p.Tokens} }
+func hashPart(p engine.Part) Part { return Part{xxhash.Sum64String(p.ID), p.Tokens} }
 
-// prefixCache is what one engine is believed to keep of the prompts that it has
-// read. The engine drops the parts that were unused for the longest time, and so
-// does the belief. It is not safe for concurrent use.
+// prefixCache models which prompt parts one engine has cached. Like the engine it evicts the least
+// recently used parts. It is not safe for concurrent use.
 type prefixCache struct {
-	// capacity is in tokens.
+	// capacity and used are in tokens.
 	capacity, used int
-	// order holds entries, the newest first.
+	// order holds the entries, most recently used first.
 	order *list.List
 	parts map[uint64]*list.Element
 }
 
-// entry is a part that is kept. The parts of one request that nobody shares have
-// no key.
-type entry struct {
+// cacheEntry is a cached part. The unshared tokens of a request are one entry without a key.
+type cacheEntry struct {
 	key    uint64
 	shared bool
 	tokens int
 }
 
 const (
-	// defaultCapacity is assumed, in tokens, while the configuration states none.
-	defaultCapacity = 100_000
-	// cacheShare is the part of an engine's memory in which parts are kept: the
-	// rest is taken by requests in hand.
-	cacheShare = 0.85
+	// defaultCapacityTokens is the memory of an engine if the configuration states none.
+	defaultCapacityTokens = 100_000
+	// prefixCacheShare is the share of an engine's memory that is available for cached parts. The
+	// rest is used by requests in flight.
+	prefixCacheShare = 0.85
 )
 
 func newPrefixCache() *prefixCache {
-	return &prefixCache{capacity: defaultCapacity, order: list.New(), parts: map[uint64]*list.Element{}}
+	return &prefixCache{capacity: defaultCapacityTokens, order: list.New(), parts: map[uint64]*list.Element{}}
 }
 
-// resize sets the memory of the engine in tokens.
+// resize sets the engine's memory in tokens.
 func (c *prefixCache) resize(memory int) {
 	if memory > 0 {
-		c.capacity = int(cacheShare * float64(memory))
+		c.capacity = int(prefixCacheShare * float64(memory))
 	}
 }
 
-// read takes in that the engine has read a prompt: its shared parts, and own
-// tokens that nobody shares.
-func (c *prefixCache) read(parts []Part, own int) {
-	c.push(entry{tokens: own})
-	// The first parts last: an engine keeps a part only with those before it.
+// add records that the engine has prefilled a prompt, given its shared parts and the number of its
+// unshared tokens.
+func (c *prefixCache) add(parts []Part, unshared int) {
+	c.pushFront(cacheEntry{tokens: unshared})
+	// The first parts go to the front last: a cached part is usable only together with all parts
+	// before it.
 	for n := len(parts) - 1; n >= 0; n-- {
 		p := parts[n]
 		if e := c.parts[p.ID]; e != nil {
 			c.order.MoveToFront(e)
 			continue
 		}
-		c.parts[p.ID] = c.push(entry{p.ID, true, p.Tokens})
+		c.parts[p.ID] = c.pushFront(cacheEntry{p.ID, true, p.Tokens})
 	}
 	for c.used > c.capacity {
 		c.dropOldest()
 	}
 }
 
-func (c *prefixCache) push(e entry) *list.Element {
+func (c *prefixCache) pushFront(e cacheEntry) *list.Element {
 	c.used += e.tokens
 	return c.order.PushFront(e)
 }
 
 func (c *prefixCache) dropOldest() {
 	last := c.order.Back()
-	e, _ := c.order.Remove(last).(entry)
+	e, _ := c.order.Remove(last).(cacheEntry)
 	c.used -= e.tokens
 	if e.shared {
 		delete(c.parts, e.key)
 	}
 }
 
-// kept returns how many tokens of a prompt's shared parts the engine keeps.
-func (c *prefixCache) kept(parts []Part) int {
+// cachedTokens returns how many tokens of a prompt's leading shared parts are cached.
+func (c *prefixCache) cachedTokens(parts []Part) int {
 	tokens := 0
 	for _, p := range parts {
 		if c.parts[p.ID] == nil {
--- a/placement/cache_test.go
+++ b/placement/cache_test.go
@@ -13,49 +13,49 @@
 	c := newPrefixCache()
 	c.resize(1000) // 850 tokens
 	a, b := Part{1, 300}, Part{2, 200}
-	require.Zero(t, c.kept([]Part{a, b}))
-	c.read([]Part{a, b}, 100)
-	require.Equal(t, 500, c.kept([]Part{a, b}))
-	require.Equal(t, 300, c.kept([]Part{a, {9, 50}}), "up to the first part that is not kept")
-	require.Zero(t, c.kept([]Part{{9, 50}, b}), "a part is of use only with those before it")
+	require.Zero(t, c.cachedTokens([]Part{a, b}))
+	c.add([]Part{a, b}, 100)
+	require.Equal(t, 500, c.cachedTokens([]Part{a, b}))
+	require.Equal(t, 300, c.cachedTokens([]Part{a, {9, 50}}), "up to the first part that is not cached")
+	require.Zero(t, c.cachedTokens([]Part{{9, 50}, b}), "a part is usable only with all parts before it")
 
-	c.read([]Part{a, {3, 400}}, 100)
-	require.Equal(t, 300, c.kept([]Part{a, b}), "what was unused for the longest time gives way, a was used again")
-	require.Equal(t, 700, c.kept([]Part{a, {3, 400}}))
+	c.add([]Part{a, {3, 400}}, 100)
+	require.Equal(t, 300, c.cachedTokens([]Part{a, b}), "the least recently used part was evicted, a was used again")
+	require.Equal(t, 700, c.cachedTokens([]Part{a, {3, 400}}))
 	require.LessOrEqual(t, c.used, 850)
 
-	c.read(nil, 850)
-	require.Zero(t, c.kept([]Part{a}))
+	c.add(nil, 850)
+	require.Zero(t, c.cachedTokens([]Part{a}))
 	require.Empty(t, c.parts)
 }
 
-// TestOversizedPromptEmptiesTheCache checks that a prompt larger than the memory
-// leaves a consistent belief.
-func TestOversizedPromptEmptiesTheCache(t *testing.T) {
+// TestOversizedPromptEmptiesPrefixCache checks that the cache stays consistent after a prompt that
+// is larger than the engine's memory.
+func TestOversizedPromptEmptiesPrefixCache(t *testing.T) {
 	c := newPrefixCache()
 	c.resize(1000)
-	c.read([]Part{{1, 5000}}, 10)
+	c.add([]Part{{1, 5000}}, 10)
 	require.Zero(t, c.used)
 	require.Empty(t, c.parts)
 	require.Zero(t, c.order.Len())
 }
 
 func TestSharedParts(t *testing.T) {
-	require.Empty(t, partsOf(&engine.Call{}))
-	require.Empty(t, partsOf(&engine.Call{Parts: []engine.Part{{ID: "own", Tokens: 5}}}))
-	parts := partsOf(&engine.Call{Parts: []engine.Part{{ID: "a", Tokens: 5}, {ID: "b", Tokens: 6}, {ID: "own", Tokens: 7}}})
+	require.Empty(t, sharedParts(&engine.Call{}))
+	require.Empty(t, sharedParts(&engine.Call{Parts: []engine.Part{{ID: "own", Tokens: 5}}}))
+	parts := sharedParts(&engine.Call{Parts: []engine.Part{{ID: "a", Tokens: 5}, {ID: "b", Tokens: 6}, {ID: "own", Tokens: 7}}})
 	require.Len(t, parts, 2)
 	require.Equal(t, 5, parts[0].Tokens)
 	require.Equal(t, 6, parts[1].Tokens)
 	require.NotEqual(t, parts[0].ID, parts[1].ID)
 }
 
-// TestReadsAreToldOnce checks what other processes get for the number of the newest
-// read that they have.
-func TestReadsAreToldOnce(t *testing.T) {
+// TestReadsAfterReturnsEachEntryOnce checks which prefills another process gets for the number of
+// the newest one that it has.
+func TestReadsAfterReturnsEachEntryOnce(t *testing.T) {
 	p := New("a", nil, nil)
 	for n := range 3 {
-		p.reads.add(Read{Instance: "i", Own: n}, time.Now())
+		p.prefillLog.add(Read{Instance: "i", Own: n}, time.Now())
 	}
 	all, last := p.ReadsAfter(0)
 	require.Len(t, all, 3)
@@ -65,24 +65,24 @@
 	none, _ := p.ReadsAfter(3)
 	require.Empty(t, none)
 	again, _ := p.ReadsAfter(99)
-	require.Len(t, again, 3, "a number of an earlier run of this process")
-	for n := range p.reads.recent {
-		p.reads.recent[n].at = p.reads.recent[n].at.Add(-2 * logKept)
+	require.Len(t, again, 3, "the number is from an earlier run of this process")
+	for n := range p.prefillLog.recent {
+		p.prefillLog.recent[n].at = p.prefillLog.recent[n].at.Add(-2 * prefillLogRetention)
 	}
-	p.reads.add(Read{Instance: "i", Own: 3}, time.Now())
+	p.prefillLog.add(Read{Instance: "i", Own: 3}, time.Now())
 	late, _ := p.ReadsAfter(0)
-	require.Len(t, late, 1, "old reads are not kept")
+	require.Len(t, late, 1, "old entries are dropped")
 }
 
-// BenchmarkPrefixCache fills the cache of one engine of 305,000 tokens; the bytes are
-// a bound on what is kept of it.
+// BenchmarkPrefixCache fills the cache of an engine with 305,000 tokens. The allocated bytes bound
+// the memory of the model.
 func BenchmarkPrefixCache(b *testing.B) {
 	b.ReportAllocs()
 	for range b.N {
 		c := newPrefixCache()
 		c.resize(305_000)
 		for n := range uint64(60) {
-			c.read([]Part{{1, 2520}, {2 + n, 3780}}, 2890)
+			c.add([]Part{{1, 2520}, {2 + n, 3780}}, 2890)
 		}
 	}
 }
--- a/placement/decisions_test.go
+++ b/placement/decisions_test.go
@@ -19,12 +19,12 @@
 
 var update = flag.Bool("update", false, "write "+decisionsFile)
 
-// TestDecisionsOfACourse plays a course of prompts against one placer and compares each
-// decision on where a prompt is read, and how runners look, with what is on file. A change
-// that should not change decisions leaves the file alone. All prompts are long ones: ties
-// between runners are broken at random.
-func TestDecisionsOfACourse(t *testing.T) {
-	got := courseOf(New("a", nil, nil))
+// TestDecisionsMatchRecording runs a scenario on one placer and compares each prefill decision, and
+// the scores of the targets, with the recorded file. A change that is not meant to affect decisions
+// must not change the file. All prompts are long, because ties between targets are broken at
+// random.
+func TestDecisionsMatchRecording(t *testing.T) {
+	got := runScenario(New("a", nil, nil))
 	if *update {
 		require.NoError(t, os.WriteFile(decisionsFile, []byte(got), 0o644))
 	}
@@ -36,14 +36,14 @@
 	}
 }
 
-// courseOf plays the course and returns a line for each decision. Prompts come faster than
-// they are read, in bursts; some reads fail, some take longer than expected.
-func courseOf(p *Placer) string {
+// runScenario runs the scenario and returns a line for each decision. Prompts arrive in bursts and
+// faster than they are prefilled. Some prefills fail and some take longer than expected.
+func runScenario(p *Placer) string {
 	now := time.Unix(0, 0)
 	p.now = func() time.Time { return now }
 	rng := rand.New(rand.NewPCG(7, 0))
 	var all []*fleet.Instance
-	for n, i := range fleetOf(6, 4) {
+	for n, i := range instancesByRole(6, 4) {
 		i.Domain = string(rune('a' + n%3))
 		all = append(all, i)
 	}
@@ -52,10 +52,10 @@
 	for n := range 400 {
 		now = now.Add(time.Duration(rng.ExpFloat64() * float64(12*time.Millisecond)))
 		for len(open) > 0 && rng.Float64() < 0.45 {
-			finish(open[0], rng)
+			finishPrefill(open[0], rng)
 			open = open[1:]
 		}
-		shared, own := longPrompt+rng.IntN(12000), 100+rng.IntN(4000)
+		shared, own := minSeparatePrefillTokens+rng.IntN(12000), 100+rng.IntN(4000)
 		j := &Job{
 			Route:   &fleet.Route{Name: "r", LatencyTarget: 300 * time.Millisecond, Rank: rng.IntN(3)},
 			Service: fleet.Service{Name: "s", KVCapacity: 60_000}, Left: time.Duration(500+rng.IntN(1500)) * time.Millisecond, Permitted: all,
@@ -75,8 +75,8 @@
 	return lines.String()
 }
 
-// finish ends a read, one in ten with a failure.
-func finish(t *Ticket, rng *rand.Rand) {
+// finishPrefill ends a prefill; one in ten fails.
+func finishPrefill(t *Ticket, rng *rand.Rand) {
 	if rng.Float64() < 0.1 {
 		t.Read(false, Failed)
 	} else {
--- a/placement/explain.go
+++ b/placement/explain.go
@@ -5,69 +5,69 @@
 	"github.com/rockdoor/rockdoor/fleet"
 )
 
-// Considered says how one permitted instance looks for a job.
+// Considered describes how one permitted instance is rated for a job.
 type Considered struct {
 	Instance string      `json:"instance"`
 	Domain   string      `json:"domain"`
 	Role     engine.Role `json:"role,omitempty"`
-	// Load is what all processes have in hand there.
+	// Load is the work in flight there, from all processes.
 	Load Load `json:"load"`
-	// Uncached, AheadMs and ReadMs are the estimates for an engine that reads.
+	// The estimates of a prefill engine: uncached prompt tokens, queueing delay and prefill time.
 	Uncached int     `json:"uncached,omitempty"`
 	AheadMs  float64 `json:"aheadMs,omitempty"`
 	ReadMs   float64 `json:"readMs,omitempty"`
-	// Score is compared among instances of the same role; the least wins.
+	// Score is comparable between instances of the same role; the lowest score wins.
 	Score float64 `json:"score"`
-	// Pace is how much longer an engine takes to read than the model says.
+	// Pace is the ratio of the engine's measured prefill times to the model's estimates.
 	Pace float64 `json:"pace"`
-	// GapMs is the usual time between two events of a stream.
+	// GapMs is the smoothed time between two events of a stream.
 	GapMs float64 `json:"gapMs,omitempty"`
 	// Failures is the share of recent requests that failed.
 	Failures float64 `json:"failures"`
-	// Why says why the instance gets nothing now, empty if it may.
+	// Why is the reason why the instance gets no requests at present, empty if it may.
 	Why string `json:"why,omitempty"`
 }
 
-// Explain returns how each permitted instance looks for a job, without placing it; of a subject's home
-// group, if there are several.
+// Explain rates each permitted instance for a job without placing it. If the pool has several
+// groups, it covers the preferred group of the prompt prefix.
 func (p *Placer) Explain(j *Job) []Considered {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.settleDomain(j)
-	j.Waiting = true // it is no demand
+	p.setDefaultDomain(j)
+	j.Waiting = true // explaining a job must not count as demand
 	if groups := j.groups(); len(groups) > 1 && j.Call.Subject() != "" {
-		j.Permitted = groups[p.homeGroup(j, len(groups))]
+		j.Permitted = groups[p.preferredGroup(j, len(groups))]
 	}
-	readers, runners := p.split(j)
-	usual := p.usualGap(runners)
-	keepers := p.keepers(j, partsOf(j.Call), readers)
+	prefillEngines, targets := p.eligible(j)
+	medianGap := p.medianGap(targets)
+	holders := p.cacheHolders(j, sharedParts(j.Call), prefillEngines)
 	var out []Considered
 	for _, i := range j.Permitted {
 		st := p.state(i)
-		c := Considered{Instance: i.ID, Domain: i.Domain, Role: i.Role, Load: p.load(st), Pace: st.pace, GapMs: st.gap, Failures: st.failures, Why: p.why(j, i, st)}
+		c := Considered{Instance: i.ID, Domain: i.Domain, Role: i.Role, Load: p.load(st), Pace: st.slowdown, GapMs: st.gapMs, Failures: st.failures, Why: p.unavailableReason(j, i, st)}
 		if i.Role == engine.RolePrefill {
-			e := p.estimate(j, i, keepers, p.rankOf(j.Route, false))
-			c.Uncached, c.AheadMs, c.ReadMs, c.Score = e.uncached, e.ahead, e.read, e.score
+			e := p.estimate(j, i, holders, p.prefillRank(j.Route, false))
+			c.Uncached, c.AheadMs, c.ReadMs, c.Score = e.uncached, e.queueMs, e.prefillMs, e.score
 		} else {
-			c.Score = p.runnerScore(j, i, st, usual)
+			c.Score = p.targetScore(j, i, st, medianGap)
 		}
 		out = append(out, c)
 	}
 	return out
 }
 
-// why says why an instance gets no request now.
-func (p *Placer) why(j *Job, i *fleet.Instance, st *state) string {
+// unavailableReason returns why an instance gets no requests at present, empty if it may get them.
+func (p *Placer) unavailableReason(j *Job, i *fleet.Instance, st *instanceState) string {
 	switch {
-	case p.changing(i):
+	case p.isChangingRole(i):
 		return "is changing its role"
 	case st.replaced:
-		return "has lost its address to another"
-	case !p.allows(st, p.now()):
+		return "address now belongs to another instance"
+	case !p.breakerCanSend(st, p.now()):
 		return "fails all that it gets"
-	case !p.withinLimit(j, i):
-		return "limits its rate of requests and takes no more now"
-	case i.Role != engine.RolePrefill && p.full(&j.Service, i, st):
+	case !p.withinRateLimit(j, i):
+		return "limits its rate of requests and admits no more now"
+	case i.Role != engine.RolePrefill && p.isFull(&j.Service, i, st):
 		return "is full"
 	}
 	return ""
--- a/placement/group.go
+++ b/placement/group.go
@@ -2,28 +2,30 @@
 
 import "github.com/rockdoor/rockdoor/fleet"
 
-// groupTries is in how many groups a place is looked for at the most, as long as those have instances that
-// take requests: what a decision costs stays bounded while everything is full.
-const groupTries = 3
+// maxGroupsTried is the maximum number of groups that are searched for a job, provided that one of
+// them has instances which accept requests. It bounds the cost of a decision while all instances
+// are full.
+const maxGroupsTried = 3
 
-// choice is a decision among one group that is not counted yet.
+// choice is a decision within one group that has not been added to the load yet.
 type choice struct {
-	// job permits the instances of the group only.
+	// job is the placed job with only the group's instances permitted.
 	job     *Job
 	plan    Plan
-	runners []*fleet.Instance
+	targets []*fleet.Instance
 }
 
-// placed reports whether there is an instance.
-func (c *choice) placed() bool { return c.plan.Reader != nil || c.plan.Runner != nil }
+// hasInstance reports whether the plan has an instance.
+func (c *choice) hasInstance() bool { return c.plan.Reader != nil || c.plan.Runner != nil }
 
-// better reports whether a choice is better than one of another group: one in time than one that is late,
-// a late one sooner, and of two refusals that with the shorter time to come back.
-func (c *choice) better(d *choice) bool {
+// betterThan compares the choices of two groups. A choice with an instance beats one without, an
+// response in time beats a late one, and otherwise the earlier response wins. Of two rejections the one
+// with the shorter retry delay wins.
+func (c *choice) betterThan(d *choice) bool {
 	switch {
-	case c.placed() != d.placed():
-		return c.placed()
-	case !c.placed():
+	case c.hasInstance() != d.hasInstance():
+		return c.hasInstance()
+	case !c.hasInstance():
 		return c.plan.RetryAfter > 0 && (d.plan.RetryAfter == 0 || c.plan.RetryAfter < d.plan.RetryAfter)
 	case c.plan.Late != d.plan.Late:
 		return d.plan.Late
@@ -31,31 +33,32 @@
 	return c.plan.Ahead+c.plan.Read < d.plan.Ahead+d.plan.Read
 }
 
-// chooseGroup decides in a job's home group, and in the next ones if its answer would be late there or it
-// would be refused. It answers bursts on subjects of one group, at a cost that does not grow with the
-// number of instances; where all groups are full, the best of those that were tried stands. A prompt that
-// a reader has read goes on in the reader's group first.
-func (p *Placer) chooseGroup(j *Job, reader *fleet.Instance, choose func(*Job) choice) choice {
+// chooseGroup decides within the job's preferred group, and tries the next groups if the response
+// would be late there or the job would be rejected. A burst of requests with prefixes of one group
+// thus spills over to others, at a cost that does not grow with the number of instances. If no
+// group can meet the target, the best choice found is returned. After prefill, the search begins
+// with the group of the prefill engine.
+func (p *Placer) chooseGroup(j *Job, prefillEngine *fleet.Instance, choose func(*Job) choice) choice {
 	groups := j.groups()
 	if len(groups) <= 1 {
 		return choose(j)
 	}
-	first := p.homeGroup(j, len(groups))
-	if reader != nil {
-		first = fleet.GroupOf(reader.ID, len(groups))
+	first := p.preferredGroup(j, len(groups))
+	if prefillEngine != nil {
+		first = fleet.GroupOf(prefillEngine.ID, len(groups))
 	}
 	var best choice
 	for n := range groups {
-		if n >= groupTries && (best.placed() || best.plan.Reason != ReasonNone) {
+		if n >= maxGroupsTried && (best.hasInstance() || best.plan.Reason != ReasonNone) {
 			break
 		}
 		part := *j
 		part.Permitted = groups[(first+n)%len(groups)]
 		c := choose(&part)
-		if n == 0 || c.better(&best) {
+		if n == 0 || c.betterThan(&best) {
 			best = c
 		}
-		if best.placed() && !best.plan.Late {
+		if best.hasInstance() && !best.plan.Late {
 			break
 		}
 	}
@@ -69,9 +72,10 @@
 	return j.Groups()
 }
 
-// homeGroup returns which of n groups is that of the job's subject, so that all deciders agree on where
-// it is kept; of a job without one it is drawn.
-func (p *Placer) homeGroup(j *Job, n int) int {
+// preferredGroup returns the index of the job's preferred group out of n. It depends only on the
+// prompt prefix, so that all processes look for cached parts in the same group. For a job without a
+// prefix it is random.
+func (p *Placer) preferredGroup(j *Job, n int) int {
 	if subject := j.Call.Subject(); subject != "" {
 		return fleet.GroupOf(subject, n)
 	}
--- a/placement/group_test.go
+++ b/placement/group_test.go
@@ -13,25 +13,25 @@
 	"github.com/rockdoor/rockdoor/fleet"
 )
 
-// poolOf returns the pool of a service with so many engines, a third of which generate.
-func poolOf(n int) *fleet.Pool {
-	all := fleetOf(n*2/3, n-n*2/3)
+// testPool returns the pool of a service with n engines, a third of which decode.
+func testPool(n int) *fleet.Pool {
+	all := instancesByRole(n*2/3, n-n*2/3)
 	slices.SortFunc(all, func(a, b *fleet.Instance) int { return cmp.Compare(a.ID, b.ID) })
 	return &fleet.Pool{All: all}
 }
 
 func groupedJob(pool *fleet.Pool, subject string, tokens int) *Job {
-	j := job(pool.All, subject, tokens)
+	j := testJob(pool.All, subject, tokens)
 	j.Groups = pool.Groups
 	return j
 }
 
-// TestADecisionLooksAtOneGroup places a prompt among 1,000 and among 10,000 engines: what is looked at
-// is one group at both sizes.
-func TestADecisionLooksAtOneGroup(t *testing.T) {
+// TestDecisionConsidersOneGroup places a prompt among 1,000 and among 10,000 engines. Both
+// decisions must consider one group only.
+func TestDecisionConsidersOneGroup(t *testing.T) {
 	for _, n := range []int{1000, 10_000} {
 		p := New("a", nil, nil)
-		j := groupedJob(poolOf(n), "s", 9000)
+		j := groupedJob(testPool(n), "s", 9000)
 		plan, ticket := p.Place(j)
 		require.NotNil(t, plan.Reader)
 		ticket.Read(true, Sound)
@@ -40,10 +40,10 @@
 	}
 }
 
-// TestDecidersAgreeOnAHome has two processes that know the same engines, each of which adds its own
-// load elsewhere, place the same subjects.
-func TestDecidersAgreeOnAHome(t *testing.T) {
-	pool := poolOf(2000)
+// TestProcessesAgreeOnPreferredEngine places the same prefixes in two processes that know the same
+// engines.
+func TestProcessesAgreeOnPreferredEngine(t *testing.T) {
+	pool := testPool(2000)
 	for n := range 200 {
 		subject := fmt.Sprint("subject-", n)
 		one, _ := New("a", nil, nil).Place(groupedJob(pool, subject, 9000))
@@ -53,14 +53,14 @@
 	}
 }
 
-// TestABurstOnOneGroupSpills has all engines of a subject's group busy for long: the prompt is read in
-// time in another group.
-func TestABurstOnOneGroupSpills(t *testing.T) {
-	pool := poolOf(1000)
+// TestBurstOnOneGroupSpills loads all engines of the prefix's group. The prompt must be prefilled
+// in time in another group.
+func TestBurstOnOneGroupSpills(t *testing.T) {
+	pool := testPool(1000)
 	home := fleet.GroupOf("s", len(pool.Groups()))
 	p := New("a", func(id string) Load {
 		if fleet.GroupOf(id, len(pool.Groups())) == home {
-			return unread(0, 5, 20000)
+			return pendingLoad(0, 5, 20000)
 		}
 		return Load{}
 	}, nil)
@@ -69,23 +69,23 @@
 	require.NotEqual(t, home, fleet.GroupOf(plan.Reader.ID, len(pool.Groups())))
 }
 
-// TestAFullFleetIsRefusedAtABoundedCost has all engines full.
-func TestAFullFleetIsRefusedAtABoundedCost(t *testing.T) {
-	pool := poolOf(10_000)
+// TestRejectionByFullFleetHasBoundedCost covers a fleet in which all engines are full.
+func TestRejectionByFullFleetHasBoundedCost(t *testing.T) {
+	pool := testPool(10_000)
 	p := New("a", func(string) Load { return Load{Requests: 1000} }, nil)
 	plan, ticket := p.Place(groupedJob(pool, "s", 100))
 	require.Nil(t, ticket)
 	require.Equal(t, ReasonFull, plan.Reason)
 	require.Positive(t, plan.RetryAfter)
-	require.LessOrEqual(t, len(p.instances), groupTries*2*fleet.GroupSize)
+	require.LessOrEqual(t, len(p.instances), maxGroupsTried*2*fleet.GroupSize)
 }
 
-// TestAnyGroupServesWhenTheOthersAreGone leaves one engine of a thousand to a request.
-func TestAnyGroupServesWhenTheOthersAreGone(t *testing.T) {
-	pool := poolOf(1000)
+// TestAnyGroupServesIfOthersAreExcluded leaves a request one of a thousand engines.
+func TestAnyGroupServesIfOthersAreExcluded(t *testing.T) {
+	pool := testPool(1000)
 	j := groupedJob(pool, "s", 100)
 	j.Avoid = map[string]bool{}
-	left := pool.All[0] // one that generates
+	left := pool.All[0] // a decode engine
 	for _, i := range pool.All[1:] {
 		j.Avoid[i.ID] = true
 	}
@@ -94,9 +94,9 @@
 	require.Same(t, left, plan.Runner)
 }
 
-// TestCallsWithoutSubjectSpread places calls to a plain service of 1,000 instances.
-func TestCallsWithoutSubjectSpread(t *testing.T) {
-	pool := poolOf(1000)
+// TestCallsWithoutPrefixSpread places calls to a plain service of 1,000 instances.
+func TestCallsWithoutPrefixSpread(t *testing.T) {
+	pool := testPool(1000)
 	p := New("a", nil, nil)
 	used := map[string]bool{}
 	for range 300 {
@@ -105,13 +105,13 @@
 		require.NotNil(t, ticket)
 		used[plan.Runner.ID] = true
 	}
-	require.Greater(t, len(used), 150, "of 333 that run")
+	require.Greater(t, len(used), 150, "of 333 targets")
 }
 
-// TestOwnFollowsTheWorkInHand has a placer know 10,000 engines and work at a few: what it looks at for a
-// digest is those.
-func TestOwnFollowsTheWorkInHand(t *testing.T) {
-	pool := poolOf(10_000)
+// TestLocalLoadVisitsBusyInstancesOnly has a placer that knows 10,000 engines and has requests in
+// flight at a few. Only these may be visited for a load digest.
+func TestLocalLoadVisitsBusyInstancesOnly(t *testing.T) {
+	pool := testPool(10_000)
 	p := New("a", nil, nil)
 	for _, i := range pool.All {
 		p.Learn(Read{Instance: i.ID, Own: 1})
--- a/placement/limit.go
+++ b/placement/limit.go
@@ -8,44 +8,47 @@
 	"github.com/rockdoor/rockdoor/fleet"
 )
 
-// Limiter knows the rates of requests that runs of instances take from all processes together.
+// Limiter tracks the request rate limits of instances, which apply to all processes together. A run
+// is one run of an instance, named by its run ID.
 type Limiter interface {
-	// Any reports whether any run limits its rate.
+	// Any reports whether any run has a rate limit.
 	Any() bool
-	// Limited reports whether a run limits its rate.
+	// Limited reports whether a run has a rate limit.
 	Limited(run string) bool
-	// Allows reports whether a request may be sent to a run now. It counts as demand, unless it has
-	// been counted before.
+	// Allows reports whether a request may be sent to a run now. The request is added to the demand
+	// for the run unless counted is true.
 	Allows(run string, counted bool) bool
-	// Take counts a request that is sent to a run. Granted is true if the run limits its rate; ok is
-	// false if the request may not be sent.
+	// Take counts a request that is about to be sent to a run. granted is true if the run has a rate
+	// limit; ok is false if the request must not be sent.
 	Take(run string) (granted, ok bool)
-	// RetryAfter returns when a request that a run does not take now may come back, 0 if the run limits
-	// nothing.
+	// RetryAfter returns the delay after which a request that a run does not accept now should be
+	// retried, 0 if the run has no rate limit.
 	RetryAfter(run string) time.Duration
 }
 
-// limits reports whether any instance limits its rate; without, the names of runs need not be made.
-func (p *Placer) limits() bool { return p.limiter != nil && p.limiter.Any() }
+// anyRateLimited reports whether any instance has a rate limit. If none has, callers need not build
+// the run IDs.
+func (p *Placer) anyRateLimited() bool { return p.limiter != nil && p.limiter.Any() }
 
-// withinLimit reports whether an instance's rate limit lets a job through.
-func (p *Placer) withinLimit(j *Job, i *fleet.Instance) bool {
-	return !p.limits() || p.limiter.Allows(i.Run(), j.Waiting)
+// withinRateLimit reports whether the instance's rate limit admits the job.
+func (p *Placer) withinRateLimit(j *Job, i *fleet.Instance) bool {
+	return !p.anyRateLimited() || p.limiter.Allows(i.Run(), j.Waiting)
 }
 
-// tie returns what decides between instances that are as fit, at random so that processes which see the
-// same loads spread. One that limits its rate goes first: what it takes now would lapse.
-func (p *Placer) tie(i *fleet.Instance) float64 {
-	if p.limits() && p.limiter.Limited(i.Run()) {
+// tieBreaker returns a random addition to a score, so that processes which see equal loads choose
+// different instances. An instance with a rate limit gets none and wins the tie, because requests
+// granted for now would expire unused.
+func (p *Placer) tieBreaker(i *fleet.Instance) float64 {
+	if p.anyRateLimited() && p.limiter.Limited(i.Run()) {
 		return 0
 	}
 	return p.random() * tieBreak
 }
 
-// take counts the send that a plan leads to against the rate limit of its instance. If that takes no
-// more after all, the plan has no instance.
-func (p *Placer) take(i *fleet.Instance, plan *Plan) bool {
-	if !p.limits() {
+// useRateGrant counts the plan's next request against the rate limit of its instance. If the limit
+// has been reached in the meantime, it removes the instances from the plan and returns false.
+func (p *Placer) useRateGrant(i *fleet.Instance, plan *Plan) bool {
+	if !p.anyRateLimited() {
 		plan.Granted = false
 		return true
 	}
@@ -59,49 +62,51 @@
 	return true
 }
 
-// reserve takes a request of a runner before a prompt is read, if all runners limit their rates: prompts
-// that were read would else wait for what others take meanwhile. If none takes one more, the plan has
-// no instance.
-func (p *Placer) reserve(t *Ticket, plan *Plan, j *Job, runners []*fleet.Instance) bool {
-	if !p.limits() || slices.ContainsFunc(runners, func(r *fleet.Instance) bool { return !p.limiter.Limited(r.Run()) }) {
+// reserveTarget takes a request from the rate limit of a target before the prompt is prefilled, if
+// all targets have rate limits. Without the reservation the prefilled prompt would wait while other
+// requests use up the limit. If no target admits a request, it returns false and a plan without
+// instances.
+func (p *Placer) reserveTarget(t *Ticket, plan *Plan, j *Job, targets []*fleet.Instance) bool {
+	if !p.anyRateLimited() || slices.ContainsFunc(targets, func(r *fleet.Instance) bool { return !p.limiter.Limited(r.Run()) }) {
 		return true
 	}
-	run := *plan
-	if p.chooseRunner(&run, j, runners); run.Runner == nil || !p.take(run.Runner, &run) {
-		*plan = Plan{Reason: run.Reason, RetryAfter: run.RetryAfter, Uncached: plan.Uncached}
+	decodePlan := *plan
+	if p.chooseTarget(&decodePlan, j, targets); decodePlan.Runner == nil || !p.useRateGrant(decodePlan.Runner, &decodePlan) {
+		*plan = Plan{Reason: decodePlan.Reason, RetryAfter: decodePlan.RetryAfter, Uncached: plan.Uncached}
 		return false
 	}
-	t.reserved = run.Runner.ID
+	t.reserved = decodePlan.Runner.ID
 	return true
 }
 
-// reserved returns the runner that was reserved for a job, nil if there is none or it is not to be used
-// any more.
-func (p *Placer) reserved(t *Ticket, j *Job) *fleet.Instance {
+// reservedTarget returns the target that was reserved for a job, or nil if none was or if it may
+// not be used any more.
+func (p *Placer) reservedTarget(t *Ticket, j *Job) *fleet.Instance {
 	if t.reserved == "" {
 		return nil
 	}
 	for _, i := range j.Permitted {
-		if st := p.state(i); i.ID == t.reserved && !j.Avoid[i.ID] && !p.changing(i) && !st.replaced && i.Role != engine.RolePrefill {
+		if st := p.state(i); i.ID == t.reserved && !j.Avoid[i.ID] && !p.isChangingRole(i) && !st.replaced && i.Role != engine.RolePrefill {
 			return i
 		}
 	}
 	return nil
 }
 
-// explainNone says of a plan without an instance whether that is due to rate limits, and when to come
-// back: the limited instances together take what wants to be sent in the harmonic sum of their times.
-func (p *Placer) explainNone(plan *Plan, j *Job) {
-	if !p.limits() {
+// setRateLimitReason sets the reason and the retry delay of a plan that has no instance because of
+// rate limits. The rates of the limited instances add up, so the delay is the inverse of the sum of
+// their inverse delays.
+func (p *Placer) setRateLimitReason(plan *Plan, j *Job) {
+	if !p.anyRateLimited() {
 		return
 	}
-	perSecond := 0.0
+	totalRate := 0.0
 	for _, i := range j.Permitted {
 		if after := p.limiter.RetryAfter(i.Run()); after > 0 && !j.Avoid[i.ID] {
-			perSecond += 1 / after.Seconds()
+			totalRate += 1 / after.Seconds()
 		}
 	}
-	if perSecond > 0 {
-		plan.Reason, plan.RetryAfter = ReasonLimited, max(time.Duration(float64(time.Second)/perSecond), minRetry)
+	if totalRate > 0 {
+		plan.Reason, plan.RetryAfter = ReasonLimited, max(time.Duration(float64(time.Second)/totalRate), minRetryAfter)
 	}
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,7 +1,7 @@
-// Package placement decides where a request runs: which engine reads its prompt,
-// which one generates, and when it is better refused at once. It keeps a model
-// of each instance from what this process has sent there and how long it took,
-// and from what the other processes say of theirs.
+// Package placement decides where a request runs: which engine prefills its prompt, which instance
+// produces the response, and whether the request is better rejected at once. It models each
+// instance from the load and the timings of this process and from the load that other processes
+// report.
 package placement
 
 import (
@@ -14,191 +14,186 @@
 	"github.com/rockdoor/rockdoor/quarantine"
 )
 
-// Reason says why a plan is as it is.
+// Reason says why a plan was chosen.
 type Reason string
 
-// Reasons of plans.
 const (
-	// ReasonHolder is an engine that keeps the most of the prompt's shared parts.
+	// ReasonHolder is an engine that has most of the prompt's shared parts cached.
 	ReasonHolder Reason = "holder"
-	// ReasonFetch is another engine, which takes what the holder keeps.
+	// ReasonFetch is another engine, which fetches the shared parts from the cache holder.
 	ReasonFetch Reason = "fetch"
-	// ReasonHome is the home of a subject that nobody has read lately.
+	// ReasonHome is the preferred engine of a prompt prefix that no engine has cached.
 	ReasonHome Reason = "home"
-	// ReasonSpill is another engine, because the home is too busy.
+	// ReasonSpill is another engine, because the preferred one is too busy.
 	ReasonSpill Reason = "spill"
-	// ReasonLeast is the instance with the least work.
+	// ReasonLeast is the instance with the lowest load score.
 	ReasonLeast Reason = "least-work"
-	// ReasonNone means that no permitted instance takes requests.
+	// ReasonNone means that no permitted instance accepts requests.
 	ReasonNone Reason = "none-permitted"
-	// ReasonFull means that all permitted instances have as much as they take.
+	// ReasonFull means that all permitted instances are at their request limit.
 	ReasonFull Reason = "all-full"
-	// ReasonHopeless means that no engine is expected to read the prompt before the
-	// caller's time is up.
+	// ReasonHopeless means that no engine is expected to prefill the prompt before the client times
+	// out.
 	ReasonHopeless Reason = "hopeless"
-	// ReasonQuarantined means that instances end under the request.
+	// ReasonQuarantined means that the request is quarantined because instances crashed while running
+	// it.
 	ReasonQuarantined Reason = "quarantined"
-	// ReasonLimited means that all permitted instances limit their rate of requests, and take no more
-	// now.
+	// ReasonLimited means that all permitted instances have reached their rate limits.
 	ReasonLimited Reason = "rate-limited"
-	// ReasonLate is the engine that has the least to read in all: no engine is
-	// expected to answer in time.
+	// ReasonLate is the engine with the least queued prefill work: no engine is expected to meet the
+	// latency target.
 	ReasonLate Reason = "too-late"
 )
 
-// Job is a request to be placed.
 type Job struct {
 	Route *fleet.Route
-	// Ranked is true if the rank of Route is not the operator's for the route but that of
-	// the caller's workspace.
+	// Ranked is true if Route.Rank has been replaced by the rank of the client's workspace.
 	Ranked bool
-	// Workspace is that of the caller, empty if it has none.
+	// Workspace is the client's workspace, empty if it has none.
 	Workspace string
 	Service   fleet.Service
 	Call      *engine.Call
-	// Fingerprint is what is the same in each try of the request; zero if the process that
-	// has it decides.
+	// Fingerprint identifies the request across its attempts. It is zero if the process that received
+	// the request also places it.
 	Fingerprint quarantine.Fingerprint
-	// Domain is the failure domain of the process that has the request; empty is that of
-	// the placer.
+	// Domain is the failure domain of the process that received the request. If empty, it is set to
+	// the placer's own.
 	Domain string
-	// Left is how long the caller still waits.
+	// Left is the time until the client times out.
 	Left time.Duration
-	// Spent is how long the request has been here.
+	// Spent is the time since the request arrived.
 	Spent time.Duration
-	// Permitted are the instances that may run it, in the order of their IDs.
+	// Permitted holds the instances that may run the request, sorted by ID.
 	Permitted []*fleet.Instance
-	// Groups divides Permitted as a fleet.Pool does; nil is one group. It is asked where the job is
-	// decided on.
+	// Groups divides Permitted like fleet.Pool.Groups. If it is nil, there is one group. It is a
+	// function so that only the process that decides divides the pool.
 	Groups func() [][]*fleet.Instance
 	// Avoid holds the IDs of instances that failed this request.
 	Avoid map[string]bool
-	// Waiting is true if the job has been tried before and waits for rate limits.
+	// Waiting is true if the job was tried before and is waiting for rate limits.
 	Waiting bool
-	// NoRead is true if the prompt is not to be read apart: it has been read, or
-	// the request goes on after events that were delivered.
+	// NoRead disables prefill on a separate engine: the prompt has been prefilled already, or the
+	// request resumes after events that were delivered.
 	NoRead bool
 }
 
-// Plan is a decision.
+// Plan is the decision for a job.
 type Plan struct {
-	// By is the process that decided, empty for the one that has the request.
+	// By is the process that decided, empty if it is the one that received the request.
 	By string
-	// Reader reads the prompt; nil if the runner does.
+	// Reader is the engine that prefills the prompt, nil if the target does so itself.
 	Reader *fleet.Instance
-	// Runner generates; nil if the request is refused.
+	// Runner is the instance that produces the response: a decode or mixed engine, or a backend
+	// server. It is nil if the request is rejected.
 	Runner *fleet.Instance
-	// FetchFrom is an engine that is believed to keep parts of the prompt that
-	// the reader does not.
+	// FetchFrom is an engine that is believed to have parts of the prompt cached which the prefill
+	// engine has not.
 	FetchFrom *fleet.Instance
 	Reason    Reason
-	// Uncached is how many prompt tokens are believed to be read.
+	// Uncached is the estimated number of prompt tokens that have to be prefilled.
 	Uncached int
-	// Ahead is the estimate of how long work ahead of the request takes.
+	// Ahead is the estimated queueing delay of the request.
 	Ahead time.Duration
-	// Read is the estimate of how long its own prompt takes.
+	// Read is the estimated prefill time of its own prompt.
 	Read time.Duration
-	// Rank is the one at which the prompt is read.
+	// Rank is the queue rank at which the prompt is prefilled.
 	Rank int
-	// Late is true if the answer is not expected within the latency target.
+	// Late is true if the response is expected past its latency target.
 	Late bool
-	// RetryAfter is when to come back, if the request is refused.
+	// RetryAfter is the retry delay for the client if the request is rejected.
 	RetryAfter time.Duration
-	// Granted is true if the next send was counted against a rate limit of its instance.
+	// Granted is true if the next request was counted against a rate limit of its instance.
 	Granted bool
 }
 
 const (
-	// longPrompt is the number of uncached prompt tokens from which a prompt is
-	// read apart. Moving a prompt costs a round trip and the set-up of a move,
-	// about as long as an engine takes to read this many.
-	longPrompt = 1024
-	// queueFactor is how many times its slots an instance may have in hand.
-	queueFactor = 2.5
-	// startingWeight is how many running requests one counts for whose answer has
-	// not begun: it waits for a move of memory or in a queue, as the next one will.
+	// minSeparatePrefillTokens is the number of prompt tokens from which prefill runs on a separate
+	// engine. Moving the KV cache costs a round trip and a transfer set-up, about as long as an
+	// engine takes to prefill this many tokens.
+	minSeparatePrefillTokens = 1024
+	// maxRequestsPerSlot is the maximum number of requests in flight at an instance, per slot.
+	maxRequestsPerSlot = 2.5
+	// startingWeight is the weight, in running requests, of one whose response has not begun. It waits
+	// for a KV cache transfer or in a queue, and so will the next request.
 	startingWeight = 4.0
 )
 
-// Placer places requests. It is safe for concurrent use.
 type Placer struct {
 	domain string
-	// now is the clock.
-	now func() time.Time
+	now    func() time.Time
 	// random returns a number in [0, 1).
 	random func() float64
 	policy Policy
 
 	mu        sync.Mutex
-	instances map[string]*state
-	// busy are the instances at which this process has work in hand, and some at which it had.
-	busy     map[string]*state
-	models   map[string]*Model // by service
-	reads    readLog
-	shares   map[string]*shares // by service
-	peers    func(id string) Load
-	changing func(*fleet.Instance) bool
-	limiter  Limiter
+	instances map[string]*instanceState
+	// busy holds the instances with requests in flight from this process. Instances that have become
+	// idle are removed when the local load is read.
+	busy             map[string]*instanceState
+	models           map[string]*Model // by service
+	prefillLog       prefillLog
+	pendingByService map[string]*workspacePending // by service
+	peerLoad         func(id string) Load
+	isChangingRole   func(*fleet.Instance) bool
+	limiter          Limiter
 }
 
-// New returns a placer for a process in a failure domain. peers tells what the
-// other processes have in hand at an instance, changing whether an engine is
-// about to change its role; either may be nil.
-func New(domain string, peers func(id string) Load, changing func(*fleet.Instance) bool) *Placer {
-	if peers == nil {
-		peers = func(string) Load { return Load{} }
+// New returns a placer for a process in a failure domain. peers returns the load that the other
+// processes have at an instance, isChangingRole reports whether an engine is about to change its role.
+// Either may be nil.
+func New(domain string, peerLoad func(id string) Load, isChangingRole func(*fleet.Instance) bool) *Placer {
+	if peerLoad == nil {
+		peerLoad = func(string) Load { return Load{} }
 	}
-	if changing == nil {
-		changing = func(*fleet.Instance) bool { return false }
+	if isChangingRole == nil {
+		isChangingRole = func(*fleet.Instance) bool { return false }
 	}
 	return &Placer{
-		domain: domain, now: time.Now, random: rand.Float64, instances: map[string]*state{}, busy: map[string]*state{}, models: map[string]*Model{}, shares: map[string]*shares{}, peers: peers, changing: changing,
+		domain: domain, now: time.Now, random: rand.Float64, instances: map[string]*instanceState{}, busy: map[string]*instanceState{}, models: map[string]*Model{}, pendingByService: map[string]*workspacePending{}, peerLoad: peerLoad, isChangingRole: isChangingRole,
 	}
 }
 
-// SetClock replaces the clock. It is called before the placer is used, where time is not
-// that of the process.
+// SetClock replaces the clock, for simulated time. It must be called before the placer is used.
 func (p *Placer) SetClock(now func() time.Time) { p.now = now }
 
-// SetRandom replaces the source of numbers in [0, 1) by which ties are broken. It is called
-// before the placer is used, where the same course must come again.
+// SetRandom replaces the source of the numbers in [0, 1) that break ties, for reproducible runs. It
+// must be called before the placer is used.
 func (p *Placer) SetRandom(random func() float64) { p.random = random }
 
-// SetLimiter states who knows the rate limits of instances; without it there are none. It is called
-// before the placer is used.
+// SetLimiter sets the source of instance rate limits. Without it no instance has a rate limit. It
+// must be called before the placer is used.
 func (p *Placer) SetLimiter(l Limiter) { p.limiter = l }
 
-// SetPolicy states which mechanisms are in force; without it all are. It is called before
-// the placer is used.
+// SetPolicy sets the enabled mechanisms. Without it all are enabled. It must be called before the
+// placer is used.
 func (p *Placer) SetPolicy(policy Policy) { p.policy = policy }
 
-// Estimate returns how long an idle engine of a service is expected to take to read a
-// prompt.
+// Estimate returns how long an idle engine of a service is expected to take to prefill a prompt.
 func (p *Placer) Estimate(service string, w Work) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return millis(p.model(service).Read(w))
+	return millis(p.model(service).PrefillMs(w))
 }
 
-// Load returns what all processes have in hand at an instance.
+// Load returns the load that all processes together have at an instance.
 func (p *Placer) Load(i *fleet.Instance) Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.loadOf(i)
 }
 
-// loadOf does what Load does, and keeps nothing of an instance that has not been looked at for a decision. The
-// caller holds the lock.
+// loadOf is Load without the lock, which the caller holds. It creates no state for an instance that
+// has not been considered for a request.
 func (p *Placer) loadOf(i *fleet.Instance) Load {
 	if st := p.instances[i.ID]; st != nil {
 		return p.load(st)
 	}
-	return p.peers(i.ID)
+	return p.peerLoad(i.ID)
 }
 
-// EachLoad tells what all processes have in hand at each of a service's instances, and how long the
-// prompts among it, also the late ones, keep an engine of the service busy.
-func (p *Placer) EachLoad(service string, instances []*fleet.Instance, tell func(i *fleet.Instance, l Load, queue time.Duration)) {
+// EachLoad calls visit for each instance with the load from all processes, and with the time for
+// which the pending prompts, including late ones, keep an engine of the service busy.
+func (p *Placer) EachLoad(service string, instances []*fleet.Instance, visit func(i *fleet.Instance, l Load, queue time.Duration)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	model := p.model(service)
@@ -206,129 +201,129 @@
 		l := p.loadOf(i)
 		queue := time.Duration(0)
 		if unread := l.Unread.All(); unread != (Backlog{}) {
-			queue = millis(model.Busy(unread))
+			queue = millis(model.BusyMs(unread))
 		}
-		tell(i, l, queue)
+		visit(i, l, queue)
 	}
 }
 
-// Place decides where a job is read, or where it runs if it is not read apart,
-// and counts it there. The ticket is nil if the job is refused.
+// Place chooses the prefill engine of a job, or its target if the prompt is not prefilled
+// separately, and adds the job to its load. The ticket is nil if the job is rejected.
 func (p *Placer) Place(j *Job) (Plan, *Ticket) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.settleDomain(j)
+	p.setDefaultDomain(j)
 	c := p.chooseGroup(j, nil, p.choose)
-	if !c.placed() {
+	if !c.hasInstance() {
 		return c.plan, nil
 	}
 	plan := c.plan
 	t := &Ticket{
-		p: p, model: p.model(j.Service.Name), shares: p.sharesOf(j.Service.Name), workspace: j.Workspace,
-		tokens: j.Call.PromptTokens, parts: partsOf(j.Call), own: j.Call.PromptTokens - j.Call.SharedTokens(), begun: p.now(),
+		p: p, model: p.model(j.Service.Name), pending: p.workspacePending(j.Service.Name), workspace: j.Workspace,
+		promptTokens: j.Call.PromptTokens, parts: sharedParts(j.Call), unsharedTokens: j.Call.PromptTokens - j.Call.SharedTokens(), placedAt: p.now(),
 	}
 	if plan.Reader != nil {
-		if !p.reserve(t, &plan, c.job, c.runners) || !p.take(plan.Reader, &plan) {
+		if !p.reserveTarget(t, &plan, c.job, c.targets) || !p.useRateGrant(plan.Reader, &plan) {
 			return plan, nil
 		}
-		t.read(&plan)
+		t.assignPrefill(&plan)
 		return plan, t
 	}
-	if !p.take(plan.Runner, &plan) {
+	if !p.useRateGrant(plan.Runner, &plan) {
 		return plan, nil
 	}
-	t.run(plan.Runner, j.Service.KVCapacity > 0)
+	t.assignTarget(plan.Runner, j.Service.KVCapacity > 0)
 	return plan, t
 }
 
-// choose decides where a job is read, or where it runs, among all that it permits, and counts nothing.
+// choose decides among all instances that the job permits. It doesn't change any load.
 func (p *Placer) choose(j *Job) choice {
-	readers, runners := p.split(j)
-	c := choice{job: j, plan: Plan{Uncached: j.Call.PromptTokens, Reason: ReasonNone}, runners: runners}
-	apart := j.Call.PromptTokens >= longPrompt && len(readers) > 0 && !j.NoRead && p.policy.Has(Apart)
+	prefillEngines, targets := p.eligible(j)
+	c := choice{job: j, plan: Plan{Uncached: j.Call.PromptTokens, Reason: ReasonNone}, targets: targets}
+	separatePrefill := j.Call.PromptTokens >= minSeparatePrefillTokens && len(prefillEngines) > 0 && !j.NoRead && p.policy.Has(SeparatePrefill)
 	switch {
-	case len(runners) == 0:
-		p.explainNone(&c.plan, j)
-	case apart:
-		p.chooseReader(&c.plan, j, partsOf(j.Call), readers)
+	case len(targets) == 0:
+		p.setRateLimitReason(&c.plan, j)
+	case separatePrefill:
+		p.choosePrefillEngine(&c.plan, j, sharedParts(j.Call), prefillEngines)
 	case j.Left <= 0:
-		c.plan.Reason, c.plan.RetryAfter = ReasonHopeless, fullRetry
+		c.plan.Reason, c.plan.RetryAfter = ReasonHopeless, fullRetryAfter
 	default:
-		p.chooseRunner(&c.plan, j, runners)
+		p.chooseTarget(&c.plan, j, targets)
 	}
 	return c
 }
 
-// PlaceRead decides where a job runs whose prompt has been read, and counts it
-// there. It reports false if there is no runner; the plan then says why.
+// PlaceRead chooses the target of a job that has been prefilled and adds the job to its load. It
+// returns false if there is no target; the plan then has the reason.
 func (p *Placer) PlaceRead(j *Job, plan *Plan, t *Ticket) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.settleDomain(j)
+	p.setDefaultDomain(j)
 	reason := plan.Reason
-	if plan.Runner = p.reserved(t, j); plan.Runner != nil {
+	if plan.Runner = p.reservedTarget(t, j); plan.Runner != nil {
 		plan.Granted = true
-		t.run(plan.Runner, false)
+		t.assignTarget(plan.Runner, false)
 		return true
 	}
-	c := p.chooseGroup(j, plan.Reader, func(j *Job) choice { return p.chooseAfterRead(j, *plan) })
+	c := p.chooseGroup(j, plan.Reader, func(j *Job) choice { return p.chooseDecode(j, *plan) })
 	*plan = c.plan
-	if plan.Runner == nil || !p.take(plan.Runner, plan) {
+	if plan.Runner == nil || !p.useRateGrant(plan.Runner, plan) {
 		return false
 	}
 	plan.Reason = reason
-	t.run(plan.Runner, false)
+	t.assignTarget(plan.Runner, false)
 	return true
 }
 
-// chooseAfterRead decides where a job runs whose prompt has been read by a plan.
-func (p *Placer) chooseAfterRead(j *Job, plan Plan) choice {
+// chooseDecode chooses the target of a job that has been prefilled according to a plan.
+func (p *Placer) chooseDecode(j *Job, plan Plan) choice {
 	plan.Reason, plan.Runner = ReasonNone, nil
-	_, runners := p.split(j)
-	c := choice{job: j, plan: plan, runners: runners}
-	if len(runners) == 0 {
-		p.explainNone(&c.plan, j)
+	_, targets := p.eligible(j)
+	c := choice{job: j, plan: plan, targets: targets}
+	if len(targets) == 0 {
+		p.setRateLimitReason(&c.plan, j)
 	} else {
-		p.chooseRunner(&c.plan, j, runners)
+		p.chooseTarget(&c.plan, j, targets)
 	}
 	return c
 }
 
-// settleDomain states the domain of a job that is of this process.
-func (p *Placer) settleDomain(j *Job) {
+// setDefaultDomain sets the domain of a job that this process received.
+func (p *Placer) setDefaultDomain(j *Job) {
 	if j.Domain == "" {
 		j.Domain = p.domain
 	}
 }
 
-// split parts the permitted instances by what they do. Those with an open breaker are
-// left out as long as others are there.
-func (p *Placer) split(j *Job) (readers, runners []*fleet.Instance) {
+// eligible returns the permitted instances that may get the job, by role. Instances with an open
+// breaker are left out unless there is no other target.
+func (p *Placer) eligible(j *Job) (prefillEngines, targets []*fleet.Instance) {
 	now := p.now()
-	readers, runners = p.parted(j, func(st *state) bool { return p.allows(st, now) })
-	if len(runners) == 0 {
-		return p.parted(j, func(*state) bool { return true })
+	prefillEngines, targets = p.partitionByRole(j, func(st *instanceState) bool { return p.breakerCanSend(st, now) })
+	if len(targets) == 0 {
+		return p.partitionByRole(j, func(*instanceState) bool { return true })
 	}
-	return readers, runners
+	return prefillEngines, targets
 }
 
-func (p *Placer) parted(j *Job, allowed func(*state) bool) (readers, runners []*fleet.Instance) {
+func (p *Placer) partitionByRole(j *Job, allowed func(*instanceState) bool) (prefillEngines, targets []*fleet.Instance) {
 	for _, i := range j.Permitted {
 		st := p.state(i)
 		switch {
-		case j.Avoid[i.ID] || p.changing(i) || st.replaced || !allowed(st) || !p.withinLimit(j, i):
+		case j.Avoid[i.ID] || p.isChangingRole(i) || st.replaced || !allowed(st) || !p.withinRateLimit(j, i):
 		case i.Role == engine.RolePrefill:
-			readers = append(readers, i)
+			prefillEngines = append(prefillEngines, i)
 		default:
-			runners = append(runners, i)
+			targets = append(targets, i)
 		}
 	}
-	return readers, runners
+	return prefillEngines, targets
 }
 
-// allows reports whether an instance's breaker lets a request through.
-func (p *Placer) allows(st *state, now time.Time) bool {
-	return st.breaker.allows(now) || !p.policy.Has(Breakers)
+// breakerCanSend reports whether the instance's breaker admits a request.
+func (p *Placer) breakerCanSend(st *instanceState, now time.Time) bool {
+	return st.breaker.canSend(now) || !p.policy.Has(Breakers)
 }
 
 // model returns the model of a service. The caller holds the lock.
@@ -341,22 +336,23 @@
 	return m
 }
 
-// sharesOf returns the workspaces' unread prompts to a service. The caller holds the lock.
-func (p *Placer) sharesOf(service string) *shares {
-	s := p.shares[service]
+// workspacePending returns the pending prompts to a service by workspace. The caller holds the
+// lock.
+func (p *Placer) workspacePending(service string) *workspacePending {
+	s := p.pendingByService[service]
 	if s == nil {
-		s = &shares{of: map[string]unreadShare{}}
-		p.shares[service] = s
+		s = &workspacePending{byWorkspace: map[string]pendingPrompts{}}
+		p.pendingByService[service] = s
 	}
 	return s
 }
 
 const (
-	// minRetry is the least time to come back: sooner, and nothing has changed.
-	minRetry = 100 * time.Millisecond
-	// fullRetry is when to ask again while everything is full: about as long as
-	// an engine takes to finish a short request.
-	fullRetry = 200 * time.Millisecond
+	// minRetryAfter is the minimum retry delay. The load hardly changes in less time.
+	minRetryAfter = 100 * time.Millisecond
+	// fullRetryAfter is the retry delay while all instances are full, about the time in which an
+	// engine finishes a short request.
+	fullRetryAfter = 200 * time.Millisecond
 )
 
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -11,18 +11,18 @@
 	"github.com/rockdoor/rockdoor/fleet"
 )
 
-func fleetOf(readers, runners int) []*fleet.Instance {
+func instancesByRole(prefillEngines, targets int) []*fleet.Instance {
 	var out []*fleet.Instance
-	for n := range readers {
+	for n := range prefillEngines {
 		out = append(out, &fleet.Instance{ID: fmt.Sprintf("p-%d", n), Role: engine.RolePrefill, Slots: 8, Domain: "a"})
 	}
-	for n := range runners {
+	for n := range targets {
 		out = append(out, &fleet.Instance{ID: fmt.Sprintf("d-%d", n), Role: engine.RoleMixed, Slots: 8, Domain: "a"})
 	}
 	return out
 }
 
-func job(all []*fleet.Instance, subject string, tokens int) *Job {
+func testJob(all []*fleet.Instance, subject string, tokens int) *Job {
 	return &Job{
 		Route: &fleet.Route{Name: "r", LatencyTarget: 200 * time.Millisecond}, Service: fleet.Service{Name: "s"},
 		Call: &engine.Call{PromptTokens: tokens, Parts: []engine.Part{{ID: subject, Tokens: tokens * 2 / 3}, {ID: "own", Tokens: tokens / 3}}},
@@ -30,12 +30,12 @@
 	}
 }
 
-func TestASubjectHasOneHome(t *testing.T) {
-	all := fleetOf(6, 2)
+func TestPrefixHasOnePreferredEngine(t *testing.T) {
+	all := instancesByRole(6, 2)
 	spread := map[string]int{}
 	for n := range 600 {
 		subject := fmt.Sprint("subject-", n)
-		plan, ticket := New("a", nil, nil).Place(job(all, subject, 9000))
+		plan, ticket := New("a", nil, nil).Place(testJob(all, subject, 9000))
 		require.Equal(t, ReasonHome, plan.Reason)
 		require.Equal(t, Home(subject, all[:6]), plan.Reader)
 		spread[plan.Reader.ID]++
@@ -51,75 +51,76 @@
 			moved++
 		}
 	}
-	require.InDelta(t, 100, moved, 45, "only the lost engine's subjects move")
+	require.InDelta(t, 100, moved, 45, "only the prefixes of the removed engine move")
 }
 
-func TestBusyHomeSpills(t *testing.T) {
-	all := fleetOf(3, 1)
-	home := Home("s", all[:3])
-	p := New("a", busyAt(&home.ID), nil)
-	plan, _ := p.Place(job(all, "s", 9000))
+func TestBusyPreferredEngineSpills(t *testing.T) {
+	all := instancesByRole(3, 1)
+	preferred := Home("s", all[:3])
+	p := New("a", loadAt(&preferred.ID), nil)
+	plan, _ := p.Place(testJob(all, "s", 9000))
 	require.Equal(t, ReasonSpill, plan.Reason)
-	require.NotEqual(t, home, plan.Reader)
-	require.Nil(t, plan.FetchFrom, "the home has read nothing yet")
+	require.NotEqual(t, preferred, plan.Reader)
+	require.Nil(t, plan.FetchFrom, "the preferred engine has prefilled nothing yet")
 }
 
-// TestWhatIsNotReadYetIsNotFetched: the same subject comes again while its first prompt is
-// being read, and once more when it has been.
-func TestWhatIsNotReadYetIsNotFetched(t *testing.T) {
-	all := fleetOf(3, 1)
+// TestPendingPromptIsNotFetched covers a prefix that is requested again while its first prompt is
+// being prefilled, and once more afterwards.
+func TestPendingPromptIsNotFetched(t *testing.T) {
+	all := instancesByRole(3, 1)
 	p := New("a", nil, nil)
-	first, ticket := p.Place(job(all, "s", 9000))
-	second, _ := p.Place(job(all, "s", 9000))
-	require.NotEqual(t, first.Reader, second.Reader, "the first is busy for long")
+	first, ticket := p.Place(testJob(all, "s", 9000))
+	second, _ := p.Place(testJob(all, "s", 9000))
+	require.NotEqual(t, first.Reader, second.Reader, "the first engine is busy")
 	require.Nil(t, second.FetchFrom)
 	ticket.Read(true, Sound)
-	third, _ := p.Place(job(all, "s", 9000))
+	third, _ := p.Place(testJob(all, "s", 9000))
 	require.Equal(t, first.Reader, third.Reader)
 	require.Equal(t, ReasonHolder, third.Reason)
 }
 
-// TestAReadThatFailedKeepsNothing: the reader broke off, so the subject is nowhere kept.
-func TestAReadThatFailedKeepsNothing(t *testing.T) {
-	all := fleetOf(3, 1)
+// TestFailedPrefillCachesNothing covers a prefill engine that breaks the connection: no engine has
+// the prefix cached.
+func TestFailedPrefillCachesNothing(t *testing.T) {
+	all := instancesByRole(3, 1)
 	p := New("a", nil, nil)
-	_, ticket := p.Place(job(all, "s", 9000))
+	_, ticket := p.Place(testJob(all, "s", 9000))
 	ticket.Read(false, Failed)
-	again, _ := p.Place(job(all, "s", 9000))
+	again, _ := p.Place(testJob(all, "s", 9000))
 	require.NotEqual(t, ReasonHolder, again.Reason)
 	require.Nil(t, again.FetchFrom)
 }
 
-// unread is a load of prompts at a rank, with tokens in all, without attention.
-func unread(rank, prompts, tokens int) Load {
+// pendingLoad returns a load of prompts pending at a rank, with their total tokens and without
+// attention work.
+func pendingLoad(rank, prompts, tokens int) Load {
 	var l Load
 	l.Unread[rank] = Backlog{prompts, Work{Tokens: tokens}}
 	return l
 }
 
-// busyAt is a load of prompts at one engine.
-func busyAt(id *string) func(string) Load {
+// loadAt returns the peers' load: pending prompts at one engine, none elsewhere.
+func loadAt(id *string) func(string) Load {
 	return func(i string) Load {
 		if i == *id {
-			return unread(0, 5, 20000)
+			return pendingLoad(0, 5, 20000)
 		}
 		return Load{}
 	}
 }
 
-// TestPartsAreTakenFromTheirKeeper checks that the engine that keeps a prompt's parts
-// is preferred while it is free, and fetched from while it is not, whoever had them
-// read.
-func TestPartsAreTakenFromTheirKeeper(t *testing.T) {
-	all := fleetOf(3, 1)
+// TestCacheHolderIsPreferredOrFetchedFrom checks that the cache holder prefills the prompt while it
+// is free, and is fetched from while it is busy, also if another process had the parts prefilled.
+func TestCacheHolderIsPreferredOrFetchedFrom(t *testing.T) {
+	all := instancesByRole(3, 1)
 	holder := all[0]
 	if Home("s", all[:3]) == holder {
 		holder = all[1]
 	}
 	busy := ""
-	p := New("a", busyAt(&busy), nil)
-	j := job(all, "s", 9000)
-	p.Learn(Read{Instance: holder.ID, Parts: partsOf(j.Call), Own: 3000})
+	p := New("a", loadAt(&busy), nil)
+	j := testJob(all, "s", 9000)
+	p.Learn(Read{Instance: holder.ID, Parts: sharedParts(j.Call), Own: 3000})
 	plan, ticket := p.Place(j)
 	require.Equal(t, ReasonHolder, plan.Reason)
 	require.Equal(t, holder, plan.Reader)
@@ -134,16 +135,16 @@
 	ticket.Read(true, Sound)
 	busy = ""
 	next, _ := p.Place(j)
-	require.Equal(t, plan.Reader, next.Reader, "both keep it now, and this one is its home")
+	require.Equal(t, plan.Reader, next.Reader, "both have it cached now, and this one is preferred")
 }
 
-// TestPartsThatGaveWayAreReadAgain checks that an engine is not believed to keep what
-// it has no memory for: the model of quiet-1 believed that it kept every subject.
-func TestPartsThatGaveWayAreReadAgain(t *testing.T) {
-	all := fleetOf(1, 1)
+// TestEvictedPartsArePrefilledAgain checks that an engine is not assumed to have more parts cached
+// than fit its memory. An earlier model never evicted and assumed that every prefix was cached.
+func TestEvictedPartsArePrefilledAgain(t *testing.T) {
+	all := instancesByRole(1, 1)
 	p := New("a", nil, nil)
 	place := func(subject string) Plan {
-		j := job(all, subject, 9000)
+		j := testJob(all, subject, 9000)
 		j.Service.KVCapacity = 40000
 		plan, ticket := p.Place(j)
 		require.NotNil(t, ticket)
@@ -159,47 +160,47 @@
 	require.Equal(t, 9000, place("first").Uncached)
 }
 
-// TestLateOnesAreNotAhead is the collapse of quiet-1: once one request was late,
-// each after it was counted as late too.
-func TestLateOnesAreNotAhead(t *testing.T) {
-	late := unread(lateRank, 50, 400000)
-	plan, _ := New("a", func(string) Load { return late }, nil).Place(job(fleetOf(2, 1), "s", 6000))
+// TestLateRequestsDontDelayOthers guards against a collapse: late requests were counted in the
+// queueing delay of new ones, so that after the first late request all others counted as late too.
+func TestLateRequestsDontDelayOthers(t *testing.T) {
+	late := pendingLoad(lateRank, 50, 400000)
+	plan, _ := New("a", func(string) Load { return late }, nil).Place(testJob(instancesByRole(2, 1), "s", 6000))
 	require.False(t, plan.Late)
-	urgent := unread(0, 20, 100000)
-	plan, _ = New("a", func(string) Load { return urgent }, nil).Place(job(fleetOf(2, 1), "s", 6000))
+	urgent := pendingLoad(0, 20, 100000)
+	plan, _ = New("a", func(string) Load { return urgent }, nil).Place(testJob(instancesByRole(2, 1), "s", 6000))
 	require.True(t, plan.Late)
 	require.Equal(t, ReasonLate, plan.Reason)
-	require.NotNil(t, plan.Reader, "it is offered to an engine all the same")
+	require.NotNil(t, plan.Reader, "it is still placed")
 }
 
-// TestEstimatesKeepAMargin checks that a request whose answer is expected only just
-// within its target does not go ahead of others: on quiet-1 two of five of those that
-// did were late.
-func TestEstimatesKeepAMargin(t *testing.T) {
+// TestLatencyTargetHasAMargin checks that a request counts as late if its response is expected only
+// just within the target. Without the margin, two of five such requests were late in a recorded
+// trace.
+func TestLatencyTargetHasAMargin(t *testing.T) {
 	for _, c := range []struct {
 		queue time.Duration
 		late  bool
 	}{{100 * time.Millisecond, false}, {155 * time.Millisecond, true}, {190 * time.Millisecond, true}} {
 		m := NewModel()
-		tokens := int((toMillis(c.queue) - m.cost[0]*promptShare) / m.cost[1] * thousand)
-		p := New("a", func(string) Load { return unread(0, 1, tokens) }, nil)
-		j := job(fleetOf(1, 1), "s", 2000)
-		p.Learn(Read{Instance: "p-0", Parts: partsOf(j.Call), Own: 667})
+		tokens := int((toMillis(c.queue) - m.cost[0]*busyBaseShare) / m.cost[1] * tokenScale)
+		p := New("a", func(string) Load { return pendingLoad(0, 1, tokens) }, nil)
+		j := testJob(instancesByRole(1, 1), "s", 2000)
+		p.Learn(Read{Instance: "p-0", Parts: sharedParts(j.Call), Own: 667})
 		plan, _ := p.Place(j)
 		require.Equal(t, c.late, plan.Late, c.queue)
 	}
 }
 
-// TestHopelessIsRefusedAtOnce checks that a request that no engine is expected to
-// read in its time is not held until then.
-func TestHopelessIsRefusedAtOnce(t *testing.T) {
-	all := fleetOf(2, 1)
-	p := New("a", func(string) Load { return unread(lateRank, 100, 800000) }, nil)
-	j := job(all, "s", 6000)
+// TestHopelessRequestIsRejectedAtOnce checks that a request which no engine is expected to prefill
+// before the client times out is not held until then.
+func TestHopelessRequestIsRejectedAtOnce(t *testing.T) {
+	all := instancesByRole(2, 1)
+	p := New("a", func(string) Load { return pendingLoad(lateRank, 100, 800000) }, nil)
+	j := testJob(all, "s", 6000)
 	plan, ticket := p.Place(j)
-	require.NotNil(t, ticket, "urgent ones pass the late ones")
+	require.NotNil(t, ticket, "urgent requests overtake late ones")
 	ticket.Cancel()
-	p = New("a", func(string) Load { return unread(0, 50, 400000) }, nil)
+	p = New("a", func(string) Load { return pendingLoad(0, 50, 400000) }, nil)
 	plan, ticket = p.Place(j)
 	require.Nil(t, ticket)
 	require.Equal(t, ReasonHopeless, plan.Reason)
@@ -207,12 +208,12 @@
 	require.Empty(t, p.Own())
 }
 
-func TestLoadIsCountedAndTakenBack(t *testing.T) {
-	all := fleetOf(1, 1)
+func TestLoadIsAddedAndReleased(t *testing.T) {
+	all := instancesByRole(1, 1)
 	p := New("a", nil, nil)
-	j := job(all, "s", 9000)
+	j := testJob(all, "s", 9000)
 	plan, ticket := p.Place(j)
-	require.Equal(t, 9000, plan.Uncached, "nobody has read any of it")
+	require.Equal(t, 9000, plan.Uncached, "nothing is cached yet")
 	want := Load{Requests: 1}
 	want.Unread[0] = Backlog{1, WorkOf(9000, 9000)}
 	require.Equal(t, want, p.Load(plan.Reader))
@@ -226,28 +227,28 @@
 	require.Empty(t, p.Own())
 }
 
-func TestRunners(t *testing.T) {
-	t.Run("one that starts nothing is avoided", func(t *testing.T) {
-		all := fleetOf(0, 2)
+func TestTargetChoice(t *testing.T) {
+	t.Run("a target with unstarted requests is avoided", func(t *testing.T) {
+		all := instancesByRole(0, 2)
 		p := New("a", func(id string) Load {
 			if id == "d-0" {
 				return Load{Requests: 4, Starting: 4}
 			}
 			return Load{Requests: 6}
 		}, nil)
-		plan, _ := p.Place(job(all, "s", 100))
+		plan, _ := p.Place(testJob(all, "s", 100))
 		require.Equal(t, "d-1", plan.Runner.ID)
 	})
-	t.Run("full ones refuse with a time to come back", func(t *testing.T) {
+	t.Run("full targets reject with a retry delay", func(t *testing.T) {
 		p := New("a", func(string) Load { return Load{Requests: 20} }, nil)
-		plan, ticket := p.Place(job(fleetOf(0, 2), "s", 100))
+		plan, ticket := p.Place(testJob(instancesByRole(0, 2), "s", 100))
 		require.Nil(t, ticket)
 		require.Equal(t, ReasonFull, plan.Reason)
 		require.Positive(t, plan.RetryAfter)
 	})
-	t.Run("one that takes no more connections is full", func(t *testing.T) {
+	t.Run("a target at its connection limit is full", func(t *testing.T) {
 		p := New("a", func(string) Load { return Load{Requests: 5} }, nil)
-		j := job(fleetOf(0, 1), "s", 100)
+		j := testJob(instancesByRole(0, 1), "s", 100)
 		j.Service.MaxConns = 6
 		_, ticket := p.Place(j)
 		require.NotNil(t, ticket)
@@ -255,10 +256,10 @@
 		require.Nil(t, none)
 		require.Equal(t, ReasonFull, plan.Reason)
 	})
-	t.Run("changing, avoided and replaced ones get nothing", func(t *testing.T) {
-		all := fleetOf(0, 4)
+	t.Run("changing, avoided and replaced targets are excluded", func(t *testing.T) {
+		all := instancesByRole(0, 4)
 		p := New("a", nil, func(i *fleet.Instance) bool { return i.ID == "d-0" })
-		j := job(all, "s", 100)
+		j := testJob(all, "s", 100)
 		j.Avoid = map[string]bool{"d-1": true}
 		p.state(all[2]).replaced = true
 		for range 20 {
@@ -266,13 +267,13 @@
 			require.Equal(t, "d-3", plan.Runner.ID)
 		}
 	})
-	t.Run("long answers are kept away from those that are the next to read", func(t *testing.T) {
-		all := fleetOf(2, 6)
+	t.Run("long responses avoid the next prefill engines", func(t *testing.T) {
+		all := instancesByRole(2, 6)
 		for n, i := range all {
 			i.Domain = string(rune('a' + n%3))
 		}
 		p := New("a", nil, nil)
-		long := job(all, "s", 100)
+		long := testJob(all, "s", 100)
 		long.Service.KVCapacity = 100000
 		used := map[string]bool{}
 		for range 6 {
@@ -280,7 +281,7 @@
 			ticket.FirstEvent()
 			used[plan.Runner.ID] = true
 		}
-		require.Len(t, used, 3, "as many as the load needs")
+		require.Len(t, used, 3, "as many as the load requires")
 		domains := map[string]bool{}
 		for _, i := range all {
 			if used[i.ID] {
@@ -292,10 +293,10 @@
 			plan, _ := p.Place(long)
 			used[plan.Runner.ID] = true
 		}
-		require.Len(t, used, 6, "none is refused while others are free")
+		require.Len(t, used, 6, "no target is excluded once the others are busy")
 	})
-	t.Run("a slow one gets fewer", func(t *testing.T) {
-		all := fleetOf(0, 3)
+	t.Run("a slow target gets fewer requests", func(t *testing.T) {
+		all := instancesByRole(0, 3)
 		p := New("a", nil, nil)
 		for _, i := range all {
 			p.state(i).observeGap(40)
@@ -305,62 +306,62 @@
 		}
 		got := map[string]int{}
 		for range 33 {
-			plan, ticket := p.Place(job(all, "s", 100))
+			plan, ticket := p.Place(testJob(all, "s", 100))
 			ticket.FirstEvent()
 			got[plan.Runner.ID]++
 		}
 		require.InDelta(t, 3, got["d-0"], 1.5)
 		require.InDelta(t, 15, got["d-1"], 2)
 	})
-	t.Run("one that cannot be reached is left for a while", func(t *testing.T) {
-		all := fleetOf(0, 2)
+	t.Run("an unreachable target is avoided for a while", func(t *testing.T) {
+		all := instancesByRole(0, 2)
 		p := New("a", nil, nil)
-		first, ticket := p.Place(job(all, "s", 100))
+		first, ticket := p.Place(testJob(all, "s", 100))
 		ticket.Run(Unreachable)
-		second, _ := p.Place(job(all, "s", 100))
+		second, _ := p.Place(testJob(all, "s", 100))
 		require.NotEqual(t, first.Runner, second.Runner)
 	})
 }
 
-func TestModelLearnsTheSpeed(t *testing.T) {
+func TestModelFitsMeasurements(t *testing.T) {
 	m := NewModel()
-	took := func(w Work) float64 { return 5 + float64(w.Tokens)/64 + 0.65*float64(w.Pairs)/million }
+	took := func(w Work) float64 { return 5 + float64(w.Tokens)/64 + 0.65*float64(w.Pairs)/pairScale }
 	for n := range 400 {
 		uncached := 500 + n%20*500
 		w := WorkOf(uncached+n%7*3000, uncached)
-		waited := n % 8 / 7 * 150 // one of eight waits for a prompt that is not known here
+		waited := n % 8 / 7 * 150 // one of eight waits for a prompt of another process
 		m.Observe(w, millis(took(w)+float64(waited)))
 	}
 	for _, w := range []Work{WorkOf(1000, 1000), WorkOf(17000, 3000), WorkOf(17000, 17000)} {
-		require.InEpsilon(t, took(w), m.Read(w), 0.1, w)
+		require.InEpsilon(t, took(w), m.PrefillMs(w), 0.1, w)
 	}
 }
 
-func TestSlowEngineIsAvoided(t *testing.T) {
-	all := fleetOf(2, 1)
+func TestSlowPrefillEngineIsAvoided(t *testing.T) {
+	all := instancesByRole(2, 1)
 	p := New("a", nil, nil)
 	slow := p.state(all[0])
 	for range 50 {
-		slow.measure(500, 50)
+		slow.observePrefill(500, 50)
 	}
-	home := 0
+	slowChosen := 0
 	for n := range 100 {
-		plan, ticket := p.Place(job(all, fmt.Sprint(n), 9000))
+		plan, ticket := p.Place(testJob(all, fmt.Sprint(n), 9000))
 		if plan.Reader == all[0] {
-			home++
+			slowChosen++
 		}
 		ticket.Cancel()
 	}
-	require.Less(t, home, 10)
+	require.Less(t, slowChosen, 10)
 }
 
-// TestWhatARunKeepsIsForgottenWithIt restores what an engine keeps that nobody has placed at
-// yet, and has it start again under its ID.
-func TestWhatARunKeepsIsForgottenWithIt(t *testing.T) {
-	all := fleetOf(1, 1)
+// TestCacheStateIsResetOnNewRun restores the cached parts of an engine and then starts a new run of
+// it under the same ID.
+func TestCacheStateIsResetOnNewRun(t *testing.T) {
+	all := instancesByRole(1, 1)
 	all[0].Born = 17
 	p := New("a", nil, nil)
-	j := job(all, "s", 9000)
+	j := testJob(all, "s", 9000)
 	p.Restore(all[0], 0, j.Call.Parts[:1])
 	plan, ticket := p.Place(j)
 	require.Equal(t, ReasonHolder, plan.Reason)
@@ -376,7 +377,7 @@
 	for _, n := range []int{12, 120, 2700, 9543} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			p := New("a", nil, nil)
-			j := groupedJob(poolOf(n), "s", 9000)
+			j := groupedJob(testPool(n), "s", 9000)
 			b.ReportAllocs()
 			for b.Loop() {
 				_, ticket := p.Place(j)
--- a/placement/policy.go
+++ b/placement/policy.go
@@ -2,85 +2,84 @@
 
 import "slices"
 
-// Mechanism is a part of the policy that does without the others, so that what it is worth
-// can be measured.
+// Mechanism is a part of the placement policy that can be disabled on its own to measure its
+// effect.
 type Mechanism string
 
-// Mechanisms.
 const (
-	// Apart has long prompts read by engines that do not generate.
-	Apart Mechanism = "apart"
-	// LateLast has requests that are late read after all that are not.
+	// SeparatePrefill runs the prefill of long prompts on engines that don't decode.
+	SeparatePrefill Mechanism = "apart"
+	// LateLast prefills late requests after all others.
 	LateLast Mechanism = "late-last"
-	// LateInOrder has late requests read in the order of their routes, else as they come.
-	LateInOrder Mechanism = "late-in-order"
-	// RefuseHopeless refuses at once what cannot be read before its caller leaves.
-	RefuseHopeless Mechanism = "refuse-hopeless"
-	// TargetMargin keeps a part of the latency target for errors of the estimates.
+	// LateByRank prefills late requests in the order of their routes' ranks instead of arrival.
+	LateByRank Mechanism = "late-in-order"
+	// RejectHopeless rejects requests that cannot be prefilled before the client times out.
+	RejectHopeless Mechanism = "refuse-hopeless"
+	// TargetMargin reserves a part of the latency target for estimation errors.
 	TargetMargin Mechanism = "target-margin"
-	// RankedQueue counts only prompts as ahead that are read before a new one.
+	// RankedQueue counts only prompts that are prefilled before a new one towards its queueing delay.
 	RankedQueue Mechanism = "ranked-queue"
-	// HalfOfBegun counts half of a less urgent prompt as ahead if only such are there.
-	HalfOfBegun Mechanism = "half-of-begun"
-	// Attention is the part of the model of reading that grows with pairs of tokens.
+	// HalfOfRunning counts half of a less urgent prompt as queueing delay if no others are pending.
+	HalfOfRunning Mechanism = "half-of-begun"
+	// Attention is the term of the prefill model that grows with pairs of tokens.
 	Attention Mechanism = "attention"
-	// CleanSamples fits the model to reads only that had an engine to themselves.
+	// CleanSamples fits the prefill model only to prefills that had an engine to themselves.
 	CleanSamples Mechanism = "clean-samples"
-	// Outliers gives reads that took much longer than expected little weight in the fit.
+	// Outliers gives little weight in the fit to prefills that took much longer than expected.
 	Outliers Mechanism = "outliers"
-	// Pace multiplies estimates by how much longer an engine takes than the model says.
-	Pace Mechanism = "pace"
-	// KnownCaches expects prompts to be read faster where their shared parts are kept.
-	KnownCaches Mechanism = "known-caches"
-	// Fetch has a reader take shared parts from the engine that keeps most of them.
+	// Slowdown multiplies estimates by the engine's measured slowdown factor.
+	Slowdown Mechanism = "pace"
+	// KnownPrefixes reduces the estimate where shared parts of the prompt are cached.
+	KnownPrefixes Mechanism = "known-caches"
+	// Fetch lets a prefill engine fetch shared parts from the engine that has most of them cached.
 	Fetch Mechanism = "fetch"
-	// Homes has a subject that nobody keeps read first at its home.
-	Homes Mechanism = "homes"
-	// NearReader prefers readers of the own failure domain.
-	NearReader Mechanism = "near-reader"
-	// NearRunner prefers runners of the own failure domain.
-	NearRunner Mechanism = "near-runner"
-	// RunnerNearReader prefers runners of the failure domain where the prompt was read.
-	RunnerNearReader Mechanism = "runner-near-reader"
-	// StartingCounts counts requests whose answers have not begun several times.
+	// PreferredEngines prefills a prefix that no engine has cached at its preferred engine.
+	PreferredEngines Mechanism = "homes"
+	// LocalPrefill prefers prefill engines in the request's own failure domain.
+	LocalPrefill Mechanism = "near-reader"
+	// LocalTarget prefers targets in the request's own failure domain.
+	LocalTarget Mechanism = "near-runner"
+	// TargetNearPrefill prefers targets in the failure domain of the prefill engine.
+	TargetNearPrefill Mechanism = "runner-near-reader"
+	// StartingCounts gives extra weight to requests whose responses have not begun.
 	StartingCounts Mechanism = "starting-counts"
-	// SlowRunners gives runners that generate more slowly than is usual fewer requests.
-	SlowRunners Mechanism = "slow-runners"
-	// SpareRunners keeps long answers away from the engines that are the next to read.
-	SpareRunners Mechanism = "spare-runners"
-	// QueueLimit bounds what a runner has in hand.
+	// SlowTargets sends fewer requests to targets with longer gaps between events than the median.
+	SlowTargets Mechanism = "slow-runners"
+	// SparePrefillCandidates keeps long responses away from engines that are likely to become prefill
+	// engines next.
+	SparePrefillCandidates Mechanism = "spare-runners"
+	// QueueLimit bounds the number of requests in flight at a target.
 	QueueLimit Mechanism = "queue-limit"
-	// Penalty has instances look worse for a while that failed requests.
+	// Penalty worsens the score of instances with recent failures.
 	Penalty Mechanism = "penalty"
-	// Breakers keeps requests away from instances that fail all of them.
+	// Breakers stops requests to instances that fail all of them.
 	Breakers Mechanism = "breakers"
 )
 
 var mechanisms = []Mechanism{
-	Apart, LateLast, LateInOrder, RefuseHopeless, TargetMargin, RankedQueue, HalfOfBegun, Attention, CleanSamples, Outliers, Pace, KnownCaches,
-	Fetch, Homes, NearReader, NearRunner, RunnerNearReader, StartingCounts, SlowRunners, SpareRunners, QueueLimit, Penalty, Breakers,
+	SeparatePrefill, LateLast, LateByRank, RejectHopeless, TargetMargin, RankedQueue, HalfOfRunning, Attention, CleanSamples, Outliers, Slowdown, KnownPrefixes,
+	Fetch, PreferredEngines, LocalPrefill, LocalTarget, TargetNearPrefill, StartingCounts, SlowTargets, SparePrefillCandidates, QueueLimit, Penalty, Breakers,
 }
 
-// Mechanisms returns all mechanisms.
 func Mechanisms() []Mechanism { return slices.Clone(mechanisms) }
 
-// Policy says which mechanisms are in force. The zero value has all of them.
+// Policy is the set of enabled mechanisms. The zero value enables all of them.
 type Policy struct {
-	// left has a bit for each mechanism that is left out.
-	left uint32
+	// disabled has a bit for each disabled mechanism.
+	disabled uint32
 }
 
-// Without returns the policy without a mechanism. One that there is not changes nothing.
+// Without returns the policy with a mechanism disabled. An unknown mechanism changes nothing.
 func (p Policy) Without(m Mechanism) Policy {
-	p.left |= bit(m)
+	p.disabled |= mechanismBit(m)
 	return p
 }
 
-// Has reports whether a mechanism is in force.
-func (p Policy) Has(m Mechanism) bool { return p.left == 0 || p.left&bit(m) == 0 }
+// Has reports whether a mechanism is enabled.
+func (p Policy) Has(m Mechanism) bool { return p.disabled == 0 || p.disabled&mechanismBit(m) == 0 }
 
-// bit is the place of a mechanism in a policy, 0 for one that there is not.
-func bit(m Mechanism) uint32 {
+// mechanismBit returns the bit of a mechanism, 0 if it is unknown.
+func mechanismBit(m Mechanism) uint32 {
 	n := slices.Index(mechanisms, m)
 	if n < 0 {
 		return 0
--- a/placement/policy_test.go
+++ b/placement/policy_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAPolicyHasWhatIsNotLeftOut(t *testing.T) {
+func TestPolicyWithout(t *testing.T) {
 	all := Policy{}
 	for _, m := range Mechanisms() {
 		require.True(t, all.Has(m), m)
@@ -21,44 +21,43 @@
 	require.Equal(t, all, all.Without("no such mechanism"))
 }
 
-// TestTheZeroPolicyChangesNothing plays a course of prompts with the policy stated and
-// without.
-func TestTheZeroPolicyChangesNothing(t *testing.T) {
+// TestZeroPolicyIsTheDefault runs the scenario with the zero policy set and with none set.
+func TestZeroPolicyIsTheDefault(t *testing.T) {
 	stated := New("a", nil, nil)
 	stated.SetPolicy(Policy{})
-	require.Equal(t, courseOf(New("a", nil, nil)), courseOf(stated))
+	require.Equal(t, runScenario(New("a", nil, nil)), runScenario(stated))
 }
 
-// TestAMechanismCanBeLeftOut plays the course without each of the mechanisms that decide on
-// where prompts are read.
-func TestAMechanismCanBeLeftOut(t *testing.T) {
-	with := courseOf(New("a", nil, nil))
+// TestPrefillMechanismsCanBeDisabled runs the scenario without each of the mechanisms that affect
+// the choice of the prefill engine.
+func TestPrefillMechanismsCanBeDisabled(t *testing.T) {
+	with := runScenario(New("a", nil, nil))
 	for _, m := range []Mechanism{
-		Apart, LateLast, LateInOrder, RefuseHopeless, TargetMargin, RankedQueue, HalfOfBegun, Attention, CleanSamples, Outliers, Pace, KnownCaches,
-		Fetch, Homes, NearReader, Penalty, Breakers,
+		SeparatePrefill, LateLast, LateByRank, RejectHopeless, TargetMargin, RankedQueue, HalfOfRunning, Attention, CleanSamples, Outliers, Slowdown, KnownPrefixes,
+		Fetch, PreferredEngines, LocalPrefill, Penalty, Breakers,
 	} {
 		p := New("a", nil, nil)
 		p.SetPolicy(Policy{}.Without(m))
-		require.NotEqual(t, with, courseOf(p), m)
+		require.NotEqual(t, with, runScenario(p), m)
 	}
 }
 
-// TestRunnerMechanismsCanBeLeftOut compares how runners look with and without the mechanisms
-// that decide on where requests run.
-func TestRunnerMechanismsCanBeLeftOut(t *testing.T) {
-	for _, m := range []Mechanism{NearRunner, StartingCounts, SlowRunners} {
-		require.NotEqual(t, runnerScores(t, Policy{}), runnerScores(t, Policy{}.Without(m)), m)
+// TestTargetMechanismsCanBeDisabled compares the scores of targets with and without the mechanisms
+// that affect them.
+func TestTargetMechanismsCanBeDisabled(t *testing.T) {
+	for _, m := range []Mechanism{LocalTarget, StartingCounts, SlowTargets} {
+		require.NotEqual(t, targetScores(t, Policy{}), targetScores(t, Policy{}.Without(m)), m)
 	}
 }
 
-// runnerScores returns the scores of three runners: one that has a request which has not
-// begun, one that generates slowly, one in another failure domain.
-func runnerScores(t *testing.T, policy Policy) []float64 {
+// targetScores returns the scores of three targets: one with a request whose response has not begun,
+// one that decodes slowly, and one in another failure domain.
+func targetScores(t *testing.T, policy Policy) []float64 {
 	p := New("a", nil, nil)
 	p.SetPolicy(policy)
-	all := fleetOf(0, 3)
+	all := instancesByRole(0, 3)
 	all[2].Domain = "b"
-	short := job(all, "s", 300)
+	short := testJob(all, "s", 300)
 	for n := range all {
 		one := *short
 		one.Permitted = all[n : n+1]
@@ -81,32 +80,32 @@
 	return out
 }
 
-// TestQueueLimitCanBeLeftOut fills the only runner.
-func TestQueueLimitCanBeLeftOut(t *testing.T) {
+// TestQueueLimitCanBeDisabled fills the only target.
+func TestQueueLimitCanBeDisabled(t *testing.T) {
 	full := func(policy Policy) bool {
 		p := New("a", nil, nil)
 		p.SetPolicy(policy)
-		all := fleetOf(0, 1)
-		for range int(queueFactor * 8) {
-			_, ticket := p.Place(job(all, "s", 300))
+		all := instancesByRole(0, 1)
+		for range int(maxRequestsPerSlot * 8) {
+			_, ticket := p.Place(testJob(all, "s", 300))
 			require.NotNil(t, ticket)
 		}
-		_, ticket := p.Place(job(all, "s", 300))
+		_, ticket := p.Place(testJob(all, "s", 300))
 		return ticket == nil
 	}
 	require.True(t, full(Policy{}))
 	require.False(t, full(Policy{}.Without(QueueLimit)))
 }
 
-// TestTiesAreBrokenByTheGivenNumbers places the same requests with the same source twice.
-func TestTiesAreBrokenByTheGivenNumbers(t *testing.T) {
+// TestTiesAreReproducible places the same requests twice with the same random source.
+func TestTiesAreReproducible(t *testing.T) {
 	chosen := func() []string {
 		p := New("a", nil, nil)
 		p.SetRandom(rand.New(rand.NewPCG(3, 0)).Float64)
-		all := fleetOf(0, 6)
+		all := instancesByRole(0, 6)
 		var out []string
 		for range 40 {
-			plan, ticket := p.Place(job(all, "s", 300))
+			plan, ticket := p.Place(testJob(all, "s", 300))
 			require.NotNil(t, ticket)
 			ticket.Run(Sound)
 			out = append(out, plan.Runner.ID)
--- a/placement/reader.go
+++ b/placement/reader.go
@@ -10,179 +10,178 @@
 )
 
 const (
-	// farRead is how much longer, in ms, a reader of the own failure domain may take
-	// than one elsewhere: the body crosses to there, and the memory back.
-	farRead = 20.0
-	// fetchedCost is the part of the shared tokens that is expected to be read at
-	// an engine that takes them from another: the move costs little, but they may
-	// have given way there.
-	fetchedCost = 0.15
-	// targetShare is the part of the latency target within which an answer must be
-	// expected for the request not to be late. Estimates err: without
-	// a margin requests on the edge are late.
-	targetShare = 0.85
-	// strangerRead is how much longer, in ms, the home of a subject may take than
-	// another engine: what nobody keeps is best kept in one place.
-	strangerRead = 3.0
+	// remotePrefillMs is added to the score of a prefill engine in another failure domain, in ms. The
+	// request body travels there, and the KV cache back.
+	remotePrefillMs = 20.0
+	// fetchedTokenCost is the share of fetched tokens that is expected to be prefilled all the same.
+	// A fetch is cheap, but the cache holder may have evicted the parts.
+	fetchedTokenCost = 0.15
+	// latencyTargetShare is the share of the latency target within which the response must be expected,
+	// or the request counts as late. Without the margin, estimation errors make borderline requests
+	// late.
+	latencyTargetShare = 0.85
+	// notPreferredMs is added to the score of every engine but the preferred one, in ms. A prefix
+	// that no engine has cached should be cached in one place only.
+	notPreferredMs = 3.0
 )
 
-// chooseReader picks the engine that is expected to have read the prompt first.
-// A request that no engine is expected to read in time goes where the least waits
-// in all, since it is read when nothing else is.
-func (p *Placer) chooseReader(plan *Plan, j *Job, parts []Part, readers []*fleet.Instance) {
-	k := p.keepers(j, parts, readers)
-	p.chooseInTime(plan, j, readers, k)
-	if plan.Late = j.Left <= 0 || p.tooLate(j, plan); !plan.Late {
+// choosePrefillEngine picks the engine that is expected to finish the prefill first. If none can
+// meet the latency target, the request goes to the engine with the least pending work of all ranks,
+// because it is prefilled only when nothing else is pending.
+func (p *Placer) choosePrefillEngine(plan *Plan, j *Job, parts []Part, prefillEngines []*fleet.Instance) {
+	holders := p.cacheHolders(j, parts, prefillEngines)
+	p.chooseWithinTarget(plan, j, prefillEngines, holders)
+	if plan.Late = j.Left <= 0 || p.missesTarget(j, plan); !plan.Late {
 		return
 	}
-	p.chooseLeast(plan, j, readers, k, p.rankOf(j.Route, true))
+	p.chooseFastest(plan, j, prefillEngines, holders, p.prefillRank(j.Route, true))
 	plan.Reason = ReasonLate
-	if all := plan.Ahead + plan.Read; all > j.Left && p.policy.Has(RefuseHopeless) {
+	if untilPrefilled := plan.Ahead + plan.Read; untilPrefilled > j.Left && p.policy.Has(RejectHopeless) {
 		plan.Reader, plan.Reason = nil, ReasonHopeless
-		plan.RetryAfter = max(all-j.Route.LatencyTarget, minRetry)
+		plan.RetryAfter = max(untilPrefilled-j.Route.LatencyTarget, minRetryAfter)
 	}
 }
 
-// chooseInTime picks a reader for a prompt that is expected in time. One of a workspace that has
-// little in hand, and that would be late, is read before all others, so that a workspace that
-// sends more than the readers can do starves none.
-func (p *Placer) chooseInTime(plan *Plan, j *Job, readers []*fleet.Instance, k keepers) {
-	rank := p.rankOf(j.Route, false)
-	p.chooseLeast(plan, j, readers, k, rank)
-	if rank == firstRank || !p.tooLate(j, plan) {
+// chooseWithinTarget picks an engine as if the request could meet its target. If it would be late,
+// and its workspace has few pending prompts, the prompt gets the first rank. A workspace that sends
+// more than the prefill engines can handle thus doesn't starve the others.
+func (p *Placer) chooseWithinTarget(plan *Plan, j *Job, prefillEngines []*fleet.Instance, holders cacheHolders) {
+	rank := p.prefillRank(j.Route, false)
+	p.chooseFastest(plan, j, prefillEngines, holders, rank)
+	if rank == firstRank || !p.missesTarget(j, plan) {
 		return
 	}
-	busy := p.model(j.Service.Name).Busy(Backlog{1, WorkOf(j.Call.PromptTokens, plan.Uncached)})
-	if p.sharesOf(j.Service.Name).small(j.Workspace, busy) {
-		p.chooseLeast(plan, j, readers, k, firstRank)
+	busy := p.model(j.Service.Name).BusyMs(Backlog{1, WorkOf(j.Call.PromptTokens, plan.Uncached)})
+	if p.workspacePending(j.Service.Name).isSmall(j.Workspace, busy) {
+		p.chooseFastest(plan, j, prefillEngines, holders, firstRank)
 	}
 }
 
-// tooLate reports whether the answer that a plan leads to is not expected within its
-// target.
-func (p *Placer) tooLate(j *Job, plan *Plan) bool {
-	estimate := plan.Ahead + plan.Read + millis(p.model(j.Service.Name).after)
-	share := targetShare
+// missesTarget reports whether the plan's response is expected past its latency target.
+func (p *Placer) missesTarget(j *Job, plan *Plan) bool {
+	estimate := plan.Ahead + plan.Read + millis(p.model(j.Service.Name).firstEventMs)
+	share := latencyTargetShare
 	if !p.policy.Has(TargetMargin) {
 		share = 1
 	}
 	return j.Route.LatencyTarget > 0 && estimate > time.Duration(share*float64(j.Route.LatencyTarget))-j.Spent
 }
 
-// chooseLeast picks the reader with the shortest time until the prompt is read at a
-// rank.
-func (p *Placer) chooseLeast(plan *Plan, j *Job, readers []*fleet.Instance, k keepers, rank int) {
+// chooseFastest picks the engine with the lowest score for a prefill at a rank. The score is mainly
+// the time until the prefill ends.
+func (p *Placer) chooseFastest(plan *Plan, j *Job, prefillEngines []*fleet.Instance, holders cacheHolders, rank int) {
 	plan.Rank = rank
 	plan.Reader = nil
 	best := math.Inf(1)
 	var chosen estimate
-	for _, r := range readers {
-		e := p.estimate(j, r, k, rank)
+	for _, r := range prefillEngines {
+		e := p.estimate(j, r, holders, rank)
 		if e.score < best {
 			best, chosen = e.score, e
 			plan.Reader = r
 		}
 	}
-	plan.Uncached, plan.Ahead, plan.Read = chosen.uncached, millis(chosen.ahead), millis(chosen.read)
+	plan.Uncached, plan.Ahead, plan.Read = chosen.uncached, millis(chosen.queueMs), millis(chosen.prefillMs)
 	plan.FetchFrom = nil
 	if chosen.fetched > 0 {
-		plan.FetchFrom = k.most
+		plan.FetchFrom = holders.holder
 	}
 	switch {
 	case chosen.fetched > 0:
 		plan.Reason = ReasonFetch
-	case chosen.kept > 0:
+	case chosen.cached > 0:
 		plan.Reason = ReasonHolder
-	case plan.Reader == k.home:
+	case plan.Reader == holders.preferred:
 		plan.Reason = ReasonHome
 	default:
 		plan.Reason = ReasonSpill
 	}
 }
 
-// keepers are the engines that are expected to keep the shared parts of a prompt.
-type keepers struct {
+// cacheHolders describes where the shared parts of a prompt are believed to be cached.
+type cacheHolders struct {
 	parts []Part
-	// home is where a subject that nobody keeps is read.
-	home *fleet.Instance
-	// most keeps the most tokens of the parts, kept; nil if none keeps any.
-	most *fleet.Instance
-	kept int
+	// preferred is the engine that prefills a prefix which no engine has cached.
+	preferred *fleet.Instance
+	// holder has the most tokens of the parts cached, namely heldTokens. It is nil if no engine has
+	// any.
+	holder     *fleet.Instance
+	heldTokens int
 }
 
-func (p *Placer) keepers(j *Job, parts []Part, readers []*fleet.Instance) keepers {
-	k := keepers{parts: parts, home: Home(j.Call.Subject(), readers)}
-	for _, i := range readers {
+func (p *Placer) cacheHolders(j *Job, parts []Part, prefillEngines []*fleet.Instance) cacheHolders {
+	holders := cacheHolders{parts: parts, preferred: Home(j.Call.Subject(), prefillEngines)}
+	for _, i := range prefillEngines {
 		p.state(i).cache.resize(j.Service.KVCapacity)
 	}
 	if p.policy.Has(Fetch) {
-		k.most, k.kept = p.keeper(parts, j)
+		holders.holder, holders.heldTokens = p.cacheHolder(parts, j)
 	}
-	return k
+	return holders
 }
 
-// estimate is what a reader is expected to take for a job, in ms.
+// estimate is the expected cost of a prefill at one engine; times are in ms.
 type estimate struct {
-	// kept and fetched are tokens that the reader keeps and takes from another
-	// engine, uncached those that it reads.
-	kept, fetched, uncached int
-	ahead, read             float64
-	score                   float64
+	// cached and fetched are the tokens that the engine has cached and that it fetches from the cache
+	// holder. uncached tokens are prefilled.
+	cached, fetched, uncached int
+	queueMs, prefillMs        float64
+	score                     float64
 }
 
-func (p *Placer) estimate(j *Job, r *fleet.Instance, k keepers, rank int) estimate {
+func (p *Placer) estimate(j *Job, r *fleet.Instance, holders cacheHolders, rank int) estimate {
 	st := p.state(r)
 	model := p.model(j.Service.Name)
 	e := estimate{}
-	if p.policy.Has(KnownCaches) {
-		e.kept = st.cache.kept(k.parts)
+	if p.policy.Has(KnownPrefixes) {
+		e.cached = st.cache.cachedTokens(holders.parts)
 	}
-	e.fetched = max(k.kept-e.kept, 0)
-	e.uncached = j.Call.PromptTokens - e.kept - int((1-fetchedCost)*float64(e.fetched))
+	e.fetched = max(holders.heldTokens-e.cached, 0)
+	e.uncached = j.Call.PromptTokens - e.cached - int((1-fetchedTokenCost)*float64(e.fetched))
 	load := p.load(st)
-	pace := p.pace(st)
-	e.ahead = model.Ahead(&load.Unread, rank) * pace
-	e.read = model.Read(WorkOf(j.Call.PromptTokens, e.uncached)) * pace
-	e.score = (e.ahead + e.read) * p.penalty(st)
-	if r.Domain != j.Domain && p.policy.Has(NearReader) {
-		e.score += farRead
+	slowdown := p.slowdown(st)
+	e.queueMs = model.QueueMs(&load.Unread, rank) * slowdown
+	e.prefillMs = model.PrefillMs(WorkOf(j.Call.PromptTokens, e.uncached)) * slowdown
+	e.score = (e.queueMs + e.prefillMs) * p.penalty(st)
+	if r.Domain != j.Domain && p.policy.Has(LocalPrefill) {
+		e.score += remotePrefillMs
 	}
-	if r != k.home && p.policy.Has(Homes) {
-		e.score += strangerRead
+	if r != holders.preferred && p.policy.Has(PreferredEngines) {
+		e.score += notPreferredMs
 	}
 	return e
 }
 
-// pace is how much longer an engine takes to read than the model says.
-func (p *Placer) pace(st *state) float64 {
-	if !p.policy.Has(Pace) {
+// slowdown returns the engine's slowdown factor, or 1 if the mechanism is disabled.
+func (p *Placer) slowdown(st *instanceState) float64 {
+	if !p.policy.Has(Slowdown) {
 		return 1
 	}
-	return st.pace
+	return st.slowdown
 }
 
-// penalty is the factor by which an instance looks worse for its failures.
-func (p *Placer) penalty(st *state) float64 {
+// penalty returns the factor by which recent failures worsen an instance's score.
+func (p *Placer) penalty(st *instanceState) float64 {
 	if st.failures == 0 || !p.policy.Has(Penalty) {
 		return 1
 	}
 	return st.penalty(p.now())
 }
 
-// Home returns the engine that first reads a subject, by rendezvous hashing, so
-// that all processes name the same one and a change of engines moves few subjects.
+// Home returns the engine that prefills a prompt prefix first. It uses rendezvous hashing, so that
+// all processes choose the same engine, and few prefixes move when the set of engines changes.
 func Home(subject string, engines []*fleet.Instance) *fleet.Instance {
-	var home *fleet.Instance
-	var most uint64
+	var preferred *fleet.Instance
+	var maxWeight uint64
 	for _, e := range engines {
-		if w := weight(subject, e.ID); home == nil || w > most {
-			home, most = e, w
+		if w := rendezvousWeight(subject, e.ID); preferred == nil || w > maxWeight {
+			preferred, maxWeight = e, w
 		}
 	}
-	return home
+	return preferred
 }
 
-func weight(subject, id string) uint64 {
+func rendezvousWeight(subject, id string) uint64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(subject)
 	_, _ = h.WriteString("/")
--- a/placement/readlog.go
+++ b/placement/readlog.go
@@ -7,85 +7,86 @@
 	"github.com/rockdoor/rockdoor/fleet"
 )
 
-// Read says that an engine has read a prompt, and so keeps its parts.
+// Read records that an engine has prefilled a prompt and has its parts cached since.
 type Read struct {
 	Instance string
-	// Parts are the shared parts in order, Own the tokens that nobody shares.
+	// Parts are the shared parts in order, Own the number of tokens that are not shared.
 	Parts []Part
 	Own   int
 }
 
-// readLog holds the reads of this process for the other ones, numbered from 1 on.
-type readLog struct {
-	// last is the number of the newest read.
-	last   uint64
-	recent []loggedRead
+// prefillLog holds the recent prefills of this process, which other processes poll. They are
+// numbered from 1.
+type prefillLog struct {
+	// lastSequence is the number of the newest entry.
+	lastSequence uint64
+	recent       []loggedPrefill
 }
 
-type loggedRead struct {
+type loggedPrefill struct {
 	Read
 	at time.Time
 }
 
-// logKept is how long reads are kept for the other processes: one that has not
-// asked for so long has lost more than these.
-const logKept = 2 * time.Second
+// prefillLogRetention is how long entries are kept. A process that has not polled for that long has
+// lost more than these.
+const prefillLogRetention = 2 * time.Second
 
-func (l *readLog) add(r Read, now time.Time) {
-	for len(l.recent) > 0 && now.Sub(l.recent[0].at) > logKept {
+func (l *prefillLog) add(r Read, now time.Time) {
+	for len(l.recent) > 0 && now.Sub(l.recent[0].at) > prefillLogRetention {
 		l.recent = l.recent[1:]
 	}
-	l.last++
-	l.recent = append(l.recent, loggedRead{r, now})
+	l.lastSequence++
+	l.recent = append(l.recent, loggedPrefill{r, now})
 }
 
-// ReadsAfter returns the reads of this process after the one with the number, as
-// far as they are kept, and the number of the newest read.
+// ReadsAfter returns the retained prefills of this process with a number above the given one, and
+// the number of the newest.
 func (p *Placer) ReadsAfter(number uint64) ([]Read, uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := &p.reads
-	if number > l.last {
-		number = 0 // of an earlier run of this process
+	l := &p.prefillLog
+	if number > l.lastSequence {
+		number = 0 // the number is from an earlier run of this process
 	}
-	fresh := min(l.last-number, uint64(len(l.recent)))
+	fresh := min(l.lastSequence-number, uint64(len(l.recent)))
 	out := make([]Read, 0, fresh)
 	for _, r := range l.recent[uint64(len(l.recent))-fresh:] {
 		out = append(out, r.Read)
 	}
-	return out, l.last
+	return out, l.lastSequence
 }
 
-// Learn takes in what another process had an engine read.
+// Learn applies a prefill that another process reported.
 func (p *Placer) Learn(r Read) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stateOf(r.Instance).read(r.Parts, r.Own)
+	p.stateByID(r.Instance).recordPrefill(r.Parts, r.Own)
 }
 
-// Restore takes in which parts of prompts this run of an engine, with a memory in tokens,
-// keeps.
+// Restore sets which prompt parts the present run of an engine has cached. memory is in tokens, 0
+// if unknown.
 func (p *Placer) Restore(i *fleet.Instance, memory int, parts []engine.Part) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := p.state(i).cache
 	c.resize(memory)
 	for _, part := range parts {
-		c.read([]Part{hashed(part)}, 0)
+		c.add([]Part{hashPart(part)}, 0)
 	}
 }
 
-// keeper returns the engine among those permitted that keeps most of a prompt's
-// shared parts, and how many tokens; nil if none keeps any. The caller holds the
-// lock.
-func (p *Placer) keeper(parts []Part, j *Job) (*fleet.Instance, int) {
+// cacheHolder returns the permitted engine that has the most tokens of the shared parts cached, and
+// their number; nil if none has any. On a tie an engine in the job's failure domain wins. The
+// caller holds the lock.
+func (p *Placer) cacheHolder(parts []Part, j *Job) (*fleet.Instance, int) {
 	var best *fleet.Instance
-	most := 0
+	maxTokens := 0
 	for _, i := range j.Permitted {
-		n := p.state(i).cache.kept(parts)
-		if n > most || n == most && n > 0 && i.Domain == j.Domain && best.Domain != j.Domain {
-			best, most = i, n
+		n := p.state(i).cache.cachedTokens(parts)
+		if n > maxTokens || n == maxTokens && n > 0 && i.Domain == j.Domain && best.Domain != j.Domain {
+			best, maxTokens = i, n
 		}
 	}
-	return best, most
+	return best, maxTokens
 }
--- a/placement/runner.go
+++ b/placement/runner.go
@@ -10,35 +10,34 @@
 )
 
 const (
-	// farShare is how much more of its slots an instance of the own failure domain
-	// may have in hand than one elsewhere.
-	farShare = 0.15
-	// moveShare is the same for an engine elsewhere than the one that read the prompt:
-	// its memory takes twice as long to get there.
-	moveShare = 0.3
-	// spareShare is the same for an engine that should stay free to read.
-	spareShare = 0.5
-	// tieBreak spreads the choices of processes that see the same loads.
+	// remoteShare is the handicap of an instance in another failure domain, as a share of its slots.
+	remoteShare = 0.15
+	// transferShare is the handicap of an engine in another failure domain than the prefill engine:
+	// the KV cache takes twice as long to get there.
+	transferShare = 0.3
+	// prefillCandidateShare is the handicap of an engine that is likely to become a prefill engine.
+	prefillCandidateShare = 0.5
+	// tieBreak is the maximum random addition to a score, in requests, which spreads the choices of
+	// processes that see equal loads.
 	tieBreak = 0.5
 )
 
-// chooseRunner picks the instance with the least work, in the own failure domain
-// if that makes no great difference.
-func (p *Placer) chooseRunner(plan *Plan, j *Job, runners []*fleet.Instance) {
-	spare := p.spare(j, plan, runners)
-	usual := p.usualGap(runners)
+// chooseTarget picks the instance with the lowest score that is not full.
+func (p *Placer) chooseTarget(plan *Plan, j *Job, targets []*fleet.Instance) {
+	nextPrefill := p.prefillCandidates(j, plan, targets)
+	medianGap := p.medianGap(targets)
 	best := math.Inf(1)
-	for _, r := range runners {
+	for _, r := range targets {
 		st := p.state(r)
-		if p.full(&j.Service, r, st) {
+		if p.isFull(&j.Service, r, st) {
 			continue
 		}
-		score := p.runnerScore(j, r, st, usual) + p.tie(r)
-		if spare[r.ID] {
-			score += spareShare * float64(r.Slots)
+		score := p.targetScore(j, r, st, medianGap) + p.tieBreaker(r)
+		if nextPrefill[r.ID] {
+			score += prefillCandidateShare * float64(r.Slots)
 		}
-		if plan.Reader != nil && r.Domain != plan.Reader.Domain && p.policy.Has(RunnerNearReader) {
-			score += moveShare * float64(r.Slots)
+		if plan.Reader != nil && r.Domain != plan.Reader.Domain && p.policy.Has(TargetNearPrefill) {
+			score += transferShare * float64(r.Slots)
 		}
 		if score < best {
 			best = score
@@ -46,51 +45,51 @@
 		}
 	}
 	if plan.Runner == nil {
-		plan.Reason, plan.RetryAfter = ReasonFull, fullRetry
+		plan.Reason, plan.RetryAfter = ReasonFull, fullRetryAfter
 	} else if plan.Reader == nil {
 		plan.Reason = ReasonLeast
 	}
 }
 
-// spare returns the engines that generate now but are the next to read prompts. An
-// engine that changes its role finishes what it has first, which takes as long as
-// its longest answer, so long answers are kept away from these. A prompt that was
-// read apart has a short one.
-func (p *Placer) spare(j *Job, plan *Plan, runners []*fleet.Instance) map[string]bool {
-	if j.Service.KVCapacity == 0 || plan.Reader != nil || len(runners) < 2 || !p.policy.Has(SpareRunners) {
+// prefillCandidates returns the engines that decode at present but are likely to become prefill
+// engines next. An engine finishes its requests before it changes its role, which takes as long as
+// its longest response, so long responses should go elsewhere. Requests with a separate prefill are
+// exempt, because their responses are short.
+func (p *Placer) prefillCandidates(j *Job, plan *Plan, targets []*fleet.Instance) map[string]bool {
+	if j.Service.KVCapacity == 0 || plan.Reader != nil || len(targets) < 2 || !p.policy.Has(SparePrefillCandidates) {
 		return nil
 	}
 	requests, slots := 0, 1
-	for _, r := range runners {
+	for _, r := range targets {
 		requests += p.load(p.state(r)).Requests
 		slots = max(slots, r.Slots)
 	}
-	keep := roles.Generating(float64(requests), slots, len(j.Permitted))
-	if keep >= len(runners) {
+	decodeEngines := roles.Generating(float64(requests), slots, len(j.Permitted))
+	if decodeEngines >= len(targets) {
 		return nil
 	}
 	out := map[string]bool{}
-	for _, r := range byDomain(runners)[keep:] {
+	for _, r := range interleaveDomains(targets)[decodeEngines:] {
 		out[r.ID] = true
 	}
 	return out
 }
 
-// byDomain returns instances in an order that is the same in all processes, in
-// which failure domains take turns.
-func byDomain(instances []*fleet.Instance) []*fleet.Instance {
-	type placed struct {
+// interleaveDomains orders instances round-robin over the failure domains. The order is the same in
+// all processes.
+func interleaveDomains(instances []*fleet.Instance) []*fleet.Instance {
+	type roundInstance struct {
 		*fleet.Instance
-		turn int
+		round int
 	}
-	turns := map[string]int{}
-	var all []placed
+	nextRound := map[string]int{}
+	var all []roundInstance
 	for _, i := range instances { // in the order of their IDs
-		all = append(all, placed{i, turns[i.Domain]})
-		turns[i.Domain]++
+		all = append(all, roundInstance{i, nextRound[i.Domain]})
+		nextRound[i.Domain]++
 	}
-	slices.SortStableFunc(all, func(a, b placed) int {
-		return cmp.Or(cmp.Compare(a.turn, b.turn), cmp.Compare(a.Domain, b.Domain))
+	slices.SortStableFunc(all, func(a, b roundInstance) int {
+		return cmp.Or(cmp.Compare(a.round, b.round), cmp.Compare(a.Domain, b.Domain))
 	})
 	out := make([]*fleet.Instance, len(all))
 	for n, i := range all {
@@ -99,12 +98,12 @@
 	return out
 }
 
-// usualGap returns the median of the times between events at the runners, in ms, 0
-// if none is known.
-func (p *Placer) usualGap(runners []*fleet.Instance) float64 {
+// medianGap returns the median over the targets of the smoothed time between events, in ms, 0 if no
+// time is known.
+func (p *Placer) medianGap(targets []*fleet.Instance) float64 {
 	var gaps []float64
-	for _, r := range runners {
-		if gap := p.state(r).gap; gap > 0 {
+	for _, r := range targets {
+		if gap := p.state(r).gapMs; gap > 0 {
 			gaps = append(gaps, gap)
 		}
 	}
@@ -115,37 +114,37 @@
 	return gaps[(len(gaps)-1)/2]
 }
 
-// slowness is how much longer a runner takes than is usual. Its requests last so
-// much longer, so it should have as many fewer.
-func (s *state) slowness(usual float64) float64 {
-	if s.gap == 0 || usual == 0 {
+// relativeGap returns the target's gap between events relative to the median, at least 1. Its
+// requests last longer by this factor, so it should have fewer by the same factor.
+func (s *instanceState) relativeGap(medianGap float64) float64 {
+	if s.gapMs == 0 || medianGap == 0 {
 		return 1
 	}
-	return max(1, s.gap/usual)
+	return max(1, s.gapMs/medianGap)
 }
 
-// full reports whether a runner has as much in hand as it takes: requests wait for a
-// slot, and each needs a connection.
-func (p *Placer) full(s *fleet.Service, r *fleet.Instance, st *state) bool {
+// isFull reports whether a target is at its maximum of requests in flight, because of the queue for
+// its slots or because of its connection limit.
+func (p *Placer) isFull(s *fleet.Service, r *fleet.Instance, st *instanceState) bool {
 	requests := p.load(st).Requests
-	queued := r.Slots > 0 && float64(requests) >= queueFactor*float64(r.Slots) && p.policy.Has(QueueLimit)
+	queued := r.Slots > 0 && float64(requests) >= maxRequestsPerSlot*float64(r.Slots) && p.policy.Has(QueueLimit)
 	return queued || s.MaxConns > 0 && requests >= s.MaxConns
 }
 
-// runnerScore grows with how unfit a runner is, where usual is the usual time
-// between events.
-func (p *Placer) runnerScore(j *Job, r *fleet.Instance, st *state, usual float64) float64 {
+// targetScore rates a target; lower is better. medianGap is the median gap between events of all
+// targets, in ms.
+func (p *Placer) targetScore(j *Job, r *fleet.Instance, st *instanceState, medianGap float64) float64 {
 	load := p.load(st)
 	work := float64(load.Requests) + 1
 	if p.policy.Has(StartingCounts) {
 		work += startingWeight * float64(load.Starting)
 	}
 	score := work * p.penalty(st)
-	if p.policy.Has(SlowRunners) {
-		score *= st.slowness(usual)
+	if p.policy.Has(SlowTargets) {
+		score *= st.relativeGap(medianGap)
 	}
-	if r.Domain != j.Domain && p.policy.Has(NearRunner) {
-		score += farShare * float64(r.Slots)
+	if r.Domain != j.Domain && p.policy.Has(LocalTarget) {
+		score += remoteShare * float64(r.Slots)
 	}
 	return score
 }
--- a/placement/shares_test.go
+++ b/placement/shares_test.go
@@ -9,20 +9,20 @@
 
 const manyPrompts = 400
 
-// flooded returns a placer with more prompts of one workspace than the readers can read in
-// time, and the number of those that are late.
-func flooded(t *testing.T, workspace string) (p *Placer, tickets []*Ticket, late int) {
+// floodedPlacer returns a placer with more pending prompts of one workspace than the prefill
+// engines can handle in time, and the number of late ones.
+func floodedPlacer(t *testing.T, workspace string) (p *Placer, tickets []*Ticket, late int) {
 	t.Helper()
-	all := fleetOf(4, 1)
+	all := instancesByRole(4, 1)
 	p = New("a", nil, nil)
 	for n := range manyPrompts {
-		j := job(all, fmt.Sprint("subject-", n%3), 3000)
+		j := testJob(all, fmt.Sprint("subject-", n%3), 3000)
 		j.Workspace, j.Route.Rank = workspace, 2
 		plan, ticket := p.Place(j)
 		if ticket == nil {
 			continue
 		}
-		require.Contains(t, []int{2, 2 + lateRank}, plan.Rank, "a workspace does not pass itself")
+		require.Contains(t, []int{2, 2 + lateRank}, plan.Rank, "a workspace does not overtake itself")
 		tickets = append(tickets, ticket)
 		if plan.Late {
 			late++
@@ -32,14 +32,14 @@
 	return p, tickets, late
 }
 
-// TestSmallWorkspacesPassAFlood has one workspace flood the readers: the first prompts of
-// others are read before, until they have their share of what is unread; those of callers
-// without a workspace are late as before.
-func TestSmallWorkspacesPassAFlood(t *testing.T) {
-	p, tickets, _ := flooded(t, "large")
-	all := fleetOf(4, 1)
+// TestSmallWorkspacesOvertakeAFlood floods the prefill engines from one workspace. The first
+// prompts of other workspaces must get the first rank until these have their share of the pending
+// prompts. Requests without a workspace stay late.
+func TestSmallWorkspacesOvertakeAFlood(t *testing.T) {
+	p, tickets, _ := floodedPlacer(t, "large")
+	all := instancesByRole(4, 1)
 	place := func(workspace string) Plan {
-		j := job(all, "subject of "+workspace, 3000)
+		j := testJob(all, "subject of "+workspace, 3000)
 		j.Workspace, j.Route.Rank = workspace, 2
 		plan, ticket := p.Place(j)
 		if ticket != nil {
@@ -56,22 +56,22 @@
 		passed++
 	}
 	require.Positive(t, passed)
-	require.Less(t, passed, manyPrompts/4, "only up to a part of its share")
+	require.Less(t, passed, manyPrompts/4, "only up to a fraction of its share")
 	for _, ticket := range tickets {
 		ticket.Cancel()
 	}
-	for service, s := range p.shares {
-		require.Empty(t, s.of, service)
-		require.Zero(t, s.busy, service)
+	for service, s := range p.pendingByService {
+		require.Empty(t, s.byWorkspace, service)
+		require.Zero(t, s.busyMs, service)
 	}
 }
 
-// TestWithoutWorkspacesNothingChanges floods with callers that have no workspace, and with
-// those of one: the same prompts are late.
-func TestWithoutWorkspacesNothingChanges(t *testing.T) {
-	p, without, late := flooded(t, "")
-	require.Empty(t, p.sharesOf("s").of)
-	_, with, same := flooded(t, "large")
+// TestOneWorkspaceChangesNothing floods once without a workspace and once from a single one. The
+// same prompts must be late.
+func TestOneWorkspaceChangesNothing(t *testing.T) {
+	p, without, late := floodedPlacer(t, "")
+	require.Empty(t, p.workspacePending("s").byWorkspace)
+	_, with, same := floodedPlacer(t, "large")
 	require.Equal(t, late, same)
 	require.Len(t, with, len(without))
 }
--- a/placement/state.go
+++ b/placement/state.go
@@ -7,87 +7,86 @@
 )
 
 const (
-	// paceStep is the weight of a new measurement of an engine's pace.
-	paceStep = 0.1
-	// minPace and maxPace bound the pace against single odd measurements.
-	minPace = 0.5
-	maxPace = 12.0
-	// gapStep is the weight of one gap between events, of which a stream has tens.
-	gapStep = 0.05
-	// maxGaps is how many equal gaps count: more change nothing.
-	maxGaps = 100
-	// failureStep is the weight of one outcome in the share of failures.
-	failureStep = 0.2
-	// failureFade is the time in which an old share of failures halves, so that
-	// an instance that recovered is tried again.
-	failureFade = 2 * time.Second
-	// failurePenalty is how much worse an instance that always fails looks.
+	// slowdownSmoothing is the weight of a new measurement in an engine's slowdown factor.
+	slowdownSmoothing = 0.1
+	// minSlowdown and maxSlowdown bound the effect of single measurements.
+	minSlowdown = 0.5
+	maxSlowdown = 12.0
+	// gapSmoothing is the weight of one gap between events. A stream has tens of gaps.
+	gapSmoothing = 0.05
+	// maxGapSamples is the maximum number of equal gaps that are averaged in. More would hardly
+	// change the result.
+	maxGapSamples = 100
+	// failureSmoothing is the weight of one outcome in the failure rate.
+	failureSmoothing = 0.2
+	// failureHalfLife is the time after which the penalty for past failures has halved, so that an
+	// instance that has recovered is used again.
+	failureHalfLife = 2 * time.Second
+	// failurePenalty is the penalty of an instance that always fails.
 	failurePenalty = 30.0
-	// unreachableShare is the share of failures that one vain connection counts
-	// for: whatever listened there is most likely gone.
-	unreachableShare = 0.8
+	// unreachableFailureShare is the minimum failure rate after a failed connection, since the
+	// process there has most likely terminated.
+	unreachableFailureShare = 0.8
 )
 
-// Load is work in hand at an instance.
+// Load is the work in flight at an instance.
 type Load struct {
 	Requests int `json:"requests"`
-	// Unread are the prompts that are still to be read.
+	// Unread holds the prompts pending prefill.
 	Unread Unread `json:"unread"`
-	// Starting are the requests that were sent to generate and whose answers have
-	// not begun.
+	// Starting counts the requests whose target was chosen and whose responses have not begun.
 	Starting int `json:"starting"`
-	// Long are the requests to engines whose answers last for seconds.
+	// Long counts requests to engines without a separate prefill, whose responses take seconds.
 	Long int `json:"long"`
 }
 
-// Add returns the sum of two loads.
 func (l Load) Add(m Load) Load {
 	return Load{l.Requests + m.Requests, l.Unread.add(m.Unread), l.Starting + m.Starting, l.Long + m.Long}
 }
 
-// Sub returns the difference of two loads.
 func (l Load) Sub(m Load) Load {
 	return Load{l.Requests - m.Requests, l.Unread.sub(m.Unread), l.Starting - m.Starting, l.Long - m.Long}
 }
 
-// state is what is known about one instance.
-type state struct {
+// instanceState is what this process has recorded about one instance.
+type instanceState struct {
 	id string
-	// born is that of the run that all this is about.
-	born int64
-	// own is what this process has in hand there.
-	own Load
-	// pace is how much longer the engine takes than the model says.
-	pace float64
+	// startTime is that of the run that the state belongs to.
+	startTime int64
+	// local is the load of this process.
+	local Load
+	// slowdown is the ratio of measured prefill times to the model's estimates.
+	slowdown float64
 	// failures is the share of recent requests that failed, as of failedAt.
 	failures float64
 	failedAt time.Time
 	breaker  breaker
-	// replaced instances have lost their address to another.
+	// replaced is true if the instance's address now belongs to another instance.
 	replaced bool
 	cache    *prefixCache
-	// reads counts the prompts that it is known to have read.
-	reads uint64
-	// gap is the smoothed time between two events of a stream from there, in ms, 0
-	// if it is not known.
-	gap float64
-}
-
-// state returns what is known about an instance. What was known of an earlier run of it is
-// forgotten but for the work in hand, which ends by itself.
-func (p *Placer) state(i *fleet.Instance) *state {
-	st := p.stateOf(i.ID)
-	if st.born != i.Born {
-		own := st.own
+	// prefills counts the prompts that the engine is known to have prefilled.
+	prefills uint64
+	// gapMs is the smoothed time between two events of a stream, in ms, 0 if unknown.
+	gapMs float64
+}
+
+// state returns the state of an instance. If a new run of the instance has started, the state is
+// reset, except for the load in flight, whose tickets are still open.
+func (p *Placer) state(i *fleet.Instance) *instanceState {
+	st := p.stateByID(i.ID)
+	if st.startTime != i.Born {
+		local := st.local
 		*st = *newState(i.ID)
-		st.born, st.own = i.Born, own
+		st.startTime, st.local = i.Born, local
 	}
 	return st
 }
 
-func newState(id string) *state { return &state{id: id, pace: 1, cache: newPrefixCache()} }
+func newState(id string) *instanceState {
+	return &instanceState{id: id, slowdown: 1, cache: newPrefixCache()}
+}
 
-func (p *Placer) stateOf(id string) *state {
+func (p *Placer) stateByID(id string) *instanceState {
 	st := p.instances[id]
 	if st == nil {
 		st = newState(id)
@@ -96,95 +95,96 @@
 	return st
 }
 
-// read takes in that the instance has read a prompt.
-func (s *state) read(parts []Part, own int) {
-	s.cache.read(parts, own)
-	s.reads++
+// recordPrefill records that the instance has prefilled a prompt.
+func (s *instanceState) recordPrefill(parts []Part, unshared int) {
+	s.cache.add(parts, unshared)
+	s.prefills++
 }
 
-// load returns what all processes have in hand.
-func (p *Placer) load(st *state) Load { return st.own.Add(p.peers(st.id)) }
+// load returns the load from all processes.
+func (p *Placer) load(st *instanceState) Load { return st.local.Add(p.peerLoad(st.id)) }
 
-// penalty is the factor by which an instance looks worse for its failures.
-func (s *state) penalty(now time.Time) float64 {
-	age := now.Sub(s.failedAt).Seconds() / failureFade.Seconds()
+// penalty returns the factor by which recent failures worsen the instance's score.
+func (s *instanceState) penalty(now time.Time) float64 {
+	age := now.Sub(s.failedAt).Seconds() / failureHalfLife.Seconds()
 	return 1 + failurePenalty*s.failures/(1+age*age)
 }
 
-// outcome takes in how an attempt ended that began at begun.
-func (s *state) outcome(failed bool, begun, now time.Time) {
+// recordOutcome records the end of an attempt that began at startedAt.
+func (s *instanceState) recordOutcome(failed bool, startedAt, now time.Time) {
 	if failed {
-		s.breaker.fail(now)
+		s.breaker.recordFailure(now)
 	} else {
-		s.breaker.sound(begun)
+		s.breaker.recordSuccess(startedAt)
 	}
-	share := 0.0
+	outcome := 0.0
 	if failed {
-		share, s.failedAt = 1, now
+		outcome, s.failedAt = 1, now
 	}
-	s.failures += (share - s.failures) * failureStep
-	if s.failures < failureStep/10 {
+	s.failures += (outcome - s.failures) * failureSmoothing
+	if s.failures < failureSmoothing/10 {
 		s.failures = 0
 	}
 }
 
-// unreachable records that the instance could not be connected to.
-func (s *state) unreachable(now time.Time) {
-	s.breaker.fail(now)
-	s.failures, s.failedAt = max(s.failures, unreachableShare), now
+// recordUnreachable records that the connection to the instance failed.
+func (s *instanceState) recordUnreachable(now time.Time) {
+	s.breaker.recordFailure(now)
+	s.failures, s.failedAt = max(s.failures, unreachableFailureShare), now
 }
 
-// measure takes in how long a read took against what was expected.
-func (s *state) measure(took, expected float64) {
+// observePrefill updates the slowdown factor from a prefill's measured and expected times.
+func (s *instanceState) observePrefill(took, expected float64) {
 	if expected <= 0 {
 		return
 	}
-	ratio := min(max(took/expected, minPace), maxPace)
-	s.pace += (ratio - s.pace) * paceStep
+	ratio := min(max(took/expected, minSlowdown), maxSlowdown)
+	s.slowdown += (ratio - s.slowdown) * slowdownSmoothing
 }
 
-// observeGap takes in the time between two events.
-func (s *state) observeGap(ms float64) {
-	if s.gap == 0 {
-		s.gap = ms
+// observeGap updates the smoothed time between events.
+func (s *instanceState) observeGap(ms float64) {
+	if s.gapMs == 0 {
+		s.gapMs = ms
 		return
 	}
-	s.gap += (ms - s.gap) * gapStep
+	s.gapMs += (ms - s.gapMs) * gapSmoothing
 }
 
-// Own returns what this process has in hand at each instance where it has any. It costs what those are,
-// not what there is: it is asked for each digest.
+// Own returns the load of this process by instance, without idle instances. It runs for each load
+// digest, so it visits only the busy instances.
 func (p *Placer) Own() map[string]Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := map[string]Load{}
 	for id, st := range p.busy {
-		if st.own == (Load{}) {
+		if st.local == (Load{}) {
 			delete(p.busy, id)
 			continue
 		}
-		out[id] = st.own
+		out[id] = st.local
 	}
 	return out
 }
 
-// Prompts returns how many prompts of this process wait to be read or are being read.
+// Prompts returns the number of this process's prompts that are pending or being prefilled.
 func (p *Placer) Prompts() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
 	for _, st := range p.busy {
-		n += st.own.Unread.All().Prompts
+		n += st.local.Unread.All().Prompts
 	}
 	return n
 }
 
-// Retain forgets all instances but those that keep names.
+// Retain drops the state of all instances for which keep returns false and which have no requests
+// in flight from this process.
 func (p *Placer) Retain(keep func(id string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, st := range p.instances {
-		if st.own == (Load{}) && !keep(id) {
+		if st.local == (Load{}) && !keep(id) {
 			delete(p.busy, id)
 			delete(p.instances, id)
 		}
--- a/placement/ticket.go
+++ b/placement/ticket.go
@@ -10,224 +10,224 @@
 type Ticket struct {
 	p         *Placer
 	model     *Model
-	shares    *shares
+	pending   *workspacePending
 	workspace string
-	// tokens is the size of the prompt, parts its shared parts, own its other tokens.
-	tokens int
-	parts  []Part
-	own    int
-	reader *state
-	runner *state
-	// reading is what the job adds to the reader's load.
-	reading Load
-	// busy is how long the prompt keeps the reader busy, in ms.
-	busy float64
-	// running is what it adds to the runner's.
-	running Load
-	// reserved is the ID of a runner that limits its rate and of which a request has been taken for
-	// the time when the prompt has been read, empty for none.
+	// promptTokens is the size of the prompt: its shared parts and its unshared tokens.
+	promptTokens   int
+	parts          []Part
+	unsharedTokens int
+	prefillState   *instanceState
+	targetState    *instanceState
+	// prefillLoad is the load that the job adds to its prefill engine.
+	prefillLoad Load
+	// busyMs is how long the prompt keeps the prefill engine busy, in ms.
+	busyMs float64
+	// targetLoad is the load that the job adds to its target.
+	targetLoad Load
+	// reserved is the ID of a target with a rate limit, from which a request was reserved until the
+	// prefill has ended. It is empty if there is none.
 	reserved string
-	// late is true if the prompt is read when no others wait.
-	late  bool
-	begun time.Time
-	// sentAt is when the job was placed at the runner.
-	sentAt time.Time
-	readAt time.Time
-	// idle is true if nothing was ahead at the reader, readsBefore the number of its
-	// reads before this one.
-	idle        bool
-	readsBefore uint64
-	// expected is the estimate of the read in ms, without the engine's pace.
-	expected float64
-	starting bool
-	// eventAt is when the last event arrived.
-	eventAt time.Time
-}
-
-// read counts the job at its reader. The caller holds the placer's lock.
-func (t *Ticket) read(plan *Plan) {
-	t.reader = t.p.state(plan.Reader)
-	t.reader.breaker.sent(t.begun)
-	ahead := t.p.load(t.reader)
-	work := WorkOf(t.tokens, plan.Uncached)
-	t.idle = ahead.Unread.All().Prompts == 0
-	t.expected = t.model.Ahead(&ahead.Unread, plan.Rank) + t.model.Read(work)
+	// late is true if the prompt is prefilled only when no others are pending.
+	late     bool
+	placedAt time.Time
+	// targetPlacedAt is when the target was chosen.
+	targetPlacedAt time.Time
+	prefilledAt    time.Time
+	// queueEmpty is true if no prompt was pending at the prefill engine. prefillsBefore is the number
+	// of its prefills at that time.
+	queueEmpty     bool
+	prefillsBefore uint64
+	// expectedMs is the estimated time until the prefill ends, in ms, without the engine's slowdown
+	// factor.
+	expectedMs  float64
+	starting    bool
+	lastEventAt time.Time
+}
+
+// assignPrefill adds the job to the load of its prefill engine. The caller holds the placer's lock.
+func (t *Ticket) assignPrefill(plan *Plan) {
+	t.prefillState = t.p.state(plan.Reader)
+	t.prefillState.breaker.recordSend(t.placedAt)
+	ahead := t.p.load(t.prefillState)
+	work := WorkOf(t.promptTokens, plan.Uncached)
+	t.queueEmpty = ahead.Unread.All().Prompts == 0
+	t.expectedMs = t.model.QueueMs(&ahead.Unread, plan.Rank) + t.model.PrefillMs(work)
 	t.late = plan.Late
-	t.reading = Load{Requests: 1}
-	t.reading.Unread[plan.Rank] = Backlog{1, work}
-	t.p.addWork(t.reader, t.reading)
-	t.busy = t.model.Busy(Backlog{1, work})
-	t.shares.add(t.workspace, t.busy)
-	t.readsBefore = t.reader.reads
-}
-
-// keep records that the reader keeps the prompt. Were it taken for kept from its placement on,
-// others would fetch it from there before it is read. The caller holds the lock.
-func (t *Ticket) keep() {
-	t.reader.read(t.parts, t.own)
-	t.p.reads.add(Read{t.reader.id, t.parts, t.own}, t.p.now())
-}
-
-// run counts the job at its runner. The caller holds the placer's lock.
-func (t *Ticket) run(runner *fleet.Instance, long bool) {
-	t.runner, t.sentAt = t.p.state(runner), t.p.now()
-	t.runner.breaker.sent(t.sentAt)
-	t.running = Load{Requests: 1}
+	t.prefillLoad = Load{Requests: 1}
+	t.prefillLoad.Unread[plan.Rank] = Backlog{1, work}
+	t.p.addLocalLoad(t.prefillState, t.prefillLoad)
+	t.busyMs = t.model.BusyMs(Backlog{1, work})
+	t.pending.add(t.workspace, t.busyMs)
+	t.prefillsBefore = t.prefillState.prefills
+}
+
+// recordCached records that the prefill engine has the prompt cached. It must not be called before
+// the prefill has ended, or other engines would fetch parts that are not there yet. The caller
+// holds the placer's lock.
+func (t *Ticket) recordCached() {
+	t.prefillState.recordPrefill(t.parts, t.unsharedTokens)
+	t.p.prefillLog.add(Read{t.prefillState.id, t.parts, t.unsharedTokens}, t.p.now())
+}
+
+// assignTarget adds the job to the load of its target. The caller holds the placer's lock.
+func (t *Ticket) assignTarget(target *fleet.Instance, long bool) {
+	t.targetState, t.targetPlacedAt = t.p.state(target), t.p.now()
+	t.targetState.breaker.recordSend(t.targetPlacedAt)
+	t.targetLoad = Load{Requests: 1}
 	if long {
-		t.running.Long = 1
+		t.targetLoad.Long = 1
 	}
-	t.p.addWork(t.runner, t.running)
-	t.runner.own.Starting++
+	t.p.addLocalLoad(t.targetState, t.targetLoad)
+	t.targetState.local.Starting++
 	t.starting = true
 }
 
-// addWork counts work in hand at an instance. The caller holds the lock.
-func (p *Placer) addWork(st *state, work Load) {
-	st.own = st.own.Add(work)
+// addLocalLoad adds work of this process to the load of an instance. The caller holds the lock.
+func (p *Placer) addLocalLoad(st *instanceState, work Load) {
+	st.local = st.local.Add(work)
 	p.busy[st.id] = st
 }
 
-// Read records how reading apart ended; read is true if the prompt was read.
+// Read records the end of a separate prefill. read is true if the prompt was prefilled.
 func (t *Ticket) Read(read bool, o Outcome) {
 	t.p.mu.Lock()
 	defer t.p.mu.Unlock()
-	r := t.reader
+	r := t.prefillState
 	if r == nil {
 		return
 	}
 	if read {
-		t.keep()
+		t.recordCached()
 	}
-	t.leaveReader()
-	r.judge(o, t.begun, t.p.now())
+	t.releasePrefill()
+	r.recordAttempt(o, t.placedAt, t.p.now())
 	if !read {
 		return
 	}
-	t.readAt = t.p.now()
-	took := t.readAt.Sub(t.begun)
+	t.prefilledAt = t.p.now()
+	took := t.prefilledAt.Sub(t.placedAt)
 	if !t.late {
-		r.measure(toMillis(took), t.expected)
+		r.observePrefill(toMillis(took), t.expectedMs)
 	}
-	// A read that waited for another process's tells nothing of the engine.
-	if !t.p.policy.Has(CleanSamples) || t.alone(r) {
-		t.model.Observe(t.reading.Unread.All().Work, took)
+	// A prefill that waited for one of another process says nothing about the engine's speed.
+	if !t.p.policy.Has(CleanSamples) || t.hadEngineAlone(r) {
+		t.model.Observe(t.prefillLoad.Unread.All().Work, took)
 	}
 }
 
-// alone reports whether the prompt had its reader to itself from its placement on. The
-// caller holds the lock.
-func (t *Ticket) alone(r *state) bool {
+// hadEngineAlone reports whether no other prompt was pending at the prefill engine since the job
+// was placed. The caller holds the lock.
+func (t *Ticket) hadEngineAlone(r *instanceState) bool {
 	others := t.p.load(r)
-	return t.idle && r.reads == t.readsBefore+1 && others.Unread.All().Prompts == 0
+	return t.queueEmpty && r.prefills == t.prefillsBefore+1 && others.Unread.All().Prompts == 0
 }
 
-// FirstEvent records that the answer begins.
+// FirstEvent records that the response begins.
 func (t *Ticket) FirstEvent() {
 	t.p.mu.Lock()
 	defer t.p.mu.Unlock()
-	t.started()
-	if !t.readAt.IsZero() {
-		t.model.ObserveAfter(t.p.now().Sub(t.readAt))
-		t.readAt = time.Time{}
+	t.markStarted()
+	if !t.prefilledAt.IsZero() {
+		t.model.ObserveFirstEvent(t.p.now().Sub(t.prefilledAt))
+		t.prefilledAt = time.Time{}
 	}
 }
 
-// Event records that an event of the answer has arrived. The time between two tells
-// how fast the runner generates.
+// Event records that an event of the response has arrived. The time between two events measures the
+// target's decode speed.
 func (t *Ticket) Event() {
 	now := t.p.now()
-	last := t.eventAt
-	t.eventAt = now
+	last := t.lastEventAt
+	t.lastEventAt = now
 	if last.IsZero() {
 		return
 	}
 	t.p.mu.Lock()
 	defer t.p.mu.Unlock()
-	if t.runner != nil {
-		t.runner.observeGap(toMillis(now.Sub(last)))
+	if t.targetState != nil {
+		t.targetState.observeGap(toMillis(now.Sub(last)))
 	}
 }
 
-// Gaps records how long the times between events were in the mean, of which there were n.
+// Gaps records n gaps between events by their mean.
 func (t *Ticket) Gaps(mean time.Duration, n int) {
 	t.p.mu.Lock()
 	defer t.p.mu.Unlock()
-	if t.runner == nil {
+	if t.targetState == nil {
 		return
 	}
-	for range min(n, maxGaps) {
-		t.runner.observeGap(toMillis(mean))
+	for range min(n, maxGapSamples) {
+		t.targetState.observeGap(toMillis(mean))
 	}
 }
 
-// leaveReader takes the job off its reader. The caller holds the lock.
-func (t *Ticket) leaveReader() {
-	t.reader.own = t.reader.own.Sub(t.reading)
-	t.shares.remove(t.workspace, t.busy)
-	t.reader = nil
+// releasePrefill removes the job from the load of its prefill engine. The caller holds the lock.
+func (t *Ticket) releasePrefill() {
+	t.prefillState.local = t.prefillState.local.Sub(t.prefillLoad)
+	t.pending.remove(t.workspace, t.busyMs)
+	t.prefillState = nil
 }
 
-// started takes the job off those that have not begun. The caller holds the lock.
-func (t *Ticket) started() {
-	if t.starting && t.runner != nil {
-		t.runner.own.Starting--
+// markStarted stops counting the job as one whose response has not begun. The caller holds the lock.
+func (t *Ticket) markStarted() {
+	if t.starting && t.targetState != nil {
+		t.targetState.local.Starting--
 	}
 	t.starting = false
 }
 
-// leaveRunner takes the job off its runner. The caller holds the lock.
-func (t *Ticket) leaveRunner() {
-	t.started()
-	t.runner.own = t.runner.own.Sub(t.running)
-	t.runner = nil
+// releaseTarget removes the job from the load of its target. The caller holds the lock.
+func (t *Ticket) releaseTarget() {
+	t.markStarted()
+	t.targetState.local = t.targetState.local.Sub(t.targetLoad)
+	t.targetState = nil
 }
 
-// Outcome says what an attempt tells of the instance where it was made.
+// Outcome is the result of an attempt with regard to the instance.
 type Outcome int
 
-// Outcomes.
 const (
-	// Sound: the instance did what it should, or is not to blame.
+	// Sound: the instance responded as it should, or is not at fault.
 	Sound Outcome = iota
-	// Failed: the instance refused, broke off or answered wrongly.
+	// Failed: the instance rejected the request, broke the connection or sent an invalid response.
 	Failed
-	// Unreachable: nothing could be sent.
+	// Unreachable: the connection failed, nothing was sent.
 	Unreachable
-	// Replaced: another instance has its address.
+	// Replaced: the address now belongs to another instance.
 	Replaced
 )
 
-// judge takes in the outcome of an attempt that began at begun.
-func (s *state) judge(o Outcome, begun, now time.Time) {
+// recordAttempt records the outcome of an attempt that began at startedAt.
+func (s *instanceState) recordAttempt(o Outcome, startedAt, now time.Time) {
 	switch o {
 	case Unreachable:
-		s.unreachable(now)
+		s.recordUnreachable(now)
 	case Replaced:
 		s.replaced = true
 	default:
-		s.outcome(o == Failed, begun, now)
+		s.recordOutcome(o == Failed, startedAt, now)
 	}
 }
 
-// Run records how the request ended at the runner.
+// Run records how the request ended at its target.
 func (t *Ticket) Run(o Outcome) {
 	t.p.mu.Lock()
 	defer t.p.mu.Unlock()
-	if t.runner == nil {
+	if t.targetState == nil {
 		return
 	}
-	t.runner.judge(o, t.sentAt, t.p.now())
-	t.leaveRunner()
+	t.targetState.recordAttempt(o, t.targetPlacedAt, t.p.now())
+	t.releaseTarget()
 }
 
-// Cancel takes the job back without a verdict on the instances.
+// Cancel releases the job's load without recording an outcome.
 func (t *Ticket) Cancel() {
 	t.p.mu.Lock()
 	defer t.p.mu.Unlock()
-	if t.reader != nil {
-		t.leaveReader()
+	if t.prefillState != nil {
+		t.releasePrefill()
 	}
-	if t.runner != nil {
-		t.leaveRunner()
+	if t.targetState != nil {
+		t.releaseTarget()
 	}
 }
--- a/placement/unread.go
+++ b/placement/unread.go
@@ -3,27 +3,27 @@
 import "github.com/rockdoor/rockdoor/fleet"
 
 const (
-	// Ranks is how many ranks engines know; firstRank is read first.
+	// Ranks is the number of prefill ranks that engines support. firstRank is the most urgent.
 	Ranks     = 10
 	firstRank = 0
-	// lateRank is the first rank of requests that are not expected in time: they are
-	// read when no others wait, among themselves in the order of their routes.
+	// lateRank is the first rank for late requests. They are prefilled only when no other prompts are
+	// pending, in the order of their routes' ranks.
 	lateRank = 5
 )
 
-// rankOf returns the rank at which an engine reads a prompt of a route.
-func (p *Placer) rankOf(r *fleet.Route, late bool) int {
+// prefillRank returns the rank at which a prompt of a route is prefilled.
+func (p *Placer) prefillRank(r *fleet.Route, late bool) int {
 	rank := min(max(r.Rank, 0), lateRank-1)
 	switch {
 	case !late || !p.policy.Has(LateLast):
 		return rank
-	case !p.policy.Has(LateInOrder):
+	case !p.policy.Has(LateByRank):
 		return lateRank
 	}
 	return lateRank + rank
 }
 
-// Backlog is a number of prompts that are still to be read.
+// Backlog is the number and the total work of prompts pending prefill.
 type Backlog struct {
 	Prompts int `json:"prompts"`
 	Work
@@ -38,27 +38,25 @@
 	return Backlog{b.Prompts - c.Prompts, Work{b.Tokens - c.Tokens, b.Pairs - c.Pairs}}
 }
 
-// half returns half of the mean prompt: what is left on average of the one that is
-// being read.
-func (b Backlog) half() Work {
+// halfMeanPrompt returns half of the mean prompt, the expected remainder of a running prefill.
+func (b Backlog) halfMeanPrompt() Work {
 	if b.Prompts == 0 {
 		return Work{}
 	}
 	return Work{b.Tokens / b.Prompts / 2, b.Pairs / b.Prompts / 2}
 }
 
-// Unread is the prompts that are still to be read at an engine, by the rank at which
-// it reads them.
+// Unread holds the prompts pending prefill at an engine, indexed by rank.
 type Unread [Ranks]Backlog
 
-// All returns the prompts of all ranks.
-func (u *Unread) All() Backlog { return u.through(Ranks - 1) }
+// All returns the backlog of all ranks.
+func (u *Unread) All() Backlog { return u.throughRank(Ranks - 1) }
 
-// Late returns those of requests that are not expected in time.
-func (u *Unread) Late() Backlog { return u.All().sub(u.through(lateRank - 1)) }
+// Late returns the backlog of late requests.
+func (u *Unread) Late() Backlog { return u.All().sub(u.throughRank(lateRank - 1)) }
 
-// through returns the prompts that are read before a new one of a rank.
-func (u *Unread) through(rank int) Backlog {
+// throughRank returns the backlog of the rank and of all more urgent ones.
+func (u *Unread) throughRank(rank int) Backlog {
 	var sum Backlog
 	for _, b := range u[:rank+1] {
 		sum = sum.Add(b)
