--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,7 +1,6 @@
-// Package fleet holds what one entry process believes about the deployment that
-// it serves: the operator's routes and services, the running instances of each
-// service, and where labels and selectors permit a request to run. All values
-// are immutable once they are published.
+// Package fleet holds one gateway's view of the deployment: the operator's routes and services, the
+// running instances of each service, and the labels and selectors that restrict where a request may
+// run. All values are immutable once they are published.
 package fleet
 
 import (
@@ -17,95 +16,95 @@
 	"github.com/rockdoor/rockdoor/selector"
 )
 
-// Kind says how a route's requests may be handled.
+// Kind determines whether a route's requests may be repeated.
 type Kind string
 
-// Kinds of routes.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = "idempotent"
 	// AtMostOnce requests must not run twice.
 	AtMostOnce Kind = "at-most-once"
-	// Streaming requests are answered by a stream of events.
+	// Streaming requests are answered with a stream of events.
 	Streaming Kind = "streaming"
 )
 
-// Share is a part of a route's traffic.
+// Share is a service's part of a route's traffic.
 type Share struct {
 	Service string
 	// Weight is relative to the other shares of the route.
 	Weight int
 }
 
-// Route leads requests to services.
+// Route maps requests to services.
 type Route struct {
 	Name string
-	// Host is the host name that callers use.
+	// Host is the host name in the requests.
 	Host string
-	// Prefix is the start of the paths, with a slash at both ends.
+	// Prefix is a path prefix that begins and ends with a slash.
 	Prefix string
 	Kind   Kind
 	Shares []Share
-	// Timeout is the longest that the operator wants a request held; 0 is no bound.
+	// Timeout is the maximum duration of a request, 0 for no limit.
 	Timeout time.Duration
-	// LatencyTarget is the time within which an answer, or the first event of a
-	// stream, is in time.
+	// LatencyTarget is the target for the time to the response, or to the first event of a stream.
 	LatencyTarget time.Duration
-	// GapTarget is the longest pause between events of a stream that is in time.
+	// GapTarget is the target for the time between two events of a stream.
 	GapTarget time.Duration
-	// Patience is how long callers wait for the first event of a stream, however long
-	// they say that they wait for all of it; 0 is no bound.
+	// Patience is how long clients wait for the first event of a stream, regardless of the timeout
+	// that they state for the whole stream. 0 is no limit.
 	Patience time.Duration
-	// MaxAttempts is how many instances one request may be sent to.
+	// MaxAttempts is the maximum number of instances that one request is sent to.
 	MaxAttempts int
-	// Rank orders routes by urgency; 0 is the most urgent.
+	// Rank is the urgency of the route; 0 is the most urgent.
 	Rank int
-	// Affinity is true if requests share parts of prompts, which engines keep.
+	// Affinity is true if requests share parts of their prompts, which engines cache.
 	Affinity bool
-	// Resumable streams may go on at another instance after their last event.
+	// Resumable streams may continue at another instance after the last delivered event.
 	Resumable bool
-	// Public routes are open to callers without a key.
+	// Public routes need no API key.
 	Public bool
 }
 
 // Repeatable reports whether a request may run more than once.
 func (r *Route) Repeatable() bool { return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable }
 
-// Service is a group of instances that answer the same requests.
+// Service is a group of interchangeable instances.
 type Service struct {
-	Name string
-	// HealthPath is the path of the health check.
+	Name       string
 	HealthPath string
-	// MaxConns bounds the connections to one instance from all callers together;
-	// 0 is no bound.
+	// MaxConns is the maximum number of connections to one instance from all processes together, 0
+	// for no limit.
 	MaxConns int
-	// KVCapacity is the memory of one engine in tokens, 0 for plain services.
+	// KVCapacity is the KV cache size of one engine in tokens, 0 for services of backend servers.
 	KVCapacity int
-	// HandleTTL is how long an engine keeps a prompt that was read for another.
+	// HandleTTL is how long an engine retains the KV cache of a prompt that it prefilled for another
+	// engine.
 	HandleTTL time.Duration
-	// RoleChange is how long a change of role takes an engine away.
+	// RoleChange is how long an engine is unavailable while it changes its role.
 	RoleChange time.Duration
-	// Backups is true if engines send a copy of a run's memory to another one as it grows.
+	// Backups is true if engines replicate the KV cache of a running request to another engine as it
+	// grows.
 	Backups bool
-	// Scaling says how many engines may be ordered; nil if none may.
+	// Scaling limits the engines that may be ordered, nil if none may be.
 	Scaling *Scaling
 }
 
-// Scaling bounds the number of a service's engines in each failure domain, and says what
-// they cost.
+// Scaling has the limits for the number of a service's engines per failure domain, and their
+// prices.
 type Scaling struct {
-	// Least and Most hold for engines of both kinds together.
+	// Least and Most are the minimum and maximum of on-demand and spot engines together.
 	Least, Most int
-	// Startup is how long an engine takes until it serves.
+	// Startup is the time from the order of an engine until it serves requests.
 	Startup time.Duration
-	// SpotPrice is that of an engine that the platform may take away, as a share of another.
-	// It is 0 if there are none.
+	// SpotPrice is the price of a spot engine relative to an on-demand engine, 0 if there are no spot
+	// engines. The platform may reclaim spot engines at any time.
 	SpotPrice float64
-	// Prices are those of one engine by failure domain. Engines may be ordered there.
+	// Prices has the price of an on-demand engine by failure domain. Engines may be ordered only in
+	// these domains.
 	Prices map[string]float64
 }
 
-// Limits bound what a caller may send.
+// Limits are the limits for requests from clients.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -115,38 +114,36 @@
 
 // Config is one version of the operator's configuration.
 type Config struct {
-	// Version rises with each change.
+	// Version increases with each change.
 	Version  int64
 	Routes   []Route
 	Services map[string]Service
 	Limits   Limits
 
-	byHost map[string][]*Route
-	byName map[string]*Route
-	// byKey has the workspaces by their keys.
-	byKey      map[KeyHash]*Workspace
-	workspaces int
+	routesByHost   map[string][]*Route
+	routesByName   map[string]*Route
+	workspaceByKey map[KeyHash]*Workspace
+	workspaces     int
 }
 
-// Index prepares the configuration for look-ups. It is called once, before the
-// configuration is published.
+// Index builds the lookup tables. It must be called once before the configuration is published.
 func (c *Config) Index() {
-	c.byHost, c.byName = map[string][]*Route{}, map[string]*Route{}
+	c.routesByHost, c.routesByName = map[string][]*Route{}, map[string]*Route{}
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		c.byName[r.Name] = r
+		c.routesByName[r.Name] = r
 		host := strings.ToLower(r.Host)
-		c.byHost[host] = append(c.byHost[host], r)
+		c.routesByHost[host] = append(c.routesByHost[host], r)
 	}
-	for _, routes := range c.byHost {
+	for _, routes := range c.routesByHost {
 		slices.SortFunc(routes, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
 }
 
-// Route returns the route with the longest prefix of the path at the host, or
-// nil if there is none. The path is compared as it was sent, without decoding.
+// Route returns the route of the host whose prefix is the longest that matches the path, or nil if
+// none matches. The path is compared as sent, without decoding.
 func (c *Config) Route(host, path string) *Route {
-	for _, r := range c.byHost[strings.ToLower(host)] {
+	for _, r := range c.routesByHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -155,10 +152,10 @@
 }
 
 // RouteNamed returns the route with the name, or nil if there is none.
-func (c *Config) RouteNamed(name string) *Route { return c.byName[name] }
+func (c *Config) RouteNamed(name string) *Route { return c.routesByName[name] }
 
-// Pick returns the service that a request goes to. The same id goes to the same
-// share, so that a decision can be explained from the id.
+// Pick returns the service for a request. It depends only on the request ID, so that the choice can
+// be reproduced later.
 func (r *Route) Pick(id string) string {
 	total := 0
 	for _, s := range r.Shares {
@@ -180,44 +177,44 @@
 	return ""
 }
 
-// Instance is one run of an engine or backend server.
+// Instance is one run of an engine or of a backend server.
 type Instance struct {
-	// ID names an instance and no other.
+	// ID is unique among instances. An instance that restarts may keep its ID.
 	ID string
-	// Born differs for each run of the instance that keeps its ID; 0 if it does not say. A
-	// later run knows nothing of what an earlier one had.
+	// Born is the start time of the run in Unix milliseconds, 0 if the registration has none. It
+	// distinguishes the runs of one instance ID. A later run has none of the state of an earlier one.
 	Born    int64
 	Service string
 	// Address is IP:PORT.
 	Address string
 	Domain  string
-	// Software is the version of the program that runs there.
+	// Software is the version of the program that the instance runs.
 	Software string
 	Slots    int
-	// Spot instances may be taken away by the platform at short notice.
+	// Spot instances may be reclaimed by the platform at short notice.
 	Spot bool
-	// Draining instances finish what they have.
+	// Draining instances finish their requests and accept no new ones.
 	Draining bool
-	// Role is empty for plain services.
+	// Role is empty for backend servers.
 	Role engine.Role
-	// Lapsed is true for an instance whose registration went while the store was
-	// away. It is used until it is known whether it comes back.
+	// Lapsed is true if the registration expired while the store was unavailable. The instance stays
+	// in use until it is known whether it registers again.
 	Lapsed bool
 }
 
-// runMark parts the ID of an instance from what differs from run to run.
-const runMark = '@'
+// runSeparator separates the instance ID from the start time in a run ID.
+const runSeparator = '@'
 
-// Run names this run of the instance and no other.
+// Run returns an ID that is unique to this run of the instance.
 func (i *Instance) Run() string {
 	if i.Born == 0 {
 		return i.ID
 	}
-	return i.ID + string(runMark) + strconv.FormatInt(i.Born, 10)
+	return i.ID + string(runSeparator) + strconv.FormatInt(i.Born, 10)
 }
 
-// Labels returns the labels that selectors match: those that operators gave the
-// instance's service and domain, and the built-in ones.
+// Labels returns the labels that selectors match: the built-in ones, and those in extra, which
+// operators set for the instance's service or failure domain.
 func (i *Instance) Labels(extra selector.Labels) selector.Labels {
 	l := selector.Labels{"service": i.Service, "domain": i.Domain, "software": i.Software}
 	for k, v := range extra {
--- a/fleet/pool.go
+++ b/fleet/pool.go
@@ -8,24 +8,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// GroupSize is how many instances a group has about. What decides among one group costs the same
-// however many instances a service has.
+// GroupSize is the approximate number of instances in a group. Decisions within one group have a
+// bounded cost, however many instances a service has.
 const GroupSize = 120
 
-// Pool are the instances that may run the requests of one route to one service. It is immutable.
+// Pool holds the instances that may run the requests of one route to one service. It is immutable.
 type Pool struct {
-	// All has them in the order of their IDs.
+	// All is sorted by ID.
 	All []*Instance
 
-	divide sync.Once
-	groups [][]*Instance
+	groupOnce sync.Once
+	groups    [][]*Instance
 }
 
-// Groups divides the pool: into one group up to twice GroupSize, else into groups of about GroupSize,
-// each in the order of the IDs. Processes that know the same instances have the same groups, and when
-// the number of groups changes by one, one group's part of the instances moves.
+// Groups divides the pool into groups of about GroupSize instances, sorted by ID. Pools smaller
+// than two groups are not divided. Processes with the same instances compute the same groups. When
+// the number of groups changes by one, only one group's share of the instances moves.
 func (p *Pool) Groups() [][]*Instance {
-	p.divide.Do(func() {
+	p.groupOnce.Do(func() {
 		n := max(1, len(p.All)/GroupSize)
 		if n == 1 {
 			p.groups = [][]*Instance{p.All}
@@ -40,21 +40,21 @@
 	return p.groups
 }
 
-// Find returns the instance with an ID, nil if it is not in the pool.
+// Find returns the instance with the ID, nil if it is not in the pool.
 func (p *Pool) Find(id string) *Instance { return Find(p.All, id) }
 
-// Find returns the instance with an ID among instances in the order of their IDs, nil if there is none.
+// Find returns the instance with the ID from a slice sorted by ID, nil if there is none.
 func Find(sorted []*Instance, id string) *Instance {
-	if at, found := slices.BinarySearchFunc(sorted, id, compareID); found {
+	if at, found := slices.BinarySearchFunc(sorted, id, compareIDTo); found {
 		return sorted[at]
 	}
 	return nil
 }
 
-// FindRun returns the instance whose present run has a name, nil if that is not in the pool.
+// FindRun returns the instance with the run ID, nil if that run is not in the pool.
 func (p *Pool) FindRun(run string) *Instance {
-	id := run // that of an instance that does not say when it was born
-	if at := strings.LastIndexByte(run, runMark); at >= 0 {
+	id := run // a run ID without a separator equals the instance ID
+	if at := strings.LastIndexByte(run, runSeparator); at >= 0 {
 		id = run[:at]
 	}
 	for _, id := range []string{id, run} {
@@ -66,14 +66,15 @@
 }
 
 const (
-	// jumpFactor and jumpBits are those of jump consistent hashing, by which a key moves to another of
-	// n groups, if any, only to the one that is new.
+	// The constants of jump consistent hashing. When the number of groups grows by one, a key either
+	// stays in its group or moves to the new one.
 	jumpFactor = 2862933555777941757
 	jumpBits   = 31
 	jumpShift  = 33
 )
 
-// GroupOf returns in which of n groups a key is, an instance's ID or a subject.
+// GroupOf returns the index, out of n groups, of the group that an instance ID or a prompt prefix
+// belongs to.
 func GroupOf(key string, n int) int {
 	hash := xxhash.Sum64String(key)
 	group, next := int64(0), int64(0)
@@ -85,38 +86,39 @@
 	return int(group)
 }
 
-// pools are the pools of a view, made when they are asked for. It is safe for concurrent use.
-type pools struct {
-	mu  sync.Mutex
-	all map[poolKey]*Pool
+// poolCache builds the pools of a view on demand. It is safe for concurrent use.
+type poolCache struct {
+	mu    sync.Mutex
+	byKey map[poolKey]*Pool
 }
 
-// poolKey names a pool. Without rules all routes to a service have the same one, under no name.
+// poolKey identifies a pool. If there are no rules, all routes to a service share a pool and route
+// is empty.
 type poolKey struct{ route, service string }
 
-func newPools() *pools { return &pools{all: map[poolKey]*Pool{}} }
+func newPoolCache() *poolCache { return &poolCache{byKey: map[poolKey]*Pool{}} }
 
-// Pool returns the usable instances of a service at which the rules permit requests of the route. A
-// view without an index has none.
+// Pool returns the usable instances of a service on which the rules permit requests of the route.
+// It is empty if the view has not been indexed.
 func (v *View) Pool(route, service string) *Pool {
 	if v.Rules == nil {
 		route = ""
 	}
-	if v.pools == nil {
+	if v.poolCache == nil {
 		return &Pool{}
 	}
 	key := poolKey{route, service}
-	v.pools.mu.Lock()
-	defer v.pools.mu.Unlock()
-	p := v.pools.all[key]
+	v.poolCache.mu.Lock()
+	defer v.poolCache.mu.Unlock()
+	p := v.poolCache.byKey[key]
 	if p == nil {
-		p = &Pool{All: v.permitted(route, service)}
-		v.pools.all[key] = p
+		p = &Pool{All: v.filterByRules(route, service)}
+		v.poolCache.byKey[key] = p
 	}
 	return p
 }
 
-func (v *View) permitted(route, service string) []*Instance {
+func (v *View) filterByRules(route, service string) []*Instance {
 	all := v.usable[service]
 	if v.Rules == nil {
 		return all
--- a/fleet/pool_test.go
+++ b/fleet/pool_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func instancesOf(n int) map[string]*Instance {
+func testInstances(n int) map[string]*Instance {
 	out := map[string]*Instance{}
 	for k := range n {
 		id := fmt.Sprintf("i-%05d", k)
@@ -19,12 +19,12 @@
 	return out
 }
 
-// TestIndexFromIsIndex draws histories of instances that come, change, move to another service, drain
-// and go, a few or many at a time, and compares what is indexed from the view before with what is
-// indexed anew.
-func TestIndexFromIsIndex(t *testing.T) {
+// TestIncrementalIndexEqualsFullIndex generates random histories in which instances appear, change,
+// move to another service, drain and disappear. After each step it compares the incrementally built
+// index with one built from scratch.
+func TestIncrementalIndexEqualsFullIndex(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 0))
-	now := instancesOf(300)
+	now := testInstances(300)
 	before := &View{Instances: maps.Clone(now)}
 	before.Index()
 	for range 200 {
@@ -40,20 +40,20 @@
 		}
 		next := &View{Instances: now}
 		next.IndexFrom(before, changed)
-		anew := &View{Instances: maps.Clone(now)}
-		anew.Index()
-		require.Equal(t, anew.Instances, next.Instances)
+		full := &View{Instances: maps.Clone(now)}
+		full.Index()
+		require.Equal(t, full.Instances, next.Instances)
 		for _, service := range []string{"s", "t"} {
-			require.True(t, slices.Equal(anew.Usable(service), next.Usable(service)))
-			require.True(t, slices.Equal(anew.Permitted("r", service), next.Permitted("r", service)))
+			require.True(t, slices.Equal(full.Usable(service), next.Usable(service)))
+			require.True(t, slices.Equal(full.Permitted("r", service), next.Permitted("r", service)))
 		}
 		before = next
 	}
 }
 
-// TestAViewSharesWhatHasNotChanged publishes 10,000 instances that stay as they are.
-func TestAViewSharesWhatHasNotChanged(t *testing.T) {
-	v := &View{Instances: instancesOf(10_000)}
+// TestUnchangedViewIsShared publishes 10,000 unchanged instances, which must not allocate.
+func TestUnchangedViewIsShared(t *testing.T) {
+	v := &View{Instances: testInstances(10_000)}
 	v.Index()
 	allocations := testing.AllocsPerRun(10, func() {
 		next := *v
@@ -62,27 +62,26 @@
 	require.Zero(t, allocations)
 }
 
-// TestGroupsAreOfTheirSize checks that groups are near their size at all sizes of a service, and that
-// an instance is in just one.
-func TestGroupsAreOfTheirSize(t *testing.T) {
+// TestGroupSizes checks the sizes of groups for services of all sizes, and that each instance is in
+// exactly one group.
+func TestGroupSizes(t *testing.T) {
 	for _, n := range []int{0, 1, GroupSize, 2*GroupSize - 1, 2 * GroupSize, 3000, 20_000} {
-		v := &View{Instances: instancesOf(n)}
+		v := &View{Instances: testInstances(n)}
 		v.Index()
 		groups := v.Pool("r", "s").Groups()
 		total := 0
 		for _, g := range groups {
 			total += len(g)
 			require.Less(t, len(g), 2*GroupSize, "%d instances", n)
-			require.True(t, slices.IsSortedFunc(g, byID))
+			require.True(t, slices.IsSortedFunc(g, compareByID))
 		}
 		require.Equal(t, n, total)
 		require.Len(t, groups, max(1, n/GroupSize))
 	}
 }
 
-// TestOneGroupMoreMovesItsPartOnly checks what changes for subjects and instances when a service grows by
-// one group.
-func TestOneGroupMoreMovesItsPartOnly(t *testing.T) {
+// TestNewGroupMovesItsShareOnly checks which keys move when the number of groups grows by one.
+func TestNewGroupMovesItsShareOnly(t *testing.T) {
 	const keys = 20_000
 	for _, n := range []int{2, 10, 80} {
 		moved := 0
@@ -97,8 +96,8 @@
 	}
 }
 
-func TestPoolFindsInstances(t *testing.T) {
-	v := &View{Instances: instancesOf(50)}
+func TestPoolFind(t *testing.T) {
+	v := &View{Instances: testInstances(50)}
 	v.Index()
 	p := v.Pool("r", "s")
 	require.Same(t, v.Instances["i-00017"], p.Find("i-00017"))
@@ -113,9 +112,10 @@
 	require.Nil(t, (&View{}).Pool("r", "s").Find("i-1"))
 }
 
-// BenchmarkIndexFrom publishes a view of 10,000 instances of which none, one, 300 and all have changed.
+// BenchmarkIndexFrom publishes a view of 10,000 instances of which none, one, 300 or all have
+// changed.
 func BenchmarkIndexFrom(b *testing.B) {
-	v := &View{Instances: instancesOf(10_000)}
+	v := &View{Instances: testInstances(10_000)}
 	v.Index()
 	all := map[string]bool{}
 	for id := range v.Instances {
--- a/fleet/rules.go
+++ b/fleet/rules.go
@@ -8,27 +8,27 @@
 	"github.com/rockdoor/rockdoor/selector"
 )
 
-// RuleSpec is the operators' labels and selectors as they are stored. An empty
-// RuleSpec permits everything.
+// RuleSpec is the stored form of the operators' labels and selectors. An empty RuleSpec permits
+// everything.
 type RuleSpec struct {
-	// Labels are added to the instances of a domain or service, by
-	// "domain/NAME" or "service/NAME".
+	// Labels are added to all instances of a failure domain or service. Keys are "domain/NAME" and
+	// "service/NAME".
 	Labels map[string]selector.Labels `json:"labels,omitempty"`
-	// Selectors say where the requests of a route may run, by the route's name.
-	// The selector at "*" holds for all routes besides their own.
+	// Selectors restrict, by route name, the instances on which requests may run. The selector at "*"
+	// applies to all routes in addition to their own.
 	Selectors map[string]string `json:"selectors,omitempty"`
 }
 
-// AllRoutes is the name whose selector holds for every route.
+// AllRoutes is the key of the selector that applies to every route.
 const AllRoutes = "*"
 
-// Rules are checked labels and selectors.
+// Rules holds validated labels and selectors.
 type Rules struct {
 	spec      RuleSpec
 	selectors map[string]selector.Selector
 }
 
-// ParseRules decodes and checks stored rules. The error is of kind Invalid.
+// ParseRules decodes and validates stored rules. Errors have the kind Invalid.
 func ParseRules(text []byte) (*Rules, error) {
 	var spec RuleSpec
 	dec := json.NewDecoder(bytes.NewReader(text))
@@ -47,8 +47,8 @@
 	return r, nil
 }
 
-// Permits reports whether a request of the route may run at the instance, and
-// otherwise which rule forbids it. A nil Rules permits everything.
+// Permits reports whether a request of the route may run on the instance. If not, it returns the
+// rule that forbids it. A nil Rules permits everything.
 func (r *Rules) Permits(route string, i *Instance) (rule string, ok bool) {
 	if r == nil || len(r.selectors) == 0 {
 		return "", true
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -12,75 +12,77 @@
 	"github.com/rockdoor/rockdoor/objstore"
 )
 
-// View is what a process believes at one moment. It is immutable.
+// View is a process's knowledge of the deployment at one moment. It is immutable.
 type View struct {
-	// Config is nil until the first configuration is known.
+	// Config is nil until the first configuration has been received.
 	Config *Config
-	// ConfigAt and InstancesAt are when the store last confirmed that there was
-	// nothing newer.
+	// ConfigAt and InstancesAt are when the store last confirmed that the configuration and the
+	// registrations were current.
 	ConfigAt    bootclock.Instant
 	InstancesAt bootclock.Instant
-	// ProvenAt is the latest time of which it is proven that Config was the newest then: a
-	// question was sent to the store, and its answer said so. An answer that was long on its
-	// way proves nothing of the time in which it arrived.
+	// ProvenAt is the latest time at which Config is known to have been current. It is the send time
+	// of a request to the store whose response confirmed Config. The time at which the response
+	// arrived would not do, because Config may have changed while it was in transit.
 	ProvenAt bootclock.Instant
-	// InstancesRevision is the store's revision up to which the registrations are known.
+	// InstancesRevision is the store revision up to which registrations have been applied.
 	InstancesRevision objstore.Revision
 	// Listed is true once the registrations have been read for the first time.
 	Listed bool
-	// Headed is true once a scheduler has told the configuration and the rules: it places requests, and names
-	// the instances, before the registrations are known here.
+	// Headed is true once a scheduler has sent a partial snapshot with the configuration and the
+	// rules. Until the registrations are known here, the scheduler chooses the instances and sends
+	// their registrations with its decisions.
 	Headed bool
-	// CopyAt is from when on the registrations are copied then, 0 if there is no wait.
+	// CopyAt is the earliest time at which this process requests the full snapshot after the partial
+	// one, 0 if it need not wait.
 	CopyAt bootclock.Instant
-	// Instances has every registered instance by its ID.
+	// Instances holds all registered instances by ID.
 	Instances map[string]*Instance
 	Rules     *Rules
-	// Processes is how many processes of the product are registered.
+	// Processes is the number of registered rockdoor processes.
 	Processes int
-	// Schedulers work for the others, Watchers are those of them that watch the store, and
-	// Scheduling is true if this process is a scheduler. Mesh are the schedulers, and those
-	// whose place another one has taken for as long as they are silent: all that tell each
-	// other of their work.
+	// Schedulers place requests for the other processes. Watchers are the schedulers that watch the
+	// store. Scheduling is true if this process is a scheduler. Mesh holds the schedulers, and those
+	// that are replaced while they are unresponsive: the processes that exchange their load.
 	Schedulers []members.Member
 	Watchers   []members.Member
 	Mesh       []members.Member
 	Scheduling bool
-	// StoreUp is false while the store does not answer.
+	// StoreUp is false while the store does not respond.
 	StoreUp bool
-	// Era counts how often the store has come back from an older copy, 0 if it does not say.
+	// Era is the number of times that the store was restored from an older snapshot, 0 if the store
+	// doesn't report it.
 	Era int64
 
-	usable map[string][]*Instance
-	pools  *pools
+	usable    map[string][]*Instance
+	poolCache *poolCache
 }
 
-// Index prepares the view for look-ups. It is called once, before the view is
-// published.
+// Index builds the lookup tables. It must be called once before the view is published.
 func (v *View) Index() {
-	v.usable, v.pools = map[string][]*Instance{}, newPools()
+	v.usable, v.poolCache = map[string][]*Instance{}, newPoolCache()
 	for _, i := range v.Instances {
 		if !i.Draining {
 			v.usable[i.Service] = append(v.usable[i.Service], i)
 		}
 	}
 	for _, all := range v.usable {
-		slices.SortFunc(all, byID)
+		slices.SortFunc(all, compareByID)
 	}
 }
 
-// IndexFrom does what Index does, from a view before of whose instances only those changed that
-// changed names, by their IDs. It copies Instances if any did, and else shares those of before.
+// IndexFrom does the same as Index by updating the tables of an earlier view. changed has the IDs
+// of all instances that differ. If there are any, Instances is copied, otherwise it is shared with
+// the earlier view.
 func (v *View) IndexFrom(before *View, changed map[string]bool) {
 	if len(changed) == 0 {
-		v.Instances, v.usable, v.pools = before.Instances, before.usable, before.pools
+		v.Instances, v.usable, v.poolCache = before.Instances, before.usable, before.poolCache
 		if v.Rules != before.Rules {
-			v.pools = newPools()
+			v.poolCache = newPoolCache()
 		}
 		return
 	}
 	v.Instances = maps.Clone(v.Instances)
-	v.usable, v.pools = maps.Clone(before.usable), newPools()
+	v.usable, v.poolCache = maps.Clone(before.usable), newPoolCache()
 	ids := slices.Sorted(maps.Keys(changed))
 	affected := map[string]bool{}
 	for _, id := range ids {
@@ -95,13 +97,13 @@
 	}
 }
 
-// mergeUsable returns the usable instances of a service: those of before, but for the changed ones, which
-// are as they are now. The IDs of these are in order.
+// mergeUsable returns the usable instances of a service by merging the earlier list with the
+// current state of the changed instances, whose IDs are sorted.
 func (v *View) mergeUsable(service string, changed []string) []*Instance {
 	old := v.usable[service]
 	out := make([]*Instance, 0, len(old)+len(changed))
 	for _, id := range changed {
-		n, found := slices.BinarySearchFunc(old, id, compareID)
+		n, found := slices.BinarySearchFunc(old, id, compareIDTo)
 		out = append(out, old[:n]...)
 		if old = old[n:]; found {
 			old = old[1:]
@@ -113,35 +115,34 @@
 	return append(out, old...)
 }
 
-func byID(a, b *Instance) int { return cmp.Compare(a.ID, b.ID) }
+func compareByID(a, b *Instance) int { return cmp.Compare(a.ID, b.ID) }
 
-func compareID(i *Instance, id string) int { return strings.Compare(i.ID, id) }
+func compareIDTo(i *Instance, id string) int { return strings.Compare(i.ID, id) }
 
-// Usable returns the instances of a service that take new requests, in the
-// order of their IDs.
+// Usable returns the instances of a service that accept new requests, sorted by ID.
 func (v *View) Usable(service string) []*Instance { return v.usable[service] }
 
-// Permitted returns the usable instances of a service at which the rules permit
-// requests of the route, in the order of their IDs.
+// Permitted returns the usable instances of a service on which the rules permit requests of the
+// route, sorted by ID.
 func (v *View) Permitted(route, service string) []*Instance { return v.Pool(route, service).All }
 
-// Takes reports whether an instance still takes new requests of the service.
+// Takes reports whether the instance accepts new requests for the service.
 func (v *View) Takes(service, id string) bool {
 	i := v.Instances[id]
 	return i != nil && !i.Draining && i.Service == service
 }
 
-// Left reports whether an instance is known to take no new requests of the service any more.
+// Left reports whether the instance is known not to accept new requests for the service.
 func (v *View) Left(service, id string) bool { return v.Listed && !v.Takes(service, id) }
 
-// Complete reports whether the view suffices to decide where requests run.
+// Complete reports whether the view has all that is needed to place requests.
 func (v *View) Complete() bool { return v.Config != nil && v.Listed }
 
-// Ready reports whether the view suffices to serve requests.
+// Ready reports whether the view has all that is needed to serve requests.
 func (v *View) Ready() bool { return v.Complete() || v.Config != nil && v.Headed && !v.Scheduling }
 
-// PermittedOf returns those of some instances that take requests of the service and at which the rules permit
-// requests of the route, in the order of their IDs.
+// PermittedOf filters instances by Permitted: it returns those that accept requests for the service
+// and on which the rules permit requests of the route, sorted by ID.
 func (v *View) PermittedOf(route, service string, instances []*Instance) []*Instance {
 	few := View{Config: v.Config, Rules: v.Rules, Instances: map[string]*Instance{}}
 	for _, i := range instances {
@@ -151,14 +152,14 @@
 	return few.Permitted(route, service)
 }
 
-// ConfigAge returns how long ago the store confirmed the configuration.
+// ConfigAge returns the time since the store last confirmed the configuration.
 func (v *View) ConfigAge() time.Duration { return bootclock.Since(v.ConfigAt) }
 
-// ProofAge returns how old the proof is that Config is the newest one.
+// ProofAge returns the time since Config was last known to be current.
 func (v *View) ProofAge() time.Duration { return bootclock.Since(v.ProvenAt) }
 
-// InstancesAge returns how long ago the store confirmed the registrations.
+// InstancesAge returns the time since the store last confirmed the registrations.
 func (v *View) InstancesAge() time.Duration { return bootclock.Since(v.InstancesAt) }
 
-// Age returns how long ago the store confirmed what it confirmed longest ago.
+// Age returns the age of the configuration or of the registrations, whichever is greater.
 func (v *View) Age() time.Duration { return max(v.ConfigAge(), v.InstancesAge()) }
--- a/fleet/workspace.go
+++ b/fleet/workspace.go
@@ -7,55 +7,54 @@
 	"github.com/rockdoor/rockdoor/fault"
 )
 
-// Workspace is a customer of the deployment. Its callers prove themselves with a key.
+// Workspace is a set of clients that authenticate with the same API keys.
 type Workspace struct {
 	Name string
-	// Rank goes before that of a route if Ranked is true.
+	// Rank replaces the rank of the route if Ranked is true.
 	Rank   int
 	Ranked bool
 }
 
-// KeyHash stands for a key of a workspace wherever the key itself is not needed: half of
-// its SHA-256, enough that no other key is found for it.
+// KeyHash identifies an API key where the key itself is not needed. It is the first half of the
+// key's SHA-256, which is long enough to rule out finding another key with the same hash.
 type KeyHash [sha256.Size / 2]byte
 
-// HashKey returns the hash of a key.
 func HashKey(key string) KeyHash {
 	sum := sha256.Sum256([]byte(key))
 	return KeyHash(sum[:len(KeyHash{})])
 }
 
-// String returns the hash in hexadecimal digits.
+// String returns the hash in hexadecimal.
 func (h KeyHash) String() string { return hex.EncodeToString(h[:]) }
 
-// ParseKeyHash reads what KeyHash.String returns. The error is of kind Invalid.
+// ParseKeyHash parses the result of KeyHash.String. Errors have the kind Invalid.
 func ParseKeyHash(text string) (KeyHash, error) {
 	sum, err := hex.DecodeString(text)
 	if err != nil || len(sum) != len(KeyHash{}) {
-		return KeyHash{}, fault.Newf(fault.Invalid, "run the same version everywhere", "hash of a key cannot be read")
+		return KeyHash{}, fault.Newf(fault.Invalid, "run the same version everywhere", "key hash is malformed")
 	}
 	return KeyHash(sum), nil
 }
 
-// AddWorkspace adds a workspace with the hashes of its keys. It is called before the
+// AddWorkspace adds a workspace with the hashes of its keys. It must be called before the
 // configuration is published.
 func (c *Config) AddWorkspace(w Workspace, keys []KeyHash) {
-	if c.byKey == nil {
-		c.byKey = map[KeyHash]*Workspace{}
+	if c.workspaceByKey == nil {
+		c.workspaceByKey = map[KeyHash]*Workspace{}
 	}
 	c.workspaces++
 	for _, k := range keys {
-		c.byKey[k] = &w
+		c.workspaceByKey[k] = &w
 	}
 }
 
-// Workspaces returns how many workspaces there are. Without any, callers need no key.
+// Workspaces returns the number of workspaces. If there are none, requests need no key.
 func (c *Config) Workspaces() int { return c.workspaces }
 
-// WorkspaceOf returns the workspace that a key belongs to, nil if no workspace has it.
+// WorkspaceOf returns the workspace that a key belongs to, or nil if there is none.
 func (c *Config) WorkspaceOf(key string) *Workspace {
 	if key == "" {
 		return nil
 	}
-	return c.byKey[HashKey(key)]
+	return c.workspaceByKey[HashKey(key)]
 }
--- a/fleet/workspace_test.go
+++ b/fleet/workspace_test.go
@@ -9,7 +9,7 @@
 	"github.com/rockdoor/rockdoor/fault"
 )
 
-func TestParseKeyHashReadsOnlyWholeHashes(t *testing.T) {
+func TestParseKeyHashRejectsInvalidText(t *testing.T) {
 	want := HashKey("k")
 	got, err := ParseKeyHash(want.String())
 	require.NoError(t, err)
