--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -1,7 +1,6 @@
-// Package capacity decides how many engines of a service to have in each failure domain, and
-// how many of them as spot engines, which cost a part of the price and which the platform may
-// take away, all of a failure domain's at once. It decides from what is observed and does
-// nothing itself.
+// Package capacity decides how many on-demand and how many spot engines a service should have in
+// each failure domain. Spot engines cost a fraction of the price, but the platform may reclaim all
+// spot engines of a failure domain at once. The package only decides; it sends no orders.
 package capacity
 
 import (
@@ -11,37 +10,37 @@
 	"github.com/rockdoor/rockdoor/fleet"
 )
 
-// Order asks for a number of engines of one kind in one failure domain.
+// Order requests a number of engines of one kind in one failure domain.
 type Order struct {
 	Service string
 	Domain  string
-	// Engines is how many there are to be, not how many more.
+	// Engines is the total that should exist, not an increment.
 	Engines int
 	Spot    bool
 }
 
-// Orderer gives orders to the platform.
+// Orderer sends orders to the platform.
 type Orderer interface {
-	// Order gives an order. The error is of kind Exhausted if there are no engines to be had
-	// in the failure domain now.
+	// Order sends an order. The error has the kind Exhausted if the failure domain has no engines
+	// available at present.
 	Order(ctx context.Context, g duty.Grant, o Order) error
 }
 
-// Domain is what a service has in one failure domain.
+// Domain describes a service's engines in one failure domain.
 type Domain struct {
 	Name string
-	// Price is that of one engine.
+	// Price is the price of one on-demand engine.
 	Price float64
-	// Lasting and Spot are the engines that serve.
-	Lasting, Spot int
+	// OnDemand and Spot count the engines that serve.
+	OnDemand, Spot int
 }
 
-// Input is what is decided by.
+// Input is the state that a decision is based on.
 type Input struct {
 	Scaling *fleet.Scaling
-	// Domains are those in which engines may be ordered.
+	// Domains are the failure domains in which engines may be ordered.
 	Domains []Domain
 }
 
-// Target is how many engines there are to be in one failure domain.
-type Target struct{ Lasting, Spot int }
+// Target is the number of engines that one failure domain should have.
+type Target struct{ OnDemand, Spot int }
--- a/capacity/policy.go
+++ b/capacity/policy.go
@@ -5,71 +5,73 @@
 	"slices"
 )
 
-// Policy decides for one service. It belongs to one goroutine.
+// Policy decides for one service. It must be used by one goroutine only.
 //
-// Where spot engines are cheaper, as many are had as there may be: a burst is over before
-// more engines have started, and when a domain loses its spot engines those of the others
-// are what is left. Lasting engines, which the operator has had, are given back as spot
-// engines serve, and ordered again while fewer engines serve than have to be left.
+// Where spot engines are cheaper, the policy orders as many as the limits permit. It doesn't scale
+// with the load, because a burst is over before more engines have started. When one domain loses
+// its spot engines, those of the other domains carry the load. The on-demand engines that the
+// operator started with are released as spot engines start to serve, and ordered again while fewer
+// than minServing engines serve.
 type Policy struct {
-	// wanted is how many engines are to be left when one domain has lost its spot engines.
-	wanted int
+	// minServing is the number of engines that must remain when one domain loses its spot engines.
+	minServing int
 }
 
-// Decide returns how many engines there are to be in each domain of the input, in its order.
+// Decide returns the targets for the domains of the input, in the same order.
 func (p *Policy) Decide(in Input) []Target {
 	out := make([]Target, len(in.Domains))
 	if in.Scaling.SpotPrice <= 0 || in.Scaling.SpotPrice >= 1 {
 		for n, d := range in.Domains {
-			out[n] = Target{Lasting: d.Lasting, Spot: d.Spot}
+			out[n] = Target{OnDemand: d.OnDemand, Spot: d.Spot}
 		}
 		return out
 	}
-	p.learn(in)
+	p.updateMinServing(in)
 	serving := 0
 	for n, d := range in.Domains {
-		out[n].Lasting = min(in.Scaling.Least, d.Lasting)
-		serving += d.Spot + out[n].Lasting
+		out[n].OnDemand = min(in.Scaling.Least, d.OnDemand)
+		serving += d.Spot + out[n].OnDemand
 	}
-	addLasting(in, out, p.wanted-serving)
+	addOnDemand(in, out, p.minServing-serving)
 	for n, d := range in.Domains {
-		// Lasting engines that serve make room later; those that are ordered need it now.
-		room := in.Scaling.Least
-		if out[n].Lasting > d.Lasting {
-			room = out[n].Lasting
+		// On-demand engines that already serve are released later, so they don't reduce the spot
+		// engines. Those that have to be ordered count against the maximum at once.
+		reserved := in.Scaling.Least
+		if out[n].OnDemand > d.OnDemand {
+			reserved = out[n].OnDemand
 		}
-		out[n].Spot = max(in.Scaling.Most-room, 0)
+		out[n].Spot = max(in.Scaling.Most-reserved, 0)
 	}
 	return out
 }
 
-// learn learns how many engines have to be left: what the operator had as lasting ones, or
-// what all but one domain have as spot ones.
-func (p *Policy) learn(in Input) {
-	lasting, spot, most := 0, 0, 0
+// updateMinServing raises minServing to the number of on-demand engines that the operator had, or
+// to the spot engines of all domains but the largest.
+func (p *Policy) updateMinServing(in Input) {
+	onDemand, spot, maxSpot := 0, 0, 0
 	for _, d := range in.Domains {
-		lasting += d.Lasting
+		onDemand += d.OnDemand
 		spot += d.Spot
-		most = max(most, d.Spot)
+		maxSpot = max(maxSpot, d.Spot)
 	}
-	p.wanted = max(p.wanted, lasting, spot-most)
+	p.minServing = max(p.minServing, onDemand, spot-maxSpot)
 }
 
-// addLasting adds lasting engines: those that serve already first, then where they cost
-// least.
-func addLasting(in Input, out []Target, missing int) {
+// addOnDemand adds missing on-demand engines to the targets: first those that serve already, then
+// new ones in the cheapest domains.
+func addOnDemand(in Input, out []Target, missing int) {
 	order := make([]int, len(in.Domains))
 	for n := range order {
 		order[n] = n
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(in.Domains[a].Price, in.Domains[b].Price) })
-	for _, room := range []func(n int) int{
-		func(n int) int { return in.Domains[n].Lasting - out[n].Lasting },
-		func(n int) int { return in.Scaling.Most - in.Domains[n].Spot - out[n].Lasting },
+	for _, available := range []func(n int) int{
+		func(n int) int { return in.Domains[n].OnDemand - out[n].OnDemand },
+		func(n int) int { return in.Scaling.Most - in.Domains[n].Spot - out[n].OnDemand },
 	} {
 		for _, n := range order {
-			more := max(min(missing, room(n)), 0)
-			out[n].Lasting += more
+			more := max(min(missing, available(n)), 0)
+			out[n].OnDemand += more
 			missing -= more
 		}
 	}
--- a/internal/scaler/scaler.go
+++ b/internal/scaler/scaler.go
@@ -1,5 +1,5 @@
-// Package scaler orders engines from the platform while this process has the authority for
-// it. How many is decided by package capacity.
+// Package scaler orders engines from the platform while this process has the authority to do so.
+// Package capacity decides how many.
 package scaler
 
 import (
@@ -19,19 +19,19 @@
 )
 
 const (
-	// reviewEvery is how often it is looked whether other engines are to be had.
-	reviewEvery = 250 * time.Millisecond
-	// orderTimeout bounds one order.
+	// reviewInterval is how often the numbers of engines are reviewed.
+	reviewInterval = 250 * time.Millisecond
+	// orderTimeout is the timeout of one order.
 	orderTimeout = 1500 * time.Millisecond
-	// failedPause is how long a failure domain is not asked again that has no engines to give,
-	// or from which there was no answer.
-	failedPause = time.Second
-	// startSlack is how long beyond the stated time engines may take to start, or to leave,
-	// before the order is repeated.
-	startSlack = 4 * time.Second
+	// failedOrderBackoff is the delay before a failed order is repeated: the failure domain had no
+	// engines available, or the platform didn't respond.
+	failedOrderBackoff = time.Second
+	// startupMargin is the time in addition to Scaling.Startup within which engines must have started
+	// or terminated. After that the order is repeated.
+	startupMargin = 4 * time.Second
 )
 
-// Options of a Scaler.
+// Options configures a Scaler.
 type Options struct {
 	Authority duty.Granter
 	Orderer   capacity.Orderer
@@ -41,79 +41,79 @@
 	Logger  log.Logger
 }
 
-// Scaler orders engines for all services that allow it.
+// Scaler orders engines for all services that permit scaling.
 type Scaler struct {
-	o      Options
+	opts   Options
 	logger log.Logger
-	// policies are by service.
+	// by service
 	policies map[string]*capacity.Policy
-	// token is the grant under which orders were given.
+	// token is the fencing token under which the orders were sent.
 	token  int64
-	orders map[subject]*given
+	orders map[orderKey]*sentOrder
 }
 
-// subject is what an order is about.
-type subject struct {
+// orderKey identifies the engines that an order applies to.
+type orderKey struct {
 	service, domain string
 	spot            bool
 }
 
-// given is the last order of a subject.
-type given struct {
+// sentOrder is the last order for an orderKey.
+type sentOrder struct {
 	engines int
-	// room is how many engines of the other kind there were: when some of them leave, an
-	// order that the bounds of both together have cut is worth repeating.
-	room int
-	// until is when it is repeated if it has not been carried out, failed whether it was not
-	// taken.
-	until  time.Time
-	failed bool
+	// otherKind is the number of engines of the other kind at that time. If the limit for both kinds
+	// together cut the order, it should be repeated once some of those have terminated.
+	otherKind int
+	// retryAt is when the order is repeated if it has not been executed. failed is true if sending it
+	// failed.
+	retryAt time.Time
+	failed  bool
 }
 
-// New returns a scaler that has to be run.
+// New returns a Scaler. The caller has to call Run.
 func New(o Options) *Scaler {
-	return &Scaler{o: o, logger: log.With(o.Logger, "component", "scaler"), policies: map[string]*capacity.Policy{}, orders: map[subject]*given{}}
+	return &Scaler{opts: o, logger: log.With(o.Logger, "component", "scaler"), policies: map[string]*capacity.Policy{}, orders: map[orderKey]*sentOrder{}}
 }
 
-// Run orders engines until ctx ends.
-func (s *Scaler) Run(ctx context.Context) { periodic.Run(ctx, reviewEvery, s.review) }
+// Run orders engines until ctx is done.
+func (s *Scaler) Run(ctx context.Context) { periodic.Run(ctx, reviewInterval, s.review) }
 
-// review orders what is missing. While the store is away nobody knows what there is, and
-// nothing is ordered.
+// review orders the missing engines. While the store is unavailable, the present number of engines
+// is unknown and nothing is ordered.
 func (s *Scaler) review(ctx context.Context) {
-	g, ok := s.o.Authority.Grant()
-	v := s.o.View()
+	g, ok := s.opts.Authority.Grant()
+	v := s.opts.View()
 	if !ok || !v.Complete() || !v.StoreUp {
 		return
 	}
 	if g.Token != s.token {
 		s.token = g.Token
-		clear(s.orders) // others may have ordered since
+		clear(s.orders) // other processes may have sent orders since
 	}
 	for _, name := range slices.Sorted(maps.Keys(v.Config.Services)) {
 		if service := v.Config.Services[name]; service.Scaling != nil {
-			s.scale(ctx, g, v, &service)
+			s.scaleService(ctx, g, v, &service)
 		}
 	}
 }
 
-func (s *Scaler) scale(ctx context.Context, g duty.Grant, v *fleet.View, service *fleet.Service) {
+func (s *Scaler) scaleService(ctx context.Context, g duty.Grant, v *fleet.View, service *fleet.Service) {
 	p := s.policies[service.Name]
 	if p == nil {
 		p = &capacity.Policy{}
 		s.policies[service.Name] = p
 	}
-	in := input(v, service)
+	in := policyInput(v, service)
 	targets := p.Decide(in)
 	for n, d := range in.Domains {
 		next := targets[n]
-		s.order(ctx, g, service, capacity.Order{Service: service.Name, Domain: d.Name, Engines: next.Spot, Spot: true}, d.Spot, d.Lasting)
-		s.order(ctx, g, service, capacity.Order{Service: service.Name, Domain: d.Name, Engines: next.Lasting}, d.Lasting, d.Spot)
+		s.orderIfNeeded(ctx, g, service, capacity.Order{Service: service.Name, Domain: d.Name, Engines: next.Spot, Spot: true}, d.Spot, d.OnDemand)
+		s.orderIfNeeded(ctx, g, service, capacity.Order{Service: service.Name, Domain: d.Name, Engines: next.OnDemand}, d.OnDemand, d.Spot)
 	}
 }
 
-// input describes what a service has.
-func input(v *fleet.View, service *fleet.Service) capacity.Input {
+// policyInput returns the present engines of a service.
+func policyInput(v *fleet.View, service *fleet.Service) capacity.Input {
 	in := capacity.Input{Scaling: service.Scaling}
 	for _, name := range slices.Sorted(maps.Keys(service.Scaling.Prices)) {
 		d := capacity.Domain{Name: name, Price: service.Scaling.Prices[name]}
@@ -123,7 +123,7 @@
 			case i.Spot:
 				d.Spot++
 			default:
-				d.Lasting++
+				d.OnDemand++
 			}
 		}
 		in.Domains = append(in.Domains, d)
@@ -131,49 +131,50 @@
 	return in
 }
 
-// order gives an order if it is needed: so many engines of its kind are present, and so many of
-// the other kind.
-func (s *Scaler) order(ctx context.Context, g duty.Grant, service *fleet.Service, o capacity.Order, present, others int) {
-	what := subject{o.Service, o.Domain, o.Spot}
-	last := s.orders[what]
-	if !needed(last, o.Engines, present, others, time.Now()) {
+// orderIfNeeded sends an order unless it is unnecessary. present is the number of engines of the
+// order's kind, others that of the other kind.
+func (s *Scaler) orderIfNeeded(ctx context.Context, g duty.Grant, service *fleet.Service, o capacity.Order, present, others int) {
+	key := orderKey{o.Service, o.Domain, o.Spot}
+	last := s.orders[key]
+	if !orderNeeded(last, o.Engines, present, others, time.Now()) {
 		return
 	}
 	octx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	err := s.o.Orderer.Order(octx, g, o)
+	err := s.opts.Orderer.Order(octx, g, o)
 	level.Info(s.logger).Log("msg", "engines ordered", "service", o.Service, "domain", o.Domain, "spot", o.Spot, "engines", o.Engines,
-		"before", last.ordered(), "present", present, "others", others, "token", g.Token, "err", err)
-	metrics.GetOrRegisterCounter("scaler.orders", s.o.Metrics).Inc(1)
-	pause := service.Scaling.Startup + startSlack
+		"before", last.count(), "present", present, "others", others, "token", g.Token, "err", err)
+	metrics.GetOrRegisterCounter("scaler.orders", s.opts.Metrics).Inc(1)
+	retryAfter := service.Scaling.Startup + startupMargin
 	if err != nil {
-		pause = failedPause
+		retryAfter = failedOrderBackoff
 	}
-	s.orders[what] = &given{engines: o.Engines, room: others, until: time.Now().Add(pause), failed: err != nil}
+	s.orders[key] = &sentOrder{engines: o.Engines, otherKind: others, retryAt: time.Now().Add(retryAfter), failed: err != nil}
 }
 
-// ordered returns the number of engines of an order, 0 if there was none.
-func (g *given) ordered() int {
-	if g == nil {
+// count returns the number of engines of the order, 0 if there was none.
+func (o *sentOrder) count() int {
+	if o == nil {
 		return 0
 	}
-	return g.engines
+	return o.engines
 }
 
-// needed reports whether an order of so many engines has to be given, where last is the one
-// before, nil for none, and so many engines of its kind and of the other one are present.
-func needed(last *given, engines, present, others int, now time.Time) bool {
+// orderNeeded reports whether an order for a number of engines has to be sent. last is the previous
+// order, or nil; present and others are the numbers of engines of the order's kind and of the other
+// kind.
+func orderNeeded(last *sentOrder, engines, present, others int, now time.Time) bool {
 	switch {
 	case last != nil && last.engines != engines:
-		return true // also if they are present, since the last order may still be carried out
+		return true // even if they are present, because the previous order may still be executed
 	case present == engines:
 		return false
 	case last == nil:
 		return true
-	case !now.Before(last.until):
+	case !now.Before(last.retryAt):
 		return true
 	case last.failed:
 		return false
 	}
-	return others < last.room
+	return others < last.otherKind
 }
