--- a/internal/rolekeeper/bench_test.go
+++ b/internal/rolekeeper/bench_test.go
@@ -15,12 +15,12 @@
 	"github.com/rockdoor/rockdoor/roles"
 )
 
-// observer has no right to order.
-type observer struct{}
+// noAuthority never grants the authority to send orders.
+type noAuthority struct{}
 
-func (observer) Grant() (duty.Grant, bool) { return duty.Grant{}, false }
+func (noAuthority) Grant() (duty.Grant, bool) { return duty.Grant{}, false }
 
-// BenchmarkReview reviews the roles of so many engines.
+// BenchmarkReview reviews the roles of services of different sizes.
 func BenchmarkReview(b *testing.B) {
 	for _, n := range []int{120, 9543} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -37,7 +37,7 @@
 			}
 			v.Index()
 			k := New(Options{
-				Authority: observer{}, Policy: roles.Packing, Placer: placement.New("a", nil, nil), View: func() *fleet.View { return v },
+				Authority: noAuthority{}, Policy: roles.Packing, Placer: placement.New("a", nil, nil), View: func() *fleet.View { return v },
 				Metrics: metrics.NewRegistry(), Logger: log.NewNopLogger(),
 			})
 			b.ReportAllocs()
--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -1,5 +1,5 @@
-// Package rolekeeper has engines change their roles. The gateway that has the authority over
-// duties gives the orders.
+// Package rolekeeper changes the roles of engines. The gateway that holds the authority for duties
+// sends the orders.
 package rolekeeper
 
 import (
@@ -22,88 +22,88 @@
 )
 
 const (
-	// planEvery is how often roles are reviewed.
-	planEvery = 200 * time.Millisecond
-	// orderTimeout bounds an order and the report that is read before it.
+	reviewInterval = 200 * time.Millisecond
+	// orderTimeout is the timeout for an order together with the report that is fetched before it.
 	orderTimeout = 800 * time.Millisecond
-	// spreadTime is how long an engine is announced as changing before it gets the
-	// order, so that the other gateways send it nothing more.
-	spreadTime = 150 * time.Millisecond
-	// settleTime is how long an engine is left alone after an order without an
-	// answer, which may be carried out up to 12 s later.
-	settleTime = 13 * time.Second
-	// changeSlack is how long beyond the stated time a change may take; requests
-	// that run are finished first.
-	changeSlack = 12 * time.Second
-	// dwell is how long a role is kept at the least, unless engines are lost.
-	dwell = 5 * time.Second
-	// atOnceShare is the part of a service's engines that may change at a time, and at least
-	// minAtOnce.
-	atOnceShare = 1.0 / 3
-	minAtOnce   = 4
+	// announceTime is the time between the announcement of a role change to the other gateways and
+	// the order, so that they stop sending requests to the engine.
+	announceTime = 150 * time.Millisecond
+	// unansweredOrderTime is how long an engine gets no further order after one without a response.
+	// The platform may execute such an order up to 12 s later.
+	unansweredOrderTime = 13 * time.Second
+	// changeMargin is the time in addition to Service.RoleChange within which a change must be
+	// complete. An engine first finishes its requests.
+	changeMargin = 12 * time.Second
+	// minDwellTime is the minimum time between two orders to the same engine.
+	minDwellTime = 5 * time.Second
+	// At most maxConcurrentShare of a service's engines change their roles at the same time, but at
+	// least minConcurrent may.
+	maxConcurrentShare = 1.0 / 3
+	minConcurrent      = 4
 )
 
-// Options of a Keeper.
+// Options configures a Keeper.
 type Options struct {
-	// Authority gives the right to order.
+	// Authority grants the right to send orders.
 	Authority duty.Granter
-	// Policy is a name of package roles.
+	// Policy is the name of a policy of package roles.
 	Policy  string
 	Engines engine.Keeper
 	Placer  *placement.Placer
-	// View returns the latest view. Only schedulers, which know the load, keep roles.
+	// View returns the latest view. Only schedulers know the load, so other processes review no
+	// roles.
 	View    func() *fleet.View
 	Metrics metrics.Registry
 	Logger  log.Logger
 }
 
-// Keeper keeps the roles of all services' engines.
+// Keeper decides on and orders the role changes of all services' engines.
 type Keeper struct {
-	o      Options
+	opts   Options
 	logger log.Logger
 
-	// policies, changed and engines, which is used for each input again, belong to the goroutine of Run.
-	policies map[string]roles.Policy
-	changed  map[string]time.Time
-	engines  []roles.Engine
+	// policies, lastOrderAt and engineBuf, which is reused for each policy input, are accessed only
+	// by the goroutine of Run.
+	policies    map[string]roles.Policy
+	lastOrderAt map[string]time.Time
+	engineBuf   []roles.Engine
 
 	mu      sync.Mutex
-	pending map[string]*change
-	giving  sync.WaitGroup
+	pending map[string]*pendingOrder
+	sending sync.WaitGroup
 }
 
-// change is an order to one engine that is not settled.
-type change struct {
-	to roles.Change
-	// announced engines get no requests.
+// pendingOrder is an order to one engine whose result is not known yet.
+type pendingOrder struct {
+	change roles.Change
+	// announced is true while the engine must get no requests.
 	announced bool
-	// until is when the order is given up on.
-	until time.Time
+	// expiresAt is when the order is considered failed.
+	expiresAt time.Time
 }
 
-// New returns a keeper that has to be run.
+// New returns a Keeper. The caller has to call Run.
 func New(o Options) *Keeper {
 	return &Keeper{
-		o: o, logger: log.With(o.Logger, "component", "roles"),
-		policies: map[string]roles.Policy{}, changed: map[string]time.Time{}, pending: map[string]*change{},
+		opts: o, logger: log.With(o.Logger, "component", "roles"),
+		policies: map[string]roles.Policy{}, lastOrderAt: map[string]time.Time{}, pending: map[string]*pendingOrder{},
 	}
 }
 
-// Changing returns the engines that this process is having change their role, and
-// to which.
+// Changing returns the engines with an announced role change of this process, and their new roles.
 func (k *Keeper) Changing() map[string]engine.Role {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	out := map[string]engine.Role{}
 	for id, c := range k.pending {
 		if c.announced {
-			out[id] = c.to.To
+			out[id] = c.change.To
 		}
 	}
 	return out
 }
 
-// IsChanging reports whether this process is having an engine change its role.
+// IsChanging reports whether the engine has an announced role change of this process.
 func (k *Keeper) IsChanging(id string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -111,91 +111,91 @@
 	return c != nil && c.announced
 }
 
-// Run keeps the roles until ctx ends and all orders are given.
+// Run reviews the roles until ctx is done, and returns when all orders have been sent.
 func (k *Keeper) Run(ctx context.Context) {
-	periodic.Run(ctx, planEvery, k.review)
-	k.giving.Wait()
+	periodic.Run(ctx, reviewInterval, k.review)
+	k.sending.Wait()
 }
 
-// review settles the orders in hand and, while this process holds the lease, gives
-// those that the policies want. The policies observe the load at every gateway, so
-// that the next holder need not learn it first.
+// review closes completed orders and, while this process holds the authority, sends the orders that
+// the policies decide on. The policies run on every scheduler, so that the next holder of the
+// authority has their state already.
 func (k *Keeper) review(ctx context.Context) {
-	v := k.o.View()
-	k.settle(v)
-	grant, mayOrder := k.o.Authority.Grant()
+	v := k.opts.View()
+	k.closeOrders(v)
+	grant, mayOrder := k.opts.Authority.Grant()
 	if !v.Complete() || !v.Scheduling {
 		return
 	}
 	for name, service := range v.Config.Services {
 		if service.KVCapacity > 0 {
-			k.plan(ctx, v, name, grant, mayOrder)
+			k.applyPolicy(ctx, v, name, grant, mayOrder)
 		}
 	}
 }
 
-// plan asks a service's policy for changes. Without mayOrder the policy only
-// observes.
-func (k *Keeper) plan(ctx context.Context, v *fleet.View, service string, grant duty.Grant, mayOrder bool) {
+// applyPolicy runs a service's policy and starts the changes that it decides on. Without mayOrder
+// it starts none and the policy only observes the load.
+func (k *Keeper) applyPolicy(ctx context.Context, v *fleet.View, service string, grant duty.Grant, mayOrder bool) {
 	p := k.policies[service]
 	if p == nil {
 		var err error
-		if p, err = roles.New(k.o.Policy); err != nil {
-			level.Error(k.logger).Log("msg", "no policy", "err", err)
+		if p, err = roles.New(k.opts.Policy); err != nil {
+			level.Error(k.logger).Log("msg", "role policy not available", "err", err)
 			return
 		}
 		k.policies[service] = p
 	}
-	most := max(minAtOnce, int(atOnceShare*float64(len(v.Usable(service)))))
-	for range most {
-		in := k.input(v, service)
+	maxConcurrent := max(minConcurrent, int(maxConcurrentShare*float64(len(v.Usable(service)))))
+	for range maxConcurrent {
+		in := k.policyInput(v, service)
 		c := p.Decide(in)
-		if c == nil || !mayOrder || k.inHand() >= most {
+		if c == nil || !mayOrder || k.inProgress() >= maxConcurrent {
 			return
 		}
 		level.Info(k.logger).Log("msg", "role decision", "service", service, "engine", c.Engine, "from", c.From, "to", c.To, "reason", c.Reason, "token", grant.Token)
-		metrics.GetOrRegisterCounter("roles.decisions", k.o.Metrics).Inc(1)
-		k.begin(ctx, v.Instances[c.Engine], c, grant, v.Config.Services[service].RoleChange)
+		metrics.GetOrRegisterCounter("roles.decisions", k.opts.Metrics).Inc(1)
+		k.startOrder(ctx, v.Instances[c.Engine], c, grant, v.Config.Services[service].RoleChange)
 	}
 }
 
-// input describes a service's engines to its policy. An engine that is changing
-// counts as changed.
-func (k *Keeper) input(v *fleet.View, service string) roles.Input {
+// policyInput returns the input for a service's policy. An engine that is changing counts with its
+// new role.
+func (k *Keeper) policyInput(v *fleet.View, service string) roles.Input {
 	in := roles.Input{Now: time.Now(), Gateways: v.Processes}
 	var queue time.Duration
-	reading := 0
+	prefillEngines := 0
 	usable := v.Usable(service)
-	in.Engines = slices.Grow(k.engines[:0], len(usable))
-	k.o.Placer.EachLoad(service, usable, func(i *fleet.Instance, load placement.Load, ahead time.Duration) {
+	in.Engines = slices.Grow(k.engineBuf[:0], len(usable))
+	k.opts.Placer.EachLoad(service, usable, func(i *fleet.Instance, load placement.Load, queueTime time.Duration) {
 		role, movable := i.Role, true
-		if at, changed := k.changed[i.ID]; changed {
-			movable = in.Now.Sub(at) > dwell
+		if at, changed := k.lastOrderAt[i.ID]; changed {
+			movable = in.Now.Sub(at) > minDwellTime
 		}
-		if c := k.change(i.ID); c != nil {
-			role, movable = c.to.To, false
+		if c := k.pendingOrder(i.ID); c != nil {
+			role, movable = c.change.To, false
 		}
 		if i.Role == engine.RolePrefill {
-			reading++
-			queue += ahead
+			prefillEngines++
+			queue += queueTime
 		}
 		in.Engines = append(in.Engines, roles.Engine{
 			Name: i.ID, Domain: i.Domain, Role: role, Movable: movable, Requests: load.Long, Slots: i.Slots,
 			PrefillTokens: load.Unread.All().Tokens,
 		})
 	})
-	k.engines = in.Engines
-	in.Queue = queue / time.Duration(max(reading, 1))
+	k.engineBuf = in.Engines
+	in.Queue = queue / time.Duration(max(prefillEngines, 1))
 	return in
 }
 
-func (k *Keeper) change(id string) *change {
+func (k *Keeper) pendingOrder(id string) *pendingOrder {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.pending[id]
 }
 
-func (k *Keeper) inHand() int {
+func (k *Keeper) inProgress() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	n := 0
@@ -207,93 +207,94 @@
 	return n
 }
 
-// begin gives an order in a goroutine of its own.
-func (k *Keeper) begin(ctx context.Context, i *fleet.Instance, c *roles.Change, g duty.Grant, takes time.Duration) {
+// startOrder announces a role change and sends the order in a new goroutine.
+func (k *Keeper) startOrder(ctx context.Context, i *fleet.Instance, c *roles.Change, g duty.Grant, roleChange time.Duration) {
 	k.mu.Lock()
-	k.pending[i.ID] = &change{to: *c, announced: true, until: time.Now().Add(takes + changeSlack)}
+	k.pending[i.ID] = &pendingOrder{change: *c, announced: true, expiresAt: time.Now().Add(roleChange + changeMargin)}
 	k.mu.Unlock()
-	k.changed[i.ID] = time.Now()
-	k.giving.Add(1)
+	k.lastOrderAt[i.ID] = time.Now()
+	k.sending.Add(1)
 	go func() {
-		defer k.giving.Done()
-		k.give(ctx, i, c, g)
+		defer k.sending.Done()
+		k.sendOrder(ctx, i, c, g)
 	}()
 }
 
-func (k *Keeper) give(ctx context.Context, i *fleet.Instance, c *roles.Change, g duty.Grant) {
+func (k *Keeper) sendOrder(ctx context.Context, i *fleet.Instance, c *roles.Change, g duty.Grant) {
 	select {
 	case <-ctx.Done():
-		k.forget(i.ID)
+		k.removeOrder(i.ID)
 		return
-	case <-time.After(spreadTime):
+	case <-time.After(announceTime):
 	}
 	octx, cancel := context.WithTimeout(context.WithoutCancel(ctx), orderTimeout)
 	defer cancel()
-	report, err := k.o.Engines.Report(octx, i.Address)
+	report, err := k.opts.Engines.Report(octx, i.Address)
 	if err == nil && report.Changing {
-		// An order of an earlier holder. Engines have two roles, so it is to the
-		// same one; the registration will tell.
-		level.Info(k.logger).Log("msg", "order not given", "engine", i.ID, "reason", "an earlier order is under way")
+		// The order comes from an earlier holder of the authority. Since engines have two roles only,
+		// it is an order for the same role. The registration will show when it has been executed.
+		level.Info(k.logger).Log("msg", "order not sent", "engine", i.ID, "reason", "an earlier order is still being executed")
 		return
 	}
 	if err == nil && report.Role != c.From {
-		err = fault.Newf(fault.Conflict, "its registration is waited for", "engine is in role %s already", report.Role)
+		err = fault.Newf(fault.Conflict, "no action is needed: its registration follows", "engine already has the role %s", report.Role)
 	}
 	if err != nil {
-		k.forget(i.ID)
-		level.Warn(k.logger).Log("msg", "order not given", "engine", i.ID, "err", err)
+		k.removeOrder(i.ID)
+		level.Warn(k.logger).Log("msg", "order not sent", "engine", i.ID, "err", err)
 		return
 	}
-	err = k.o.Engines.Order(octx, i.Address, engine.RoleOrder{
+	err = k.opts.Engines.Order(octx, i.Address, engine.RoleOrder{
 		Instance: i.ID, Role: c.To, Holder: g.Holder, Token: g.Token, Orders: report.Orders, Check: g.Check,
 	})
 	level.Info(k.logger).Log("msg", "order", "engine", i.ID, "to", c.To, "token", g.Token, "orders", report.Orders, "err", err)
 	switch {
 	case err == nil:
 	case fault.Is(err, fault.Unknown):
-		k.unanswered(i.ID)
+		k.markUnanswered(i.ID)
 	default:
-		k.forget(i.ID)
+		k.removeOrder(i.ID)
 	}
 }
 
-// unanswered makes an engine take requests again whose order may or may not be
-// carried out. It gets no other order until that is settled.
-func (k *Keeper) unanswered(id string) {
+// markUnanswered lets an engine accept requests again although its order may still be executed. The
+// engine gets no other order until then.
+func (k *Keeper) markUnanswered(id string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if c := k.pending[id]; c != nil {
-		c.announced, c.until = false, time.Now().Add(settleTime)
+		c.announced, c.expiresAt = false, time.Now().Add(unansweredOrderTime)
 	}
 }
 
-func (k *Keeper) forget(id string) {
+func (k *Keeper) removeOrder(id string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.pending, id)
 }
 
-// settle drops the orders whose engines have changed, have left, or do not change.
-func (k *Keeper) settle(v *fleet.View) {
+// closeOrders removes the orders whose engines have changed their role, have terminated or did not
+// change in time.
+func (k *Keeper) closeOrders(v *fleet.View) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for id, c := range k.pending {
 		i := v.Instances[id]
 		switch {
 		case i == nil:
-			level.Info(k.logger).Log("msg", "order ended", "engine", id, "reason", "engine has left")
-		case i.Role == c.to.To:
+			level.Info(k.logger).Log("msg", "order ended", "engine", id, "reason", "engine is no longer registered")
+		case i.Role == c.change.To:
 			level.Info(k.logger).Log("msg", "order ended", "engine", id, "role", i.Role)
-		case time.Now().After(c.until):
+		case time.Now().After(c.expiresAt):
 			level.Warn(k.logger).Log("msg", "order ended", "engine", id, "role", i.Role, "reason", "engine did not change")
 		default:
 			continue
 		}
 		delete(k.pending, id)
 	}
-	for id := range k.changed {
+	for id := range k.lastOrderAt {
 		if v.Instances[id] == nil {
-			delete(k.changed, id)
+			delete(k.lastOrderAt, id)
 		}
 	}
 }
--- a/internal/rolekeeper/rolekeeper_test.go
+++ b/internal/rolekeeper/rolekeeper_test.go
@@ -26,25 +26,25 @@
 )
 
 const (
-	testTTL   = 900 * time.Millisecond
-	testApart = 500 * time.Millisecond
-	testSlots = 4
+	testTTL           = 900 * time.Millisecond
+	testHandoverDelay = 500 * time.Millisecond
+	testSlots         = 4
 )
 
-// pool is a service's engines and the store, as several keepers see them.
-type pool struct {
+// testPool holds the engines of a service and the store, which several keepers share.
+type testPool struct {
 	t       *testing.T
 	store   *fleetstore.Server
 	address string
 	engines []*fleetengine.Engine
 	view    atomic.Pointer[fleet.View]
-	// running and queued are the load at each generating and reading engine.
+	// running and queued are the load of each decode and of each prefill engine.
 	running, queued atomic.Int64
 }
 
-func newPool(t *testing.T, stages ...string) *pool {
+func newTestPool(t *testing.T, stages ...string) *testPool {
 	t.Helper()
-	p := &pool{t: t, store: fleetstore.New()}
+	p := &testPool{t: t, store: fleetstore.New()}
 	server := httptest.NewServer(p.store)
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 	p.address = server.Listener.Addr().String()
@@ -65,8 +65,8 @@
 	return p
 }
 
-// refresh publishes the engines' roles, as their registrations do.
-func (p *pool) refresh() {
+// refresh publishes the engines' current roles, like their registrations.
+func (p *testPool) refresh() {
 	old := p.view.Load()
 	v := *old
 	v.Instances = map[string]*fleet.Instance{}
@@ -82,7 +82,7 @@
 	p.view.Store(&v)
 }
 
-func (p *pool) load(id string) placement.Load {
+func (p *testPool) load(id string) placement.Load {
 	if p.view.Load().Instances[id].Role == engine.RolePrefill {
 		var l placement.Load
 		l.Unread[0].Prompts = int(p.queued.Load())
@@ -91,12 +91,12 @@
 	return placement.Load{Requests: int(p.running.Load()), Long: int(p.running.Load())}
 }
 
-// keeper runs a keeper until the returned function is called.
-func (p *pool) keeper(name string) (*Keeper, func()) {
+// keeper runs a Keeper until the returned function is called.
+func (p *testPool) keeper(name string) (*Keeper, func()) {
 	p.t.Helper()
 	store := platform.NewStore(p.address)
 	authority := duty.New(duty.Options{
-		Store: store, Prefix: platform.LeasePrefix, Self: members.Member{Name: name, Incarnation: name + "-1"}, TTL: testTTL, Apart: testApart,
+		Store: store, Prefix: platform.LeasePrefix, Self: members.Member{Name: name, Incarnation: name + "-1"}, TTL: testTTL, Apart: testHandoverDelay,
 		View: p.view.Load, Heard: func() []string { return nil }, Logger: log.NewNopLogger(),
 	})
 	k := New(Options{
@@ -116,7 +116,7 @@
 	return k, stop
 }
 
-func (p *pool) orders() []fleetengine.Order {
+func (p *testPool) orders() []fleetengine.Order {
 	var out []fleetengine.Order
 	for _, e := range p.engines {
 		out = append(out, e.Orders()...)
@@ -125,7 +125,7 @@
 }
 
 func TestHolderChangesRoles(t *testing.T) {
-	p := newPool(t, "prefill", "decode", "decode", "decode", "decode", "decode")
+	p := newTestPool(t, "prefill", "decode", "decode", "decode", "decode", "decode")
 	p.queued.Store(200)
 	k, _ := p.keeper("a")
 	require.Eventually(t, func() bool { p.refresh(); return len(p.orders()) >= 2 }, 6*time.Second, 10*time.Millisecond)
@@ -137,11 +137,10 @@
 	}
 }
 
-// TestTwoHoldersAreApart kills the holder at the worst point, right after an
-// order, and checks that the next one orders with a higher token and not before
-// the time that must lie between.
-func TestTwoHoldersAreApart(t *testing.T) {
-	p := newPool(t, "prefill", "decode", "decode", "decode", "decode", "decode")
+// TestHandoverDelay stops the holder of the authority right after it has sent an order. The next
+// holder must use a higher token and must not send an order before the handover delay has passed.
+func TestHandoverDelay(t *testing.T) {
+	p := newTestPool(t, "prefill", "decode", "decode", "decode", "decode", "decode")
 	p.queued.Store(200)
 	_, stopA := p.keeper("a")
 	require.Eventually(t, func() bool { return len(p.orders()) > 0 }, 6*time.Second, time.Millisecond)
@@ -150,43 +149,43 @@
 	first := len(p.orders())
 	p.refresh()
 	p.queued.Store(0)
-	p.running.Store(4 * testSlots) // so that the next holder has something to order
+	p.running.Store(4 * testSlots) // so that the next holder has a reason for an order
 	p.keeper("b")
 	require.Eventually(t, func() bool { p.refresh(); return len(p.orders()) > first }, 8*time.Second, 10*time.Millisecond)
 	for _, o := range p.orders() {
 		if o.Holder == "b" {
 			require.EqualValues(t, 2, o.Token)
-			require.GreaterOrEqual(t, o.At.Sub(last), testApart-50*time.Millisecond)
+			require.GreaterOrEqual(t, o.At.Sub(last), testHandoverDelay-50*time.Millisecond)
 		}
 	}
 }
 
-// TestPausedHolderGivesNoOrder checks the last step before an order is written:
-// a holder that was paused until its grant ended does not write.
+// TestPausedHolderGivesNoOrder checks that a holder which was paused until its grant expired cannot
+// send an order any more.
 func TestPausedHolderGivesNoOrder(t *testing.T) {
-	p := newPool(t, "decode")
+	p := newTestPool(t, "decode")
 	k, stop := p.keeper("a")
 	var g duty.Grant
 	require.Eventually(t, func() bool {
 		var held bool
-		g, held = k.o.Authority.Grant()
+		g, held = k.opts.Authority.Grant()
 		return held
 	}, 2*time.Second, time.Millisecond)
 	require.NoError(t, g.Check())
-	stop() // nobody renews the lease any more
+	stop() // the lease is no longer renewed
 	time.Sleep(testTTL)
 	require.Error(t, g.Check())
-	err := k.o.Engines.Order(context.Background(), p.view.Load().Instances["i-0"].Address, engine.RoleOrder{
+	err := k.opts.Engines.Order(context.Background(), p.view.Load().Instances["i-0"].Address, engine.RoleOrder{
 		Instance: "i-0", Role: engine.RolePrefill, Holder: g.Holder, Token: g.Token, Check: g.Check,
 	})
 	require.Error(t, err)
 	require.Empty(t, p.orders())
 }
 
-// TestUnansweredOrderIsLeftAlone checks that an engine whose order got no answer
-// takes requests and gets no second order while the first may still arrive.
-func TestUnansweredOrderIsLeftAlone(t *testing.T) {
-	p := newPool(t, "prefill", "decode", "decode", "decode", "decode", "decode")
+// TestUnansweredOrderIsNotRepeated checks that an engine whose order got no response accepts
+// requests, and gets no second order while the first may still be executed.
+func TestUnansweredOrderIsNotRepeated(t *testing.T) {
+	p := newTestPool(t, "prefill", "decode", "decode", "decode", "decode", "decode")
 	for _, e := range p.engines {
 		e.OrderDelay = 1500 * time.Millisecond
 		e.Fail(fleetengine.LateOrders, -1)
@@ -201,27 +200,28 @@
 }
 
 func TestNoOrdersWithoutTheStore(t *testing.T) {
-	p := newPool(t, "prefill", "decode", "decode", "decode", "decode", "decode")
+	p := newTestPool(t, "prefill", "decode", "decode", "decode", "decode", "decode")
 	p.store.SetFaults(fleetstore.Faults{Down: true})
 	p.queued.Store(200)
 	p.keeper("a")
-	time.Sleep(testTTL + testApart + time.Second)
+	time.Sleep(testTTL + testHandoverDelay + time.Second)
 	require.Empty(t, p.orders())
 }
 
-// TestOrdersToAReplacedEngine checks that an order names the run it is for.
-func TestOrdersToAReplacedEngine(t *testing.T) {
-	p := newPool(t, "decode")
+// TestOrderToReplacedEngineIsRejected checks that an order is valid for one instance only, not for
+// its address.
+func TestOrderToReplacedEngineIsRejected(t *testing.T) {
+	p := newTestPool(t, "decode")
 	keeper := platform.NewKeeper(upstream.New(metrics.NewRegistry()))
 	err := keeper.Order(context.Background(), p.view.Load().Instances["i-0"].Address, engine.RoleOrder{Instance: "i-old", Role: engine.RolePrefill, Holder: "a", Token: 1})
 	require.Error(t, err)
 	require.Empty(t, p.orders())
 }
 
-// TestOrderOfAnEarlierHolder checks that an engine that is changing already gets
-// no order, and that no other is taken in its place.
-func TestOrderOfAnEarlierHolder(t *testing.T) {
-	p := newPool(t, "prefill", "decode", "decode", "decode")
+// TestEngineIsNotOrderedWhileChanging checks that an engine which is already changing its role gets
+// no order, and that no other engine is changed in its place.
+func TestEngineIsNotOrderedWhileChanging(t *testing.T) {
+	p := newTestPool(t, "prefill", "decode", "decode", "decode")
 	for _, e := range p.engines {
 		e.RoleChange = time.Hour
 	}
@@ -236,27 +236,27 @@
 	require.Len(t, p.orders(), 2)
 }
 
-// TestALargeServiceChangesManyEnginesAtOnce replays a burst of prompts before 30 engines of
-// which all but one generate: with four changes at a time the burst is over first.
-func TestALargeServiceChangesManyEnginesAtOnce(t *testing.T) {
+// TestLargeServiceChangesManyEnginesAtOnce covers a burst of prompts to 30 engines of which only
+// one prefills. With four changes at a time the burst would end before enough engines have changed.
+func TestLargeServiceChangesManyEnginesAtOnce(t *testing.T) {
 	stages := []string{"prefill"}
 	for range 29 {
 		stages = append(stages, "decode")
 	}
-	p := newPool(t, stages...)
+	p := newTestPool(t, stages...)
 	p.queued.Store(200)
 	k, _ := p.keeper("a")
-	require.Eventually(t, func() bool { return len(k.Changing()) > minAtOnce }, 6*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return len(k.Changing()) > minConcurrent }, 6*time.Second, time.Millisecond)
 }
 
-// TestOnlySchedulersHoldTheLease takes the holder out of the schedulers: the next one gives
-// the orders.
+// TestOnlySchedulersHoldTheLease removes the holder from the schedulers, which must end its
+// authority.
 func TestOnlySchedulersHoldTheLease(t *testing.T) {
-	p := newPool(t, "prefill", "decode", "decode", "decode", "decode", "decode")
+	p := newTestPool(t, "prefill", "decode", "decode", "decode", "decode", "decode")
 	k, _ := p.keeper("a")
-	require.Eventually(t, func() bool { _, held := k.o.Authority.Grant(); return held }, 3*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { _, held := k.opts.Authority.Grant(); return held }, 3*time.Second, 10*time.Millisecond)
 	v := *p.view.Load()
 	v.Scheduling = false
 	p.view.Store(&v)
-	require.Eventually(t, func() bool { _, held := k.o.Authority.Grant(); return !held }, 3*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { _, held := k.opts.Authority.Grant(); return !held }, 3*time.Second, 10*time.Millisecond)
 }
--- a/placement/runner.go
+++ b/placement/runner.go
@@ -64,7 +64,7 @@
 		requests += p.load(p.state(r)).Requests
 		slots = max(slots, r.Slots)
 	}
-	decodeEngines := roles.Generating(float64(requests), slots, len(j.Permitted))
+	decodeEngines := roles.MinDecodeEngines(float64(requests), slots, len(j.Permitted))
 	if decodeEngines >= len(targets) {
 		return nil
 	}
--- a/roles/example_test.go
+++ b/roles/example_test.go
@@ -16,7 +16,7 @@
 	}
 	in := roles.Input{
 		Engines: []roles.Engine{{Name: "a", Role: engine.RoleMixed, Movable: true}, {Name: "b", Role: engine.RoleMixed}},
-		Demand:  roles.Demand{Prefill: 14000}, // as much as one engine can read
+		Demand:  roles.Demand{Prefill: 14000}, // the prefill capacity of one engine
 		Weights: roles.Weights{Goodput: 1, Change: 3},
 	}
 	start := time.Unix(0, 0)
--- a/roles/packing.go
+++ b/roles/packing.go
@@ -8,94 +8,97 @@
 	"github.com/rockdoor/rockdoor/engine"
 )
 
-// packing keeps as few engines generating as the requests in hand fill, and has
-// the others read, once prompts wait. Generating engines slow down little when
-// they are full, so packing them costs nothing, while each engine that reads
+// packing assigns as few engines to decode as the requests in flight can fill, and uses the others
+// for prefill while prompts are queued. Decode engines slow down only a little when all their slots
+// are busy, so packing requests onto few of them costs little, while each additional prefill engine
 // shortens the queue of prompts.
 type packing struct {
-	first, last time.Time
-	// running is the smoothed number of requests that are being generated.
-	running float64
-	// queue is the smoothed queue of prompts in ms.
-	queue float64
-	// known is how many engines there were last, grewAt when there were more than before for the last time.
-	known  int
-	grewAt time.Time
-	// waited and crowded are since when prompts have waited and generating engines
-	// have been too few, zero if they do not.
-	waited, crowded time.Time
+	firstRequestAt, lastDecideAt time.Time
+	// runningRequests is the smoothed number of requests that are being decoded.
+	runningRequests float64
+	// queueMs is the smoothed queueing delay of prompts, in ms.
+	queueMs float64
+	// engineCount is the last number of engines. grewAt is when it last increased.
+	engineCount int
+	grewAt      time.Time
+	// queuedSince is when prompts began to queue, crowdedSince when there began to be too few decode
+	// engines. Both are zero while the condition doesn't hold.
+	queuedSince, crowdedSince time.Time
 }
 
 const (
-	// spareRead is how much more than the smoothed load the generating engines must
-	// still hold after one of them starts to read: bursts that alternate every few
-	// seconds are not followed.
-	spareRead = 1.7
-	// spareGenerate is how much more they must hold at the least.
-	spareGenerate = 1.15
-	// runningHalf is the half-life of the smoothed load: shorter than a shift of
-	// the mix, longer than bursts that alternate.
-	runningHalf = 4 * time.Second
-	// queueTime smooths the queue.
-	queueTime = 500 * time.Millisecond
-	// queueLimit is the queue, in ms, from which another reader is worth having.
-	queueLimit = 40.0
-	// waitFor and crowdedFor are how long prompts must have waited, or generating
-	// engines been too few, before a role changes: prompts that wait are late sooner.
-	waitFor    = 300 * time.Millisecond
-	crowdedFor = 700 * time.Millisecond
-	// shiftFor is how long prompts must have waited before an engine with more than
-	// fewRequests starts to read: it takes as long as its longest request to get
-	// there, longer than a burst, and does nothing else meanwhile. Engines that are
-	// not needed get no long answers, so they are empty soon.
-	shiftFor    = 3 * time.Second
-	fewRequests = 0
-	// learnTime is how long the load is watched before more than learnShare of the
-	// engines may read: requests that generate last for seconds.
-	learnTime  = 4 * time.Second
-	learnShare = 0.6
-	// readersPerGateway and mostInAdvance bound how many engines read before the first request, besides
-	// learnShare, so that the first prompts find readers; without the bounds a large fleet of idle
-	// engines would get an order each. What one decision chooses among is some 120 engines, and what is
-	// not read apart is read by engines that generate.
-	readersPerGateway = 1
-	mostInAdvance     = 72
-	// settleFor is for how long no engine must have registered for engines to get orders in advance: of
-	// thousands that register, those that read may be the last.
-	settleFor = time.Second
-	// minGenerating engines, and the share minGeneratingShare of all, are kept, so
-	// that the loss of one, or of a slow link, stops nothing: each takes over the
-	// memory of prompts one after the other.
-	minGenerating      = 2
-	minGeneratingShare = 0.3
-	minReading         = 1
+	// prefillHeadroom is the capacity, relative to the smoothed load, that the decode engines must
+	// keep when one of them switches to prefill. With less headroom the policy would follow bursts
+	// that alternate every few seconds.
+	prefillHeadroom = 1.7
+	// decodeHeadroom is the minimum capacity of the decode engines relative to the smoothed load.
+	decodeHeadroom = 1.15
+	// runningHalfLife is the half-life of the smoothed load. It is shorter than a lasting change of
+	// the traffic mix and longer than alternating bursts.
+	runningHalfLife = 4 * time.Second
+	// queueTimeConstant is the time constant of the smoothed queueing delay.
+	queueTimeConstant = 500 * time.Millisecond
+	// maxQueueMs is the queueing delay, in ms, above which another prefill engine is useful.
+	maxQueueMs = 40.0
+	// minQueuedTime and minCrowdedTime are how long prompts must have queued, or decode engines been
+	// too few, before a role changes. Queued prompts miss their latency target sooner.
+	minQueuedTime  = 300 * time.Millisecond
+	minCrowdedTime = 700 * time.Millisecond
+	// minQueuedTimeBusy is how long prompts must have queued before an engine with more than
+	// maxRequestsToSwitch requests switches to prefill. Such an engine first finishes its longest
+	// request, which takes longer than a burst, and does nothing else meanwhile. Engines that aren't
+	// needed for decoding get no long requests, so they soon have none.
+	minQueuedTimeBusy   = 3 * time.Second
+	maxRequestsToSwitch = 0
+	// observeTime is how long the load must have been observed before more than
+	// maxInitialPrefillShare of the engines may prefill. Decoding takes seconds, so the load is not
+	// known earlier.
+	observeTime            = 4 * time.Second
+	maxInitialPrefillShare = 0.6
+	// Before the first request, maxInitialPrefillShare, prefillPerGateway and maxInitialPrefill limit
+	// the number of prefill engines, which exist so that the first prompts don't wait for a role
+	// change. Without the last two limits a large idle fleet would send an order to most of its
+	// engines. One decision considers about 120 engines, and prompts without a separate prefill need
+	// decode engines.
+	prefillPerGateway = 1
+	maxInitialPrefill = 72
+	// registrationQuietTime is how long no new engine must have registered before roles change ahead
+	// of the first request. When thousands of engines register, the prefill engines may be the last
+	// ones.
+	registrationQuietTime = time.Second
+	// minDecode engines, and the share minDecodeShare of all, always decode, so that the loss of one
+	// engine or of a slow link doesn't stop the service. An engine receives the KV caches of prompts
+	// one after the other.
+	minDecode      = 2
+	minDecodeShare = 0.3
+	minPrefill     = 1
 )
 
 func (p *packing) Decide(in Input) *Change {
-	generating, reading, slots := 0, 0, 0
+	decodeEngines, prefillEngines, slots := 0, 0, 0
 	for _, e := range in.Engines {
 		if e.Role == engine.RolePrefill {
-			reading++
+			prefillEngines++
 			continue
 		}
-		generating++
+		decodeEngines++
 		slots = max(slots, e.Slots)
 	}
 	if slots == 0 {
 		return nil
 	}
-	p.observe(in, generating*slots, generating < leastGenerating(generating+reading))
-	settled := p.settled(in.Now, generating+reading)
-	reason := fmt.Sprintf("%.0f requests generating, %d engines with %d slots each, %.0f ms of prompts queued", p.running, generating, slots, p.queue)
+	p.observe(in, decodeEngines*slots, decodeEngines < decodeFloor(decodeEngines+prefillEngines))
+	settled := p.registrationSettled(in.Now, decodeEngines+prefillEngines)
+	reason := fmt.Sprintf("%.0f requests decoding, %d decode engines with %d slots each, %.0f ms of prompts queued", p.runningRequests, decodeEngines, slots, p.queueMs)
 	switch {
-	case p.first.IsZero() && in.Queue == 0 && settled && reading < readInAdvance(reading+generating, in.Gateways):
-		return move(in.Engines, engine.RoleMixed, engine.RolePrefill, "nothing is generated yet")
-	case due(p.crowded, in.Now, crowdedFor) && reading > minReading:
-		p.crowded = in.Now
-		return move(in.Engines, engine.RolePrefill, engine.RoleMixed, reason)
-	case due(p.waited, in.Now, waitFor) && p.maySpare(in, generating, reading, slots):
-		c := move(in.Engines, engine.RoleMixed, engine.RolePrefill, reason)
-		if c != nil && requestsAt(in.Engines, c.Engine) > fewRequests && !due(p.waited, in.Now, shiftFor) {
+	case p.firstRequestAt.IsZero() && in.Queue == 0 && settled && prefillEngines < initialPrefillEngines(prefillEngines+decodeEngines, in.Gateways):
+		return chooseEngine(in.Engines, engine.RoleMixed, engine.RolePrefill, "no request has been decoded yet")
+	case elapsed(p.crowdedSince, in.Now, minCrowdedTime) && prefillEngines > minPrefill:
+		p.crowdedSince = in.Now
+		return chooseEngine(in.Engines, engine.RolePrefill, engine.RoleMixed, reason)
+	case elapsed(p.queuedSince, in.Now, minQueuedTime) && p.canSwitchToPrefill(in, decodeEngines, prefillEngines, slots):
+		c := chooseEngine(in.Engines, engine.RoleMixed, engine.RolePrefill, reason)
+		if c != nil && requestsOf(in.Engines, c.Engine) > maxRequestsToSwitch && !elapsed(p.queuedSince, in.Now, minQueuedTimeBusy) {
 			return nil
 		}
 		return c
@@ -103,7 +106,7 @@
 	return nil
 }
 
-func requestsAt(engines []Engine, name string) int {
+func requestsOf(engines []Engine, name string) int {
 	for _, e := range engines {
 		if e.Name == name {
 			return e.Requests
@@ -112,68 +115,68 @@
 	return 0
 }
 
-// Generating returns how many of n engines should generate at the least while they
-// have a number of requests, each in one of its slots.
-func Generating(requests float64, slots, n int) int {
-	return max(leastGenerating(n), int(math.Ceil(requests*spareRead/float64(slots))))
+// MinDecodeEngines returns how many of n engines should decode at least, for a number of requests
+// in flight that each need a slot.
+func MinDecodeEngines(requests float64, slots, n int) int {
+	return max(decodeFloor(n), int(math.Ceil(requests*prefillHeadroom/float64(slots))))
 }
 
-// leastGenerating returns how many of n engines generate however few requests
-// there are.
-func leastGenerating(n int) int {
-	return max(minGenerating, int(math.Ceil(minGeneratingShare*float64(n))))
+// decodeFloor returns how many of n engines decode even without requests.
+func decodeFloor(n int) int {
+	return max(minDecode, int(math.Ceil(minDecodeShare*float64(n))))
 }
 
-// readInAdvance returns how many of n engines read while nobody has used them yet.
-func readInAdvance(n, gateways int) int {
-	return min(int(learnShare*float64(n)), readersPerGateway*gateways, mostInAdvance)
+// initialPrefillEngines returns how many of n engines prefill before the first request.
+func initialPrefillEngines(n, gateways int) int {
+	return min(int(maxInitialPrefillShare*float64(n)), prefillPerGateway*gateways, maxInitialPrefill)
 }
 
-// settled takes in how many engines there are, and reports whether their number has not grown for a
-// while.
-func (p *packing) settled(now time.Time, engines int) bool {
-	if engines > p.known {
+// registrationSettled records the number of engines and reports whether it has not grown for
+// registrationQuietTime.
+func (p *packing) registrationSettled(now time.Time, engines int) bool {
+	if engines > p.engineCount {
 		p.grewAt = now
 	}
-	p.known = engines
-	return now.Sub(p.grewAt) >= settleFor
+	p.engineCount = engines
+	return now.Sub(p.grewAt) >= registrationQuietTime
 }
 
-// maySpare reports whether the load leaves a generating engine to spare.
-func (p *packing) maySpare(in Input, generating, reading, slots int) bool {
-	if generating <= Generating(p.running, slots, generating+reading) {
+// canSwitchToPrefill reports whether the load permits that a decode engine switches to prefill.
+func (p *packing) canSwitchToPrefill(in Input, decodeEngines, prefillEngines, slots int) bool {
+	if decodeEngines <= MinDecodeEngines(p.runningRequests, slots, decodeEngines+prefillEngines) {
 		return false
 	}
-	return in.Now.Sub(p.first) >= learnTime || float64(reading+1) <= learnShare*float64(reading+generating)
+	return in.Now.Sub(p.firstRequestAt) >= observeTime || float64(prefillEngines+1) <= maxInitialPrefillShare*float64(prefillEngines+decodeEngines)
 }
 
-func due(since, now time.Time, after time.Duration) bool {
+func elapsed(since, now time.Time, after time.Duration) bool {
 	return !since.IsZero() && now.Sub(since) >= after
 }
 
-func (p *packing) observe(in Input, room int, tooFew bool) {
-	dt := in.Now.Sub(p.last)
-	if p.last.IsZero() || dt < 0 {
+func (p *packing) observe(in Input, decodeSlots int, tooFewDecode bool) {
+	dt := in.Now.Sub(p.lastDecideAt)
+	if p.lastDecideAt.IsZero() || dt < 0 {
 		dt = 0
 	}
-	p.last = in.Now
+	p.lastDecideAt = in.Now
 	running := 0
 	for _, e := range in.Engines {
 		if e.Role != engine.RolePrefill {
 			running += e.Requests
 		}
 	}
-	if p.first.IsZero() && running > 0 {
-		p.first = in.Now
+	if p.firstRequestAt.IsZero() && running > 0 {
+		p.firstRequestAt = in.Now
 	}
-	p.running += (float64(running) - p.running) * (1 - math.Exp2(-dt.Seconds()/runningHalf.Seconds()))
-	p.queue += (in.Queue.Seconds()*1000 - p.queue) * (1 - math.Exp(-dt.Seconds()/queueTime.Seconds()))
-	p.waited = since(p.waited, in.Now, p.queue > queueLimit)
-	p.crowded = since(p.crowded, in.Now, tooFew || p.running*spareGenerate > float64(room))
+	p.runningRequests += (float64(running) - p.runningRequests) * (1 - math.Exp2(-dt.Seconds()/runningHalfLife.Seconds()))
+	p.queueMs += (in.Queue.Seconds()*1000 - p.queueMs) * (1 - math.Exp(-dt.Seconds()/queueTimeConstant.Seconds()))
+	p.queuedSince = conditionSince(p.queuedSince, in.Now, p.queueMs > maxQueueMs)
+	p.crowdedSince = conditionSince(p.crowdedSince, in.Now, tooFewDecode || p.runningRequests*decodeHeadroom > float64(decodeSlots))
 }
 
-// since returns from when on a condition has held, zero if it does not.
-func since(old, now time.Time, holds bool) time.Time {
+// conditionSince returns the time since when a condition has held, zero if it doesn't hold. old is
+// its previous result.
+func conditionSince(old, now time.Time, holds bool) time.Time {
 	switch {
 	case !holds:
 		return time.Time{}
--- a/roles/roles.go
+++ b/roles/roles.go
@@ -1,8 +1,8 @@
-// Package roles decides when an engine should change role, so that the split
-// between reading prompts and generating tokens follows the mix of the traffic
-// without a change for every swing. A change takes an engine away for seconds.
+// Package roles decides when an engine should change its role, so that the division of the engines
+// between prefill and decode follows the mix of the traffic. A change makes an engine unavailable
+// for seconds, so policies must not follow every fluctuation.
 //
-// Policies are named and small: implement Policy and add it to New.
+// To add a policy, implement Policy and add it to New.
 package roles
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/rockdoor/rockdoor/fault"
 )
 
-// Names of the policies, as in the configuration.
+// Names of the policies in the configuration.
 const (
 	Manual      = "manual"
 	Threshold   = "threshold"
@@ -22,53 +22,51 @@
 	Packing     = "packing"
 )
 
-// Engine is one engine of a pool as the policies see it.
+// Engine describes one engine of a pool to a policy.
 type Engine struct {
 	Name   string
 	Domain string
 	Role   engine.Role
-	// Movable engines may change role now: the operator leaves the role to
-	// rockdoor, the last change is long enough ago, no order is open, and every
-	// request that may run here could still run elsewhere.
+	// Movable is true if the engine may change its role now: the operator leaves the role to
+	// rockdoor, the last change is long enough ago, no order is pending, and every request that may
+	// run here could also run elsewhere.
 	Movable bool
-	// Requests are outstanding there.
+	// Requests is the number of requests in flight.
 	Requests int
-	// PrefillTokens are outstanding there.
+	// PrefillTokens is the number of prompt tokens pending prefill.
 	PrefillTokens int
-	// Slots is how many requests it works on at once, 0 if that is not known.
+	// Slots is the number of requests that the engine runs concurrently, 0 if unknown.
 	Slots int
 }
 
-// Demand is the work that arrives at a pool.
+// Demand is the rate at which work arrives at a pool, in tokens per second.
 type Demand struct {
-	// Prefill counts only prompts long enough to be read apart. Both are in
-	// tokens a second.
+	// Prefill counts only prompts that are long enough for a separate prefill.
 	Prefill float64
 	Decode  float64
 }
 
-// Weights say what a team cares for.
+// Weights are an operator's priorities.
 type Weights struct {
-	// Goodput is the worth of one second of one engine's work.
+	// Goodput is the value of one second of one engine's work.
 	Goodput float64
-	// Change is the price of one role change beyond the work lost in it.
+	// Change is the cost of one role change in addition to the work lost in it.
 	Change float64
 }
 
-// Input is what a policy decides by.
+// Input is the state that a policy decides on.
 type Input struct {
 	Now     time.Time
 	Engines []Engine
 	Demand  Demand
 	Weights Weights
-	// Queue is how long the prompts in hand keep an engine that reads busy, on
-	// average.
+	// Queue is the average time for which pending prompts keep a prefill engine busy.
 	Queue time.Duration
-	// Gateways is how many processes bring requests.
+	// Gateways is the number of processes that receive requests.
 	Gateways int
 }
 
-// Change is a decision.
+// Change is a decision to change the role of one engine.
 type Change struct {
 	Engine string
 	From   engine.Role
@@ -76,13 +74,13 @@
 	Reason string
 }
 
-// Policy decides on at most one change at a time. It is used by one goroutine
-// and called about twice a second.
+// Policy decides on at most one role change per call. It is used by one goroutine and called about
+// twice a second.
 type Policy interface {
 	Decide(in Input) *Change
 }
 
-// New returns a policy by its name.
+// New returns the policy with the name.
 func New(name string) (Policy, error) {
 	switch name {
 	case Manual:
@@ -94,101 +92,101 @@
 	case Packing:
 		return &packing{}, nil
 	}
-	return nil, fault.Newf(fault.Invalid, "use one of manual, threshold, cost-benefit, packing", "role policy %q is not known", name)
+	return nil, fault.Newf(fault.Invalid, "use one of manual, threshold, cost-benefit, packing", "unknown role policy %q", name)
 }
 
-// Speeds of an engine that are assumed until they are learned.
+// Assumed characteristics of an engine.
 const (
-	prefillSpeed = 20000.0 // prompt tokens a second
-	decodeSpeed  = 1800.0  // generated tokens a second within the bound between tokens
-	// utilisation is the share of its speed that an engine can be planned for.
-	utilisation = 0.7
-	// changeTime is how long a change takes an engine away, with its draining.
-	changeTime = 7 * time.Second
+	prefillTokensPerSecond = 20000.0 // prompt tokens per second
+	decodeTokensPerSecond  = 1800.0  // output tokens per second at which the target for gaps between events is met
+	// plannedUtilization is the share of an engine's speed that is available for planning.
+	plannedUtilization = 0.7
+	// roleChangeTime is how long an engine is unavailable during a role change, including the time to
+	// drain.
+	roleChangeTime = 7 * time.Second
 )
 
 type manual struct{}
 
 func (manual) Decide(Input) *Change { return nil }
 
-// threshold changes a role as soon as a queue is long or an engine is idle. It
-// is the baseline to compare with.
+// threshold changes a role as soon as the queue is long or prefill engines are idle. It is the
+// baseline for comparisons.
 type threshold struct{}
 
-const longQueue = 0.4 // seconds of prompts ahead
+const maxQueueSeconds = 0.4 // seconds of pending prompts
 
 func (threshold) Decide(in Input) *Change {
-	readers, ahead := 0, 0
+	prefillEngines, pendingTokens := 0, 0
 	for _, e := range in.Engines {
-		ahead += e.PrefillTokens
+		pendingTokens += e.PrefillTokens
 		if e.Role == engine.RolePrefill {
-			readers++
+			prefillEngines++
 		}
 	}
-	queue := float64(ahead) / prefillSpeed / float64(max(readers, 1))
+	queue := float64(pendingTokens) / prefillTokensPerSecond / float64(max(prefillEngines, 1))
 	switch {
-	case queue > longQueue:
-		return move(in.Engines, engine.RoleMixed, engine.RolePrefill, fmt.Sprintf("%.2f s of prompts ahead", queue))
-	case ahead == 0 && readers > 0:
-		return move(in.Engines, engine.RolePrefill, engine.RoleMixed, "no prompts ahead")
+	case queue > maxQueueSeconds:
+		return chooseEngine(in.Engines, engine.RoleMixed, engine.RolePrefill, fmt.Sprintf("%.2f s of prompts pending", queue))
+	case pendingTokens == 0 && prefillEngines > 0:
+		return chooseEngine(in.Engines, engine.RolePrefill, engine.RoleMixed, "no prompts pending")
 	}
 	return nil
 }
 
-// costBenefit changes a role once what the present split has lost, compared with
-// the better one, equals what the change costs. Whoever waits that long loses at
-// most twice of what somebody loses who knows the future, and a shift that is
-// over sooner causes no change at all.
+// costBenefit changes a role once the loss of the present division, compared with the better one,
+// equals the cost of a change. This bounds the total loss to twice that of a policy that knows the
+// future, and a fluctuation that ends earlier causes no change at all.
 //
-// The loss is kept for each number of readers apart, so that several changes
-// that have paid for themselves at the same time follow each other at once.
+// The loss is tracked for each number of prefill engines separately, so that several changes that
+// have become due together follow each other at once.
 type costBenefit struct {
-	// balance[r] is what having r instead of r-1 engines in the prefill role
-	// would have gained lately, in engine-seconds; negative if it would have lost.
-	balance []float64
-	last    time.Time
+	// balance[r] is the recent gain, in engine-seconds, of having r instead of r-1 prefill engines.
+	// It is negative if that would have been a loss.
+	balance      []float64
+	lastDecideAt time.Time
 }
 
 const (
-	// fade is how fast a balance goes back to nothing while the split makes no
-	// difference, in engine-seconds a second.
-	fade   = 0.5
-	maxGap = 2 * time.Second
+	// balanceDecay is the rate, in engine-seconds per second, at which a balance returns to zero
+	// while the division makes no difference.
+	balanceDecay = 0.5
+	maxInterval  = 2 * time.Second
 )
 
 func (p *costBenefit) Decide(in Input) *Change {
-	dt := min(in.Now.Sub(p.last), maxGap)
-	first := p.last.IsZero()
-	p.last = in.Now
+	dt := min(in.Now.Sub(p.lastDecideAt), maxInterval)
+	first := p.lastDecideAt.IsZero()
+	p.lastDecideAt = in.Now
 	if first || len(p.balance) != len(in.Engines)+1 {
 		p.balance = make([]float64, len(in.Engines)+1)
 		return nil
 	}
-	price := changeTime.Seconds()
+	price := roleChangeTime.Seconds()
 	if in.Weights.Goodput > 0 {
 		price += in.Weights.Change / in.Weights.Goodput
 	}
-	readers := 0
+	prefillEngines := 0
 	for _, e := range in.Engines {
 		if e.Role == engine.RolePrefill {
-			readers++
+			prefillEngines++
 		}
 	}
 	for r := 1; r <= len(in.Engines); r++ {
-		gain := loss(in.Demand, r-1, len(in.Engines)) - loss(in.Demand, r, len(in.Engines))
-		p.balance[r] = advance(p.balance[r], gain, dt, price)
+		gain := missingEngines(in.Demand, r-1, len(in.Engines)) - missingEngines(in.Demand, r, len(in.Engines))
+		p.balance[r] = advanceBalance(p.balance[r], gain, dt, price)
 	}
-	why := func(balance float64) string {
+	reason := func(balance float64) string {
 		return fmt.Sprintf("lost %.1f engine-seconds, a change costs %.1f; %.0f prompt and %.0f output tokens/s", math.Abs(balance), price, in.Demand.Prefill, in.Demand.Decode)
 	}
 	var c *Change
-	changed := readers
+	changed := prefillEngines
 	switch {
-	case readers < len(in.Engines) && p.balance[readers+1] >= price:
-		changed = readers + 1
-		c = move(in.Engines, engine.RoleMixed, engine.RolePrefill, why(p.balance[changed]))
-	case readers > 0 && p.balance[readers] <= -price:
-		c = move(in.Engines, engine.RolePrefill, engine.RoleMixed, why(p.balance[changed]))
+	case prefillEngines < len(in.Engines) && p.balance[prefillEngines+1] >= price:
+		changed = prefillEngines + 1
+		c = chooseEngine(in.Engines, engine.RoleMixed, engine.RolePrefill, reason(p.balance[changed]))
+	case prefillEngines > 0 && p.balance[prefillEngines] <= -price:
+		c = chooseEngine(in.Engines, engine.RolePrefill, engine.RoleMixed, reason(p.balance[changed]))
 	}
 	if c != nil {
 		p.balance[changed] = 0
@@ -196,9 +194,10 @@
 	return c
 }
 
-// advance moves a balance on by dt. It stays within the price of a change.
-func advance(balance, gain float64, dt time.Duration, price float64) float64 {
-	step := fade * dt.Seconds()
+// advanceBalance updates a balance for an interval dt. The result stays within the cost of a
+// change.
+func advanceBalance(balance, gain float64, dt time.Duration, price float64) float64 {
+	step := balanceDecay * dt.Seconds()
 	switch {
 	case gain != 0:
 		return min(max(balance+gain*dt.Seconds(), -price), price)
@@ -208,24 +207,24 @@
 	return min(0, balance+step)
 }
 
-// loss is how many engines' worth of work a split leaves undone or late.
-func loss(d Demand, readers, engines int) float64 {
-	if readers < 0 || readers > engines {
+// missingEngines returns by how many engines a division falls short of the demand.
+func missingEngines(d Demand, prefillEngines, engines int) float64 {
+	if prefillEngines < 0 || prefillEngines > engines {
 		return float64(engines)
 	}
-	needPrefill := d.Prefill / (prefillSpeed * utilisation)
-	needDecode := d.Decode / (decodeSpeed * utilisation)
-	return max(0, needPrefill-float64(readers)) + max(0, needDecode-float64(engines-readers))
+	needPrefill := d.Prefill / (prefillTokensPerSecond * plannedUtilization)
+	needDecode := d.Decode / (decodeTokensPerSecond * plannedUtilization)
+	return max(0, needPrefill-float64(prefillEngines)) + max(0, needDecode-float64(engines-prefillEngines))
 }
 
-// balanceWorth is how many more requests an engine that changes may have for each
-// engine by which its failure domain has more of the role: an engine without
-// requests changes within seconds, one with some after its longest answer.
-const balanceWorth = 2
+// domainBalanceWeight is how many more requests the chosen engine may have for each additional
+// engine of the role in its failure domain. An engine without requests changes within seconds,
+// others only after their longest response.
+const domainBalanceWeight = 2
 
-// move picks the engine to change: one in the failure domain that has the most
-// engines of the role, and there the one with the least to lose.
-func move(engines []Engine, from, to engine.Role, reason string) *Change {
+// chooseEngine picks the movable engine to change. It prefers failure domains with many engines of
+// the role, and engines with few requests.
+func chooseEngine(engines []Engine, from, to engine.Role, reason string) *Change {
 	inDomain := map[string]int{}
 	for _, e := range engines {
 		if e.Role == from {
@@ -239,7 +238,7 @@
 		if e.Role != from || !e.Movable {
 			continue
 		}
-		if loss := e.Requests - balanceWorth*inDomain[e.Domain]; loss < least {
+		if loss := e.Requests - domainBalanceWeight*inDomain[e.Domain]; loss < least {
 			best, least = e, loss
 		}
 	}
--- a/roles/roles_test.go
+++ b/roles/roles_test.go
@@ -10,21 +10,21 @@
 	"github.com/rockdoor/rockdoor/engine"
 )
 
-func pool(readers int) []Engine {
+func twelveEngines(prefillEngines int) []Engine {
 	es := make([]Engine, 12)
 	for i := range es {
 		es[i] = Engine{Name: fmt.Sprint("e", i), Domain: fmt.Sprint("d", i%3), Role: engine.RoleMixed, Movable: true, Requests: i}
-		if i < readers {
+		if i < prefillEngines {
 			es[i].Role = engine.RolePrefill
 		}
 	}
 	return es
 }
 
-// simulate lets a policy decide twice a second, with changes in force at once,
-// and returns how many it made.
-func simulate(p Policy, w Weights, readers int, d time.Duration, demand func(t time.Duration) Demand) (changes, left int) {
-	es := pool(readers)
+// simulate lets a policy decide twice a second and applies its changes immediately. It returns the
+// number of changes and the number of prefill engines left at the end.
+func simulate(p Policy, w Weights, prefillEngines int, d time.Duration, demand func(t time.Duration) Demand) (changes, left int) {
+	es := twelveEngines(prefillEngines)
 	now := time.Unix(0, 0)
 	for t := time.Duration(0); t < d; t += 500 * time.Millisecond {
 		c := p.Decide(Input{Now: now.Add(t), Engines: es, Demand: demand(t), Weights: w})
@@ -47,76 +47,76 @@
 }
 
 var (
-	notes   = Demand{Prefill: 0, Decode: 2400}
-	reviews = Demand{Prefill: 60000, Decode: 2400}
-	// Trinacria and Piimaring are the weights of the first users.
-	trinacria = Weights{Goodput: 3, Change: 1}
-	piimaring = Weights{Goodput: 1, Change: 10}
+	lightPrefill = Demand{Prefill: 0, Decode: 2400}
+	heavyPrefill = Demand{Prefill: 60000, Decode: 2400}
+	// The weights of an operator for whom changes are cheap, and of one for whom they are expensive.
+	cheapChanges  = Weights{Goodput: 3, Change: 1}
+	costlyChanges = Weights{Goodput: 1, Change: 10}
 )
 
-func burst(length time.Duration) func(time.Duration) Demand {
+func burstOf(length time.Duration) func(time.Duration) Demand {
 	return func(t time.Duration) Demand {
 		if t >= 10*time.Second && t < 10*time.Second+length {
-			return reviews
+			return heavyPrefill
 		}
-		return notes
+		return lightPrefill
 	}
 }
 
-func TestNoChangeForAShiftShorterThanItPaysFor(t *testing.T) {
+func TestNoChangeForShortBurst(t *testing.T) {
 	for name, c := range map[string]struct {
 		w      Weights
 		length time.Duration
-	}{"trinacria": {trinacria, 6 * time.Second}, "piimaring": {piimaring, 15 * time.Second}} {
-		n, _ := simulate(&costBenefit{}, c.w, 0, time.Minute, burst(c.length))
+	}{"trinacria": {cheapChanges, 6 * time.Second}, "piimaring": {costlyChanges, 15 * time.Second}} {
+		n, _ := simulate(&costBenefit{}, c.w, 0, time.Minute, burstOf(c.length))
 		require.Zero(t, n, name)
 	}
 }
 
-func TestLastingShiftIsFollowed(t *testing.T) {
-	n, readers := simulate(&costBenefit{}, trinacria, 0, 2*time.Minute, burst(time.Hour))
-	require.Equal(t, 5, readers, "60,000 tokens/s need 4.3 engines at 14,000 each")
+func TestLastingChangeOfMixIsFollowed(t *testing.T) {
+	n, prefillEngines := simulate(&costBenefit{}, cheapChanges, 0, 2*time.Minute, burstOf(time.Hour))
+	require.Equal(t, 5, prefillEngines, "60,000 tokens/s need 4.3 engines at 14,000 each")
 	require.Equal(t, 5, n)
-	n, readers = simulate(&costBenefit{}, trinacria, 5, 2*time.Minute, func(time.Duration) Demand { return Demand{Decode: 12000} })
-	require.Equal(t, 2, readers, "9.5 engines have to generate")
+	n, prefillEngines = simulate(&costBenefit{}, cheapChanges, 5, 2*time.Minute, func(time.Duration) Demand { return Demand{Decode: 12000} })
+	require.Equal(t, 2, prefillEngines, "9.5 engines have to decode")
 	require.Equal(t, 3, n)
 }
 
-// swings alternates between a mix that needs readers and one that needs all
-// engines to generate.
-func swings(period time.Duration) func(time.Duration) Demand {
+// alternating alternates between a mix that needs prefill engines and one that needs all engines to
+// decode.
+func alternating(period time.Duration) func(time.Duration) Demand {
 	return func(at time.Duration) Demand {
 		if at/period%2 == 1 {
-			return reviews
+			return heavyPrefill
 		}
 		return Demand{Decode: 14000}
 	}
 }
 
-func TestChangesWeighMoreForPiimaring(t *testing.T) {
-	few, _ := simulate(&costBenefit{}, piimaring, 0, 10*time.Minute, swings(20*time.Second))
-	more, _ := simulate(&costBenefit{}, trinacria, 0, 10*time.Minute, swings(20*time.Second))
+func TestHigherChangeCostMeansFewerChanges(t *testing.T) {
+	few, _ := simulate(&costBenefit{}, costlyChanges, 0, 10*time.Minute, alternating(20*time.Second))
+	more, _ := simulate(&costBenefit{}, cheapChanges, 0, 10*time.Minute, alternating(20*time.Second))
 	require.Less(t, few, more)
 	require.LessOrEqual(t, few, 1)
 }
 
-// A swing that is shorter than two changes cost is not followed back and forth.
-func TestShortSwingsAreNotFollowed(t *testing.T) {
-	n, _ := simulate(&costBenefit{}, trinacria, 0, 10*time.Minute, swings(12*time.Second))
+// TestShortAlternationIsNotFollowed covers periods that are shorter than the cost of two changes.
+func TestShortAlternationIsNotFollowed(t *testing.T) {
+	n, _ := simulate(&costBenefit{}, cheapChanges, 0, 10*time.Minute, alternating(12*time.Second))
 	require.LessOrEqual(t, n, 1)
 }
 
-func TestOnlyMovableEnginesAndTheLeastToLose(t *testing.T) {
-	es := pool(0)
+func TestChooseEngineWithLeastLoss(t *testing.T) {
+	es := twelveEngines(0)
 	es[0].Movable = false
-	require.Equal(t, "e1", move(es, engine.RoleMixed, engine.RolePrefill, "").Engine)
+	require.Equal(t, "e1", chooseEngine(es, engine.RoleMixed, engine.RolePrefill, "").Engine)
 	for i := range es {
 		es[i].Movable = false
 	}
-	require.Nil(t, move(es, engine.RoleMixed, engine.RolePrefill, ""))
+	require.Nil(t, chooseEngine(es, engine.RoleMixed, engine.RolePrefill, ""))
 }
 
-func TestMeterAveragesIncrementsAndForgetsRestarts(t *testing.T) {
+func TestMeter(t *testing.T) {
 	var m Meter
 	at := time.Unix(0, 0)
 	total := uint64(0)
@@ -129,20 +129,19 @@
 	require.InDelta(t, 2000, d.Prefill, 50)
 	require.InDelta(t, 200, d.Decode, 5)
 	d = m.Update(at, map[string]Counter{"b": {Prefill: 1 << 40}}, 1)
-	require.Less(t, d.Prefill, 2000.0, "a process that was not heard before adds nothing at first")
+	require.Less(t, d.Prefill, 2000.0, "the first report of a process adds nothing")
 }
 
-// TestAnEngineWithoutRequestsChangesFirst checks that a change takes an engine that
-// can change at once, even from a failure domain with fewer of its role: one that was
-// busy took 10 s on quiet-1.
-func TestAnEngineWithoutRequestsChangesFirst(t *testing.T) {
+// TestIdleEngineChangesFirst checks that an engine without requests is changed, even if its failure
+// domain has fewer engines of the role. A busy engine once took 10 s to change.
+func TestIdleEngineChangesFirst(t *testing.T) {
 	engines := []Engine{
 		{Name: "a-1", Domain: "a", Role: engine.RoleMixed, Movable: true, Requests: 9},
 		{Name: "a-2", Domain: "a", Role: engine.RoleMixed, Movable: true, Requests: 8},
 		{Name: "b-1", Domain: "b", Role: engine.RoleMixed, Movable: true},
 		{Name: "c-1", Domain: "c", Role: engine.RolePrefill, Movable: true},
 	}
-	require.Equal(t, "b-1", move(engines, engine.RoleMixed, engine.RolePrefill, "").Engine)
+	require.Equal(t, "b-1", chooseEngine(engines, engine.RoleMixed, engine.RolePrefill, "").Engine)
 	engines[1].Requests = 1
-	require.Equal(t, "a-2", move(engines, engine.RoleMixed, engine.RolePrefill, "").Engine, "the domain that has more of them, if it costs little")
+	require.Equal(t, "a-2", chooseEngine(engines, engine.RoleMixed, engine.RolePrefill, "").Engine, "the failure domain with more engines of the role, if the difference in requests is small")
 }
