--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -29,7 +29,7 @@
 	// the order, so that they stop sending requests to the engine.
 	announceTime = 150 * time.Millisecond
 	// unansweredOrderTime is how long an engine gets no further order after one without a response.
-	// The platform may execute such an order up to 12 s later.
+	// Such an order may still be executed up to 12 s later.
 	unansweredOrderTime = 13 * time.Second
 	// changeMargin is the time in addition to Service.RoleChange within which a change must be
 	// complete. An engine first finishes its requests.
--- a/placement/group.go
+++ b/placement/group.go
@@ -18,9 +18,9 @@
 // hasInstance reports whether the plan has an instance.
 func (c *choice) hasInstance() bool { return c.plan.Reader != nil || c.plan.Runner != nil }
 
-// betterThan compares the choices of two groups. A choice with an instance beats one without, an
-// response in time beats a late one, and otherwise the earlier response wins. Of two rejections the one
-// with the shorter retry delay wins.
+// betterThan compares the choices of two groups. A choice with an instance beats one without, a
+// response in time beats a late one, and otherwise the earlier response wins. Of two rejections the
+// one with the shorter retry delay wins.
 func (c *choice) betterThan(d *choice) bool {
 	switch {
 	case c.hasInstance() != d.hasInstance():
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -45,6 +45,7 @@
 	ReasonLate Reason = "too-late"
 )
 
+// Job is a request to be placed.
 type Job struct {
 	Route *fleet.Route
 	// Ranked is true if Route.Rank has been replaced by the rank of the client's workspace.
@@ -118,6 +119,7 @@
 	startingWeight = 4.0
 )
 
+// Placer places requests. It is safe for concurrent use.
 type Placer struct {
 	domain string
 	now    func() time.Time
--- a/placement/policy.go
+++ b/placement/policy.go
@@ -61,6 +61,7 @@
 	Fetch, PreferredEngines, LocalPrefill, LocalTarget, TargetNearPrefill, StartingCounts, SlowTargets, SparePrefillCandidates, QueueLimit, Penalty, Breakers,
 }
 
+// Mechanisms returns all mechanisms.
 func Mechanisms() []Mechanism { return slices.Clone(mechanisms) }
 
 // Policy is the set of enabled mechanisms. The zero value enables all of them.
--- a/placement/shares.go
+++ b/placement/shares.go
@@ -1,10 +1,11 @@
 package placement
 
-// smallWorkspaceShare is the share of a fair part of the pending prompts up to which a workspace
-// counts as small. Its value comes from replays in which one workspace floods the prefill engines
-// with 1.7 and 5 times their capacity (means of ten runs). The response rate of the worst served of
-// 20 small workspaces was at least 0.63 of the overall rate, against 0.26 with a share of 0.25 and
-// 0 without the mechanism. The mechanism costs 0.04 of all responses in such floods.
+// smallWorkspaceShare is the fraction of its fair share of the pending prompts up to which a
+// workspace counts as small. The value comes from replays in which one workspace floods the prefill
+// engines with 1.7 and 5 times their capacity (means of ten runs). The share of answered requests
+// of the worst served of 20 small workspaces was at least 0.63 of the overall share, against 0.26
+// with a value of 0.25 and 0 without the mechanism. The mechanism costs 0.04 of all responses in
+// such floods.
 const smallWorkspaceShare = 0.5
 
 // workspacePending tracks the prompts to one service that this process has placed and that are not
@@ -45,9 +46,9 @@
 	}
 }
 
-// isSmall reports whether a workspace stays within smallWorkspaceShare of a fair part with one more
-// prompt that keeps an engine busy for a time in ms. The fair part divides the pending work by the
-// number of workspaces with pending prompts plus one, which may be this workspace.
+// isSmall reports whether a workspace stays within smallWorkspaceShare of its fair share with one
+// more prompt that keeps an engine busy for a time in ms. The fair share is the pending work divided
+// by one more than the number of workspaces with pending prompts, which may include this workspace.
 func (s *workspacePending) isSmall(workspace string, busy float64) bool {
 	fair := s.busyMs / float64(len(s.byWorkspace)+1)
 	return workspace != "" && s.byWorkspace[workspace].busyMs+busy <= smallWorkspaceShare*fair
--- a/roles/packing.go
+++ b/roles/packing.go
@@ -41,7 +41,8 @@
 	// maxQueueMs is the queueing delay, in ms, above which another prefill engine is useful.
 	maxQueueMs = 40.0
 	// minQueuedTime and minCrowdedTime are how long prompts must have queued, or decode engines been
-	// too few, before a role changes. Queued prompts miss their latency target sooner.
+	// too few, before a role changes. minQueuedTime is shorter because queued prompts miss their
+	// latency target sooner.
 	minQueuedTime  = 300 * time.Millisecond
 	minCrowdedTime = 700 * time.Millisecond
 	// minQueuedTimeBusy is how long prompts must have queued before an engine with more than
@@ -57,9 +58,9 @@
 	maxInitialPrefillShare = 0.6
 	// Before the first request, maxInitialPrefillShare, prefillPerGateway and maxInitialPrefill limit
 	// the number of prefill engines, which exist so that the first prompts don't wait for a role
-	// change. Without the last two limits a large idle fleet would send an order to most of its
-	// engines. One decision considers about 120 engines, and prompts without a separate prefill need
-	// decode engines.
+	// change. Without the last two limits most engines of a large idle fleet would get an order.
+	// maxInitialPrefill suffices because one decision considers about 120 engines, some of which must
+	// decode the prompts without a separate prefill.
 	prefillPerGateway = 1
 	maxInitialPrefill = 72
 	// registrationQuietTime is how long no new engine must have registered before roles change ahead
