--- a/capacity/policy.go
+++ b/capacity/policy.go
@@ -29,18 +29,18 @@
 	p.updateMinServing(in)
 	serving := 0
 	for n, d := range in.Domains {
-		out[n].OnDemand = min(in.Scaling.Least, d.OnDemand)
+		out[n].OnDemand = min(in.Scaling.MinEngines, d.OnDemand)
 		serving += d.Spot + out[n].OnDemand
 	}
 	addOnDemand(in, out, p.minServing-serving)
 	for n, d := range in.Domains {
 		// On-demand engines that already serve are released later, so they don't reduce the spot
 		// engines. Those that have to be ordered count against the maximum at once.
-		reserved := in.Scaling.Least
+		reserved := in.Scaling.MinEngines
 		if out[n].OnDemand > d.OnDemand {
 			reserved = out[n].OnDemand
 		}
-		out[n].Spot = max(in.Scaling.Most-reserved, 0)
+		out[n].Spot = max(in.Scaling.MaxEngines-reserved, 0)
 	}
 	return out
 }
@@ -67,7 +67,7 @@
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(in.Domains[a].Price, in.Domains[b].Price) })
 	for _, available := range []func(n int) int{
 		func(n int) int { return in.Domains[n].OnDemand - out[n].OnDemand },
-		func(n int) int { return in.Scaling.Most - in.Domains[n].Spot - out[n].OnDemand },
+		func(n int) int { return in.Scaling.MaxEngines - in.Domains[n].Spot - out[n].OnDemand },
 	} {
 		for _, n := range order {
 			more := max(min(missing, available(n)), 0)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -50,9 +50,9 @@
 	LatencyTarget time.Duration
 	// GapTarget is the target for the time between two events of a stream.
 	GapTarget time.Duration
-	// Patience is how long clients wait for the first event of a stream, regardless of the timeout
+	// FirstEventTimeout is how long clients wait for the first event of a stream, regardless of the timeout
 	// that they state for the whole stream. 0 is no limit.
-	Patience time.Duration
+	FirstEventTimeout time.Duration
 	// MaxAttempts is the maximum number of instances that one request is sent to.
 	MaxAttempts int
 	// Rank is the urgency of the route; 0 is the most urgent.
@@ -92,8 +92,8 @@
 // Scaling has the limits for the number of a service's engines per failure domain, and their
 // prices.
 type Scaling struct {
-	// Least and Most are the minimum and maximum of on-demand and spot engines together.
-	Least, Most int
+	// MinEngines and Most are the minimum and maximum of on-demand and spot engines together.
+	MinEngines, MaxEngines int
 	// Startup is the time from the order of an engine until it serves requests.
 	Startup time.Duration
 	// SpotPrice is the price of a spot engine relative to an on-demand engine, 0 if there are no spot
@@ -151,8 +151,8 @@
 	return nil
 }
 
-// RouteNamed returns the route with the name, or nil if there is none.
-func (c *Config) RouteNamed(name string) *Route { return c.routesByName[name] }
+// RouteByName returns the route with the name, or nil if there is none.
+func (c *Config) RouteByName(name string) *Route { return c.routesByName[name] }
 
 // Pick returns the service for a request. It depends only on the request ID, so that the choice can
 // be reproduced later.
@@ -181,10 +181,10 @@
 type Instance struct {
 	// ID is unique among instances. An instance that restarts may keep its ID.
 	ID string
-	// Born is the start time of the run in Unix milliseconds, 0 if the registration has none. It
+	// StartTime is the start time of the run in Unix milliseconds, 0 if the registration has none. It
 	// distinguishes the runs of one instance ID. A later run has none of the state of an earlier one.
-	Born    int64
-	Service string
+	StartTime int64
+	Service   string
 	// Address is IP:PORT.
 	Address string
 	Domain  string
@@ -197,20 +197,20 @@
 	Draining bool
 	// Role is empty for backend servers.
 	Role engine.Role
-	// Lapsed is true if the registration expired while the store was unavailable. The instance stays
+	// Expired is true if the registration expired while the store was unavailable. The instance stays
 	// in use until it is known whether it registers again.
-	Lapsed bool
+	Expired bool
 }
 
 // runSeparator separates the instance ID from the start time in a run ID.
 const runSeparator = '@'
 
-// Run returns an ID that is unique to this run of the instance.
-func (i *Instance) Run() string {
-	if i.Born == 0 {
+// RunID returns an ID that is unique to this run of the instance.
+func (i *Instance) RunID() string {
+	if i.StartTime == 0 {
 		return i.ID
 	}
-	return i.ID + string(runSeparator) + strconv.FormatInt(i.Born, 10)
+	return i.ID + string(runSeparator) + strconv.FormatInt(i.StartTime, 10)
 }
 
 // Labels returns the labels that selectors match: the built-in ones, and those in extra, which
--- a/fleet/pool.go
+++ b/fleet/pool.go
@@ -33,7 +33,7 @@
 		}
 		p.groups = make([][]*Instance, n)
 		for _, i := range p.All {
-			g := GroupOf(i.ID, n)
+			g := GroupIndex(i.ID, n)
 			p.groups[g] = append(p.groups[g], i)
 		}
 	})
@@ -51,14 +51,14 @@
 	return nil
 }
 
-// FindRun returns the instance with the run ID, nil if that run is not in the pool.
-func (p *Pool) FindRun(run string) *Instance {
+// FindByRunID returns the instance with the run ID, nil if that run is not in the pool.
+func (p *Pool) FindByRunID(run string) *Instance {
 	id := run // a run ID without a separator equals the instance ID
 	if at := strings.LastIndexByte(run, runSeparator); at >= 0 {
 		id = run[:at]
 	}
 	for _, id := range []string{id, run} {
-		if i := p.Find(id); i != nil && i.Run() == run {
+		if i := p.Find(id); i != nil && i.RunID() == run {
 			return i
 		}
 	}
@@ -73,9 +73,9 @@
 	jumpShift  = 33
 )
 
-// GroupOf returns the index, out of n groups, of the group that an instance ID or a prompt prefix
+// GroupIndex returns the index, out of n groups, of the group that an instance ID or a prompt prefix
 // belongs to.
-func GroupOf(key string, n int) int {
+func GroupIndex(key string, n int) int {
 	hash := xxhash.Sum64String(key)
 	group, next := int64(0), int64(0)
 	for next < int64(n) {
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -16,25 +16,25 @@
 type View struct {
 	// Config is nil until the first configuration has been received.
 	Config *Config
-	// ConfigAt and InstancesAt are when the store last confirmed that the configuration and the
+	// ConfigConfirmedAt and InstancesAt are when the store last confirmed that the configuration and the
 	// registrations were current.
-	ConfigAt    bootclock.Instant
-	InstancesAt bootclock.Instant
-	// ProvenAt is the latest time at which Config is known to have been current. It is the send time
+	ConfigConfirmedAt    bootclock.Instant
+	InstancesConfirmedAt bootclock.Instant
+	// ConfigFreshAt is the latest time at which Config is known to have been current. It is the send time
 	// of a request to the store whose response confirmed Config. The time at which the response
 	// arrived would not do, because Config may have changed while it was in transit.
-	ProvenAt bootclock.Instant
+	ConfigFreshAt bootclock.Instant
 	// InstancesRevision is the store revision up to which registrations have been applied.
 	InstancesRevision objstore.Revision
-	// Listed is true once the registrations have been read for the first time.
-	Listed bool
-	// Headed is true once a scheduler has sent a partial snapshot with the configuration and the
+	// InstancesKnown is true once the registrations have been read for the first time.
+	InstancesKnown bool
+	// Partial is true once a scheduler has sent a partial snapshot with the configuration and the
 	// rules. Until the registrations are known here, the scheduler chooses the instances and sends
 	// their registrations with its decisions.
-	Headed bool
-	// CopyAt is the earliest time at which this process requests the full snapshot after the partial
+	Partial bool
+	// FullSnapshotAt is the earliest time at which this process requests the full snapshot after the partial
 	// one, 0 if it need not wait.
-	CopyAt bootclock.Instant
+	FullSnapshotAt bootclock.Instant
 	// Instances holds all registered instances by ID.
 	Instances map[string]*Instance
 	Rules     *Rules
@@ -43,10 +43,10 @@
 	// Schedulers place requests for the other processes. Watchers are the schedulers that watch the
 	// store. Scheduling is true if this process is a scheduler. Mesh holds the schedulers, and those
 	// that are replaced while they are unresponsive: the processes that exchange their load.
-	Schedulers []members.Member
-	Watchers   []members.Member
-	Mesh       []members.Member
-	Scheduling bool
+	Schedulers  []members.Member
+	Watchers    []members.Member
+	GossipPeers []members.Member
+	Scheduling  bool
 	// StoreUp is false while the store does not respond.
 	StoreUp bool
 	// Era is the number of times that the store was restored from an older snapshot, 0 if the store
@@ -70,10 +70,10 @@
 	}
 }
 
-// IndexFrom does the same as Index by updating the tables of an earlier view. changed has the IDs
+// IndexChanges does the same as Index by updating the tables of an earlier view. changed has the IDs
 // of all instances that differ. If there are any, Instances is copied, otherwise it is shared with
 // the earlier view.
-func (v *View) IndexFrom(before *View, changed map[string]bool) {
+func (v *View) IndexChanges(before *View, changed map[string]bool) {
 	if len(changed) == 0 {
 		v.Instances, v.usable, v.poolCache = before.Instances, before.usable, before.poolCache
 		if v.Rules != before.Rules {
@@ -126,24 +126,26 @@
 // route, sorted by ID.
 func (v *View) Permitted(route, service string) []*Instance { return v.Pool(route, service).All }
 
-// Takes reports whether the instance accepts new requests for the service.
-func (v *View) Takes(service, id string) bool {
+// Accepts reports whether the instance accepts new requests for the service.
+func (v *View) Accepts(service, id string) bool {
 	i := v.Instances[id]
 	return i != nil && !i.Draining && i.Service == service
 }
 
-// Left reports whether the instance is known not to accept new requests for the service.
-func (v *View) Left(service, id string) bool { return v.Listed && !v.Takes(service, id) }
+// StoppedAccepting reports whether the instance is known not to accept new requests for the service.
+func (v *View) StoppedAccepting(service, id string) bool {
+	return v.InstancesKnown && !v.Accepts(service, id)
+}
 
 // Complete reports whether the view has all that is needed to place requests.
-func (v *View) Complete() bool { return v.Config != nil && v.Listed }
+func (v *View) Complete() bool { return v.Config != nil && v.InstancesKnown }
 
 // Ready reports whether the view has all that is needed to serve requests.
-func (v *View) Ready() bool { return v.Complete() || v.Config != nil && v.Headed && !v.Scheduling }
+func (v *View) Ready() bool { return v.Complete() || v.Config != nil && v.Partial && !v.Scheduling }
 
-// PermittedOf filters instances by Permitted: it returns those that accept requests for the service
+// FilterPermitted filters instances by Permitted: it returns those that accept requests for the service
 // and on which the rules permit requests of the route, sorted by ID.
-func (v *View) PermittedOf(route, service string, instances []*Instance) []*Instance {
+func (v *View) FilterPermitted(route, service string, instances []*Instance) []*Instance {
 	few := View{Config: v.Config, Rules: v.Rules, Instances: map[string]*Instance{}}
 	for _, i := range instances {
 		few.Instances[i.ID] = i
@@ -153,13 +155,13 @@
 }
 
 // ConfigAge returns the time since the store last confirmed the configuration.
-func (v *View) ConfigAge() time.Duration { return bootclock.Since(v.ConfigAt) }
+func (v *View) ConfigAge() time.Duration { return bootclock.Since(v.ConfigConfirmedAt) }
 
-// ProofAge returns the time since Config was last known to be current.
-func (v *View) ProofAge() time.Duration { return bootclock.Since(v.ProvenAt) }
+// ConfigStaleness returns the time since Config was last known to be current.
+func (v *View) ConfigStaleness() time.Duration { return bootclock.Since(v.ConfigFreshAt) }
 
 // InstancesAge returns the time since the store last confirmed the registrations.
-func (v *View) InstancesAge() time.Duration { return bootclock.Since(v.InstancesAt) }
+func (v *View) InstancesAge() time.Duration { return bootclock.Since(v.InstancesConfirmedAt) }
 
 // Age returns the age of the configuration or of the registrations, whichever is greater.
 func (v *View) Age() time.Duration { return max(v.ConfigAge(), v.InstancesAge()) }
--- a/fleet/workspace.go
+++ b/fleet/workspace.go
@@ -51,8 +51,8 @@
 // Workspaces returns the number of workspaces. If there are none, requests need no key.
 func (c *Config) Workspaces() int { return c.workspaces }
 
-// WorkspaceOf returns the workspace that a key belongs to, or nil if there is none.
-func (c *Config) WorkspaceOf(key string) *Workspace {
+// WorkspaceByKey returns the workspace that a key belongs to, or nil if there is none.
+func (c *Config) WorkspaceByKey(key string) *Workspace {
 	if key == "" {
 		return nil
 	}
--- a/placement/explain.go
+++ b/placement/explain.go
@@ -5,49 +5,49 @@
 	"github.com/rockdoor/rockdoor/fleet"
 )
 
-// Considered describes how one permitted instance is rated for a job.
-type Considered struct {
+// Candidate describes how one permitted instance is rated for a job.
+type Candidate struct {
 	Instance string      `json:"instance"`
 	Domain   string      `json:"domain"`
 	Role     engine.Role `json:"role,omitempty"`
 	// Load is the work in flight there, from all processes.
 	Load Load `json:"load"`
 	// The estimates of a prefill engine: uncached prompt tokens, queueing delay and prefill time.
-	Uncached int     `json:"uncached,omitempty"`
-	AheadMs  float64 `json:"aheadMs,omitempty"`
-	ReadMs   float64 `json:"readMs,omitempty"`
+	Uncached     int     `json:"uncached,omitempty"`
+	QueueDelayMs float64 `json:"aheadMs,omitempty"`
+	PrefillMs    float64 `json:"readMs,omitempty"`
 	// Score is comparable between instances of the same role; the lowest score wins.
 	Score float64 `json:"score"`
-	// Pace is the ratio of the engine's measured prefill times to the model's estimates.
-	Pace float64 `json:"pace"`
+	// Slowdown is the ratio of the engine's measured prefill times to the model's estimates.
+	Slowdown float64 `json:"pace"`
 	// GapMs is the smoothed time between two events of a stream.
 	GapMs float64 `json:"gapMs,omitempty"`
 	// Failures is the share of recent requests that failed.
 	Failures float64 `json:"failures"`
-	// Why is the reason why the instance gets no requests at present, empty if it may.
-	Why string `json:"why,omitempty"`
+	// Unavailable is the reason why the instance gets no requests at present, empty if it may.
+	Unavailable string `json:"why,omitempty"`
 }
 
 // Explain rates each permitted instance for a job without placing it. If the pool has several
 // groups, it covers the preferred group of the prompt prefix.
-func (p *Placer) Explain(j *Job) []Considered {
+func (p *Placer) Explain(j *Job) []Candidate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.setDefaultDomain(j)
-	j.Waiting = true // explaining a job must not count as demand
+	j.AwaitsRateLimit = true // explaining a job must not count as demand
 	if groups := j.groups(); len(groups) > 1 && j.Call.Subject() != "" {
 		j.Permitted = groups[p.preferredGroup(j, len(groups))]
 	}
 	prefillEngines, targets := p.eligible(j)
 	medianGap := p.medianGap(targets)
 	holders := p.cacheHolders(j, sharedParts(j.Call), prefillEngines)
-	var out []Considered
+	var out []Candidate
 	for _, i := range j.Permitted {
 		st := p.state(i)
-		c := Considered{Instance: i.ID, Domain: i.Domain, Role: i.Role, Load: p.load(st), Pace: st.slowdown, GapMs: st.gapMs, Failures: st.failures, Why: p.unavailableReason(j, i, st)}
+		c := Candidate{Instance: i.ID, Domain: i.Domain, Role: i.Role, Load: p.load(st), Slowdown: st.slowdown, GapMs: st.gapMs, Failures: st.failures, Unavailable: p.unavailableReason(j, i, st)}
 		if i.Role == engine.RolePrefill {
 			e := p.estimate(j, i, holders, p.prefillRank(j.Route, false))
-			c.Uncached, c.AheadMs, c.ReadMs, c.Score = e.uncached, e.queueMs, e.prefillMs, e.score
+			c.Uncached, c.QueueDelayMs, c.PrefillMs, c.Score = e.uncached, e.queueMs, e.prefillMs, e.score
 		} else {
 			c.Score = p.targetScore(j, i, st, medianGap)
 		}
--- a/placement/group.go
+++ b/placement/group.go
@@ -16,7 +16,7 @@
 }
 
 // hasInstance reports whether the plan has an instance.
-func (c *choice) hasInstance() bool { return c.plan.Reader != nil || c.plan.Runner != nil }
+func (c *choice) hasInstance() bool { return c.plan.PrefillEngine != nil || c.plan.Target != nil }
 
 // betterThan compares the choices of two groups. A choice with an instance beats one without, a
 // response in time beats a late one, and otherwise the earlier response wins. Of two rejections the
@@ -30,7 +30,7 @@
 	case c.plan.Late != d.plan.Late:
 		return d.plan.Late
 	}
-	return c.plan.Ahead+c.plan.Read < d.plan.Ahead+d.plan.Read
+	return c.plan.QueueDelay+c.plan.PrefillTime < d.plan.QueueDelay+d.plan.PrefillTime
 }
 
 // chooseGroup decides within the job's preferred group, and tries the next groups if the response
@@ -45,11 +45,11 @@
 	}
 	first := p.preferredGroup(j, len(groups))
 	if prefillEngine != nil {
-		first = fleet.GroupOf(prefillEngine.ID, len(groups))
+		first = fleet.GroupIndex(prefillEngine.ID, len(groups))
 	}
 	var best choice
 	for n := range groups {
-		if n >= maxGroupsTried && (best.hasInstance() || best.plan.Reason != ReasonNone) {
+		if n >= maxGroupsTried && (best.hasInstance() || best.plan.Reason != ReasonNonePermitted) {
 			break
 		}
 		part := *j
@@ -77,7 +77,7 @@
 // prefix it is random.
 func (p *Placer) preferredGroup(j *Job, n int) int {
 	if subject := j.Call.Subject(); subject != "" {
-		return fleet.GroupOf(subject, n)
+		return fleet.GroupIndex(subject, n)
 	}
 	return int(p.random() * float64(n))
 }
--- a/placement/limit.go
+++ b/placement/limit.go
@@ -11,16 +11,16 @@
 // Limiter tracks the request rate limits of instances, which apply to all processes together. A run
 // is one run of an instance, named by its run ID.
 type Limiter interface {
-	// Any reports whether any run has a rate limit.
-	Any() bool
+	// AnyLimited reports whether any run has a rate limit.
+	AnyLimited() bool
 	// Limited reports whether a run has a rate limit.
 	Limited(run string) bool
-	// Allows reports whether a request may be sent to a run now. The request is added to the demand
+	// CheckGrant reports whether a request may be sent to a run now. The request is added to the demand
 	// for the run unless counted is true.
-	Allows(run string, counted bool) bool
-	// Take counts a request that is about to be sent to a run. granted is true if the run has a rate
+	CheckGrant(run string, counted bool) bool
+	// UseGrant counts a request that is about to be sent to a run. granted is true if the run has a rate
 	// limit; ok is false if the request must not be sent.
-	Take(run string) (granted, ok bool)
+	UseGrant(run string) (granted, ok bool)
 	// RetryAfter returns the delay after which a request that a run does not accept now should be
 	// retried, 0 if the run has no rate limit.
 	RetryAfter(run string) time.Duration
@@ -28,18 +28,18 @@
 
 // anyRateLimited reports whether any instance has a rate limit. If none has, callers need not build
 // the run IDs.
-func (p *Placer) anyRateLimited() bool { return p.limiter != nil && p.limiter.Any() }
+func (p *Placer) anyRateLimited() bool { return p.limiter != nil && p.limiter.AnyLimited() }
 
 // withinRateLimit reports whether the instance's rate limit admits the job.
 func (p *Placer) withinRateLimit(j *Job, i *fleet.Instance) bool {
-	return !p.anyRateLimited() || p.limiter.Allows(i.Run(), j.Waiting)
+	return !p.anyRateLimited() || p.limiter.CheckGrant(i.RunID(), j.AwaitsRateLimit)
 }
 
 // tieBreaker returns a random addition to a score, so that processes which see equal loads choose
 // different instances. An instance with a rate limit gets none and wins the tie, because requests
 // granted for now would expire unused.
 func (p *Placer) tieBreaker(i *fleet.Instance) float64 {
-	if p.anyRateLimited() && p.limiter.Limited(i.Run()) {
+	if p.anyRateLimited() && p.limiter.Limited(i.RunID()) {
 		return 0
 	}
 	return p.random() * tieBreak
@@ -52,10 +52,10 @@
 		plan.Granted = false
 		return true
 	}
-	granted, ok := p.limiter.Take(i.Run())
+	granted, ok := p.limiter.UseGrant(i.RunID())
 	if !ok {
-		plan.Reader, plan.Runner, plan.FetchFrom = nil, nil, nil
-		plan.Reason, plan.RetryAfter = ReasonLimited, p.limiter.RetryAfter(i.Run())
+		plan.PrefillEngine, plan.Target, plan.FetchFrom = nil, nil, nil
+		plan.Reason, plan.RetryAfter = ReasonLimited, p.limiter.RetryAfter(i.RunID())
 		return false
 	}
 	plan.Granted = granted
@@ -67,15 +67,15 @@
 // requests use up the limit. If no target admits a request, it returns false and a plan without
 // instances.
 func (p *Placer) reserveTarget(t *Ticket, plan *Plan, j *Job, targets []*fleet.Instance) bool {
-	if !p.anyRateLimited() || slices.ContainsFunc(targets, func(r *fleet.Instance) bool { return !p.limiter.Limited(r.Run()) }) {
+	if !p.anyRateLimited() || slices.ContainsFunc(targets, func(r *fleet.Instance) bool { return !p.limiter.Limited(r.RunID()) }) {
 		return true
 	}
 	decodePlan := *plan
-	if p.chooseTarget(&decodePlan, j, targets); decodePlan.Runner == nil || !p.useRateGrant(decodePlan.Runner, &decodePlan) {
+	if p.chooseTarget(&decodePlan, j, targets); decodePlan.Target == nil || !p.useRateGrant(decodePlan.Target, &decodePlan) {
 		*plan = Plan{Reason: decodePlan.Reason, RetryAfter: decodePlan.RetryAfter, Uncached: plan.Uncached}
 		return false
 	}
-	t.reserved = decodePlan.Runner.ID
+	t.reserved = decodePlan.Target.ID
 	return true
 }
 
@@ -102,7 +102,7 @@
 	}
 	totalRate := 0.0
 	for _, i := range j.Permitted {
-		if after := p.limiter.RetryAfter(i.Run()); after > 0 && !j.Avoid[i.ID] {
+		if after := p.limiter.RetryAfter(i.RunID()); after > 0 && !j.Avoid[i.ID] {
 			totalRate += 1 / after.Seconds()
 		}
 	}
--- a/placement/model.go
+++ b/placement/model.go
@@ -69,8 +69,8 @@
 	Pairs  int `json:"pairs"`
 }
 
-// WorkOf returns the work of a prompt whose last tokens are uncached.
-func WorkOf(prompt, uncached int) Work {
+// PrefillWork returns the work of a prompt whose last tokens are uncached.
+func PrefillWork(prompt, uncached int) Work {
 	return Work{uncached, uncached * (prompt - uncached/2)}
 }
 
@@ -167,7 +167,7 @@
 // same and of more urgent ranks go first, and a less urgent prefill that is already running is
 // finished. Counting the less urgent prompts as well would predict that short urgent requests are
 // late although they overtake the long ones.
-func (m *Model) QueueMs(u *Unread, rank int) float64 {
+func (m *Model) QueueMs(u *PendingByRank, rank int) float64 {
 	if !m.policy.Has(RankedQueue) {
 		return m.BusyMs(u.All())
 	}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -18,8 +18,8 @@
 type Reason string
 
 const (
-	// ReasonHolder is an engine that has most of the prompt's shared parts cached.
-	ReasonHolder Reason = "holder"
+	// ReasonCacheHolder is an engine that has most of the prompt's shared parts cached.
+	ReasonCacheHolder Reason = "holder"
 	// ReasonFetch is another engine, which fetches the shared parts from the cache holder.
 	ReasonFetch Reason = "fetch"
 	// ReasonHome is the preferred engine of a prompt prefix that no engine has cached.
@@ -28,8 +28,8 @@
 	ReasonSpill Reason = "spill"
 	// ReasonLeast is the instance with the lowest load score.
 	ReasonLeast Reason = "least-work"
-	// ReasonNone means that no permitted instance accepts requests.
-	ReasonNone Reason = "none-permitted"
+	// ReasonNonePermitted means that no permitted instance accepts requests.
+	ReasonNonePermitted Reason = "none-permitted"
 	// ReasonFull means that all permitted instances are at their request limit.
 	ReasonFull Reason = "all-full"
 	// ReasonHopeless means that no engine is expected to prefill the prompt before the client times
@@ -48,8 +48,8 @@
 // Job is a request to be placed.
 type Job struct {
 	Route *fleet.Route
-	// Ranked is true if Route.Rank has been replaced by the rank of the client's workspace.
-	Ranked bool
+	// WorkspaceRank is true if Route.Rank has been replaced by the rank of the client's workspace.
+	WorkspaceRank bool
 	// Workspace is the client's workspace, empty if it has none.
 	Workspace string
 	Service   fleet.Service
@@ -60,10 +60,10 @@
 	// Domain is the failure domain of the process that received the request. If empty, it is set to
 	// the placer's own.
 	Domain string
-	// Left is the time until the client times out.
-	Left time.Duration
-	// Spent is the time since the request arrived.
-	Spent time.Duration
+	// Remaining is the time until the client times out.
+	Remaining time.Duration
+	// Elapsed is the time since the request arrived.
+	Elapsed time.Duration
 	// Permitted holds the instances that may run the request, sorted by ID.
 	Permitted []*fleet.Instance
 	// Groups divides Permitted like fleet.Pool.Groups. If it is nil, there is one group. It is a
@@ -71,32 +71,32 @@
 	Groups func() [][]*fleet.Instance
 	// Avoid holds the IDs of instances that failed this request.
 	Avoid map[string]bool
-	// Waiting is true if the job was tried before and is waiting for rate limits.
-	Waiting bool
-	// NoRead disables prefill on a separate engine: the prompt has been prefilled already, or the
+	// AwaitsRateLimit is true if the job was tried before and is waiting for rate limits.
+	AwaitsRateLimit bool
+	// SkipPrefill disables prefill on a separate engine: the prompt has been prefilled already, or the
 	// request resumes after events that were delivered.
-	NoRead bool
+	SkipPrefill bool
 }
 
 // Plan is the decision for a job.
 type Plan struct {
-	// By is the process that decided, empty if it is the one that received the request.
-	By string
-	// Reader is the engine that prefills the prompt, nil if the target does so itself.
-	Reader *fleet.Instance
-	// Runner is the instance that produces the response: a decode or mixed engine, or a backend
+	// DecidedBy is the process that decided, empty if it is the one that received the request.
+	DecidedBy string
+	// PrefillEngine is the engine that prefills the prompt, nil if the target does so itself.
+	PrefillEngine *fleet.Instance
+	// Target is the instance that produces the response: a decode or mixed engine, or a backend
 	// server. It is nil if the request is rejected.
-	Runner *fleet.Instance
+	Target *fleet.Instance
 	// FetchFrom is an engine that is believed to have parts of the prompt cached which the prefill
 	// engine has not.
 	FetchFrom *fleet.Instance
 	Reason    Reason
 	// Uncached is the estimated number of prompt tokens that have to be prefilled.
 	Uncached int
-	// Ahead is the estimated queueing delay of the request.
-	Ahead time.Duration
-	// Read is the estimated prefill time of its own prompt.
-	Read time.Duration
+	// QueueDelay is the estimated queueing delay of the request.
+	QueueDelay time.Duration
+	// PrefillTime is the estimated prefill time of its own prompt.
+	PrefillTime time.Duration
 	// Rank is the queue rank at which the prompt is prefilled.
 	Rank int
 	// Late is true if the response is expected past its latency target.
@@ -170,8 +170,8 @@
 // placer is used.
 func (p *Placer) SetPolicy(policy Policy) { p.policy = policy }
 
-// Estimate returns how long an idle engine of a service is expected to take to prefill a prompt.
-func (p *Placer) Estimate(service string, w Work) time.Duration {
+// EstimatePrefill returns how long an idle engine of a service is expected to take to prefill a prompt.
+func (p *Placer) EstimatePrefill(service string, w Work) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return millis(p.model(service).PrefillMs(w))
@@ -202,7 +202,7 @@
 	for _, i := range instances {
 		l := p.loadOf(i)
 		queue := time.Duration(0)
-		if unread := l.Unread.All(); unread != (Backlog{}) {
+		if unread := l.Pending.All(); unread != (Backlog{}) {
 			queue = millis(model.BusyMs(unread))
 		}
 		visit(i, l, queue)
@@ -224,31 +224,31 @@
 		p: p, model: p.model(j.Service.Name), pending: p.workspacePending(j.Service.Name), workspace: j.Workspace,
 		promptTokens: j.Call.PromptTokens, parts: sharedParts(j.Call), unsharedTokens: j.Call.PromptTokens - j.Call.SharedTokens(), placedAt: p.now(),
 	}
-	if plan.Reader != nil {
-		if !p.reserveTarget(t, &plan, c.job, c.targets) || !p.useRateGrant(plan.Reader, &plan) {
+	if plan.PrefillEngine != nil {
+		if !p.reserveTarget(t, &plan, c.job, c.targets) || !p.useRateGrant(plan.PrefillEngine, &plan) {
 			return plan, nil
 		}
 		t.assignPrefill(&plan)
 		return plan, t
 	}
-	if !p.useRateGrant(plan.Runner, &plan) {
+	if !p.useRateGrant(plan.Target, &plan) {
 		return plan, nil
 	}
-	t.assignTarget(plan.Runner, j.Service.KVCapacity > 0)
+	t.assignTarget(plan.Target, j.Service.KVCapacity > 0)
 	return plan, t
 }
 
 // choose decides among all instances that the job permits. It doesn't change any load.
 func (p *Placer) choose(j *Job) choice {
 	prefillEngines, targets := p.eligible(j)
-	c := choice{job: j, plan: Plan{Uncached: j.Call.PromptTokens, Reason: ReasonNone}, targets: targets}
-	separatePrefill := j.Call.PromptTokens >= minSeparatePrefillTokens && len(prefillEngines) > 0 && !j.NoRead && p.policy.Has(SeparatePrefill)
+	c := choice{job: j, plan: Plan{Uncached: j.Call.PromptTokens, Reason: ReasonNonePermitted}, targets: targets}
+	separatePrefill := j.Call.PromptTokens >= minSeparatePrefillTokens && len(prefillEngines) > 0 && !j.SkipPrefill && p.policy.Has(SeparatePrefill)
 	switch {
 	case len(targets) == 0:
 		p.setRateLimitReason(&c.plan, j)
 	case separatePrefill:
 		p.choosePrefillEngine(&c.plan, j, sharedParts(j.Call), prefillEngines)
-	case j.Left <= 0:
+	case j.Remaining <= 0:
 		c.plan.Reason, c.plan.RetryAfter = ReasonHopeless, fullRetryAfter
 	default:
 		p.chooseTarget(&c.plan, j, targets)
@@ -256,31 +256,31 @@
 	return c
 }
 
-// PlaceRead chooses the target of a job that has been prefilled and adds the job to its load. It
+// PlaceDecode chooses the target of a job that has been prefilled and adds the job to its load. It
 // returns false if there is no target; the plan then has the reason.
-func (p *Placer) PlaceRead(j *Job, plan *Plan, t *Ticket) bool {
+func (p *Placer) PlaceDecode(j *Job, plan *Plan, t *Ticket) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.setDefaultDomain(j)
 	reason := plan.Reason
-	if plan.Runner = p.reservedTarget(t, j); plan.Runner != nil {
+	if plan.Target = p.reservedTarget(t, j); plan.Target != nil {
 		plan.Granted = true
-		t.assignTarget(plan.Runner, false)
+		t.assignTarget(plan.Target, false)
 		return true
 	}
-	c := p.chooseGroup(j, plan.Reader, func(j *Job) choice { return p.chooseDecode(j, *plan) })
+	c := p.chooseGroup(j, plan.PrefillEngine, func(j *Job) choice { return p.chooseDecode(j, *plan) })
 	*plan = c.plan
-	if plan.Runner == nil || !p.useRateGrant(plan.Runner, plan) {
+	if plan.Target == nil || !p.useRateGrant(plan.Target, plan) {
 		return false
 	}
 	plan.Reason = reason
-	t.assignTarget(plan.Runner, false)
+	t.assignTarget(plan.Target, false)
 	return true
 }
 
 // chooseDecode chooses the target of a job that has been prefilled according to a plan.
 func (p *Placer) chooseDecode(j *Job, plan Plan) choice {
-	plan.Reason, plan.Runner = ReasonNone, nil
+	plan.Reason, plan.Target = ReasonNonePermitted, nil
 	_, targets := p.eligible(j)
 	c := choice{job: j, plan: plan, targets: targets}
 	if len(targets) == 0 {
--- a/placement/policy_test.go
+++ b/placement/policy_test.go
@@ -66,7 +66,7 @@
 		ticket.FirstEvent()
 		ticket.Gaps(time.Duration(10*(1+n%2*3))*time.Millisecond, 20)
 		if n > 0 {
-			ticket.Run(Sound)
+			ticket.RunEnded(Succeeded)
 		}
 	}
 	one := *short
@@ -107,8 +107,8 @@
 		for range 40 {
 			plan, ticket := p.Place(testJob(all, "s", 300))
 			require.NotNil(t, ticket)
-			ticket.Run(Sound)
-			out = append(out, plan.Runner.ID)
+			ticket.RunEnded(Succeeded)
+			out = append(out, plan.Target.ID)
 		}
 		return out
 	}
--- a/placement/reader.go
+++ b/placement/reader.go
@@ -31,13 +31,13 @@
 func (p *Placer) choosePrefillEngine(plan *Plan, j *Job, parts []Part, prefillEngines []*fleet.Instance) {
 	holders := p.cacheHolders(j, parts, prefillEngines)
 	p.chooseWithinTarget(plan, j, prefillEngines, holders)
-	if plan.Late = j.Left <= 0 || p.missesTarget(j, plan); !plan.Late {
+	if plan.Late = j.Remaining <= 0 || p.missesTarget(j, plan); !plan.Late {
 		return
 	}
 	p.chooseFastest(plan, j, prefillEngines, holders, p.prefillRank(j.Route, true))
 	plan.Reason = ReasonLate
-	if untilPrefilled := plan.Ahead + plan.Read; untilPrefilled > j.Left && p.policy.Has(RejectHopeless) {
-		plan.Reader, plan.Reason = nil, ReasonHopeless
+	if untilPrefilled := plan.QueueDelay + plan.PrefillTime; untilPrefilled > j.Remaining && p.policy.Has(RejectHopeless) {
+		plan.PrefillEngine, plan.Reason = nil, ReasonHopeless
 		plan.RetryAfter = max(untilPrefilled-j.Route.LatencyTarget, minRetryAfter)
 	}
 }
@@ -51,7 +51,7 @@
 	if rank == firstRank || !p.missesTarget(j, plan) {
 		return
 	}
-	busy := p.model(j.Service.Name).BusyMs(Backlog{1, WorkOf(j.Call.PromptTokens, plan.Uncached)})
+	busy := p.model(j.Service.Name).BusyMs(Backlog{1, PrefillWork(j.Call.PromptTokens, plan.Uncached)})
 	if p.workspacePending(j.Service.Name).isSmall(j.Workspace, busy) {
 		p.chooseFastest(plan, j, prefillEngines, holders, firstRank)
 	}
@@ -59,29 +59,29 @@
 
 // missesTarget reports whether the plan's response is expected past its latency target.
 func (p *Placer) missesTarget(j *Job, plan *Plan) bool {
-	estimate := plan.Ahead + plan.Read + millis(p.model(j.Service.Name).firstEventMs)
+	estimate := plan.QueueDelay + plan.PrefillTime + millis(p.model(j.Service.Name).firstEventMs)
 	share := latencyTargetShare
 	if !p.policy.Has(TargetMargin) {
 		share = 1
 	}
-	return j.Route.LatencyTarget > 0 && estimate > time.Duration(share*float64(j.Route.LatencyTarget))-j.Spent
+	return j.Route.LatencyTarget > 0 && estimate > time.Duration(share*float64(j.Route.LatencyTarget))-j.Elapsed
 }
 
 // chooseFastest picks the engine with the lowest score for a prefill at a rank. The score is mainly
 // the time until the prefill ends.
 func (p *Placer) chooseFastest(plan *Plan, j *Job, prefillEngines []*fleet.Instance, holders cacheHolders, rank int) {
 	plan.Rank = rank
-	plan.Reader = nil
+	plan.PrefillEngine = nil
 	best := math.Inf(1)
 	var chosen estimate
 	for _, r := range prefillEngines {
 		e := p.estimate(j, r, holders, rank)
 		if e.score < best {
 			best, chosen = e.score, e
-			plan.Reader = r
+			plan.PrefillEngine = r
 		}
 	}
-	plan.Uncached, plan.Ahead, plan.Read = chosen.uncached, millis(chosen.queueMs), millis(chosen.prefillMs)
+	plan.Uncached, plan.QueueDelay, plan.PrefillTime = chosen.uncached, millis(chosen.queueMs), millis(chosen.prefillMs)
 	plan.FetchFrom = nil
 	if chosen.fetched > 0 {
 		plan.FetchFrom = holders.holder
@@ -90,8 +90,8 @@
 	case chosen.fetched > 0:
 		plan.Reason = ReasonFetch
 	case chosen.cached > 0:
-		plan.Reason = ReasonHolder
-	case plan.Reader == holders.preferred:
+		plan.Reason = ReasonCacheHolder
+	case plan.PrefillEngine == holders.preferred:
 		plan.Reason = ReasonHome
 	default:
 		plan.Reason = ReasonSpill
@@ -110,7 +110,7 @@
 }
 
 func (p *Placer) cacheHolders(j *Job, parts []Part, prefillEngines []*fleet.Instance) cacheHolders {
-	holders := cacheHolders{parts: parts, preferred: Home(j.Call.Subject(), prefillEngines)}
+	holders := cacheHolders{parts: parts, preferred: PreferredEngine(j.Call.Subject(), prefillEngines)}
 	for _, i := range prefillEngines {
 		p.state(i).cache.resize(j.Service.KVCapacity)
 	}
@@ -140,8 +140,8 @@
 	e.uncached = j.Call.PromptTokens - e.cached - int((1-fetchedTokenCost)*float64(e.fetched))
 	load := p.load(st)
 	slowdown := p.slowdown(st)
-	e.queueMs = model.QueueMs(&load.Unread, rank) * slowdown
-	e.prefillMs = model.PrefillMs(WorkOf(j.Call.PromptTokens, e.uncached)) * slowdown
+	e.queueMs = model.QueueMs(&load.Pending, rank) * slowdown
+	e.prefillMs = model.PrefillMs(PrefillWork(j.Call.PromptTokens, e.uncached)) * slowdown
 	e.score = (e.queueMs + e.prefillMs) * p.penalty(st)
 	if r.Domain != j.Domain && p.policy.Has(LocalPrefill) {
 		e.score += remotePrefillMs
@@ -168,9 +168,9 @@
 	return st.penalty(p.now())
 }
 
-// Home returns the engine that prefills a prompt prefix first. It uses rendezvous hashing, so that
+// PreferredEngine returns the engine that prefills a prompt prefix first. It uses rendezvous hashing, so that
 // all processes choose the same engine, and few prefixes move when the set of engines changes.
-func Home(subject string, engines []*fleet.Instance) *fleet.Instance {
+func PreferredEngine(subject string, engines []*fleet.Instance) *fleet.Instance {
 	var preferred *fleet.Instance
 	var maxWeight uint64
 	for _, e := range engines {
--- a/placement/readlog.go
+++ b/placement/readlog.go
@@ -7,12 +7,12 @@
 	"github.com/rockdoor/rockdoor/fleet"
 )
 
-// Read records that an engine has prefilled a prompt and has its parts cached since.
-type Read struct {
+// Prefill records that an engine has prefilled a prompt and has its parts cached since.
+type Prefill struct {
 	Instance string
 	// Parts are the shared parts in order, Own the number of tokens that are not shared.
-	Parts []Part
-	Own   int
+	Parts          []Part
+	UnsharedTokens int
 }
 
 // prefillLog holds the recent prefills of this process, which other processes poll. They are
@@ -24,7 +24,7 @@
 }
 
 type loggedPrefill struct {
-	Read
+	Prefill
 	at time.Time
 }
 
@@ -32,7 +32,7 @@
 // lost more than these.
 const prefillLogRetention = 2 * time.Second
 
-func (l *prefillLog) add(r Read, now time.Time) {
+func (l *prefillLog) add(r Prefill, now time.Time) {
 	for len(l.recent) > 0 && now.Sub(l.recent[0].at) > prefillLogRetention {
 		l.recent = l.recent[1:]
 	}
@@ -40,9 +40,9 @@
 	l.recent = append(l.recent, loggedPrefill{r, now})
 }
 
-// ReadsAfter returns the retained prefills of this process with a number above the given one, and
+// PrefillsAfter returns the retained prefills of this process with a number above the given one, and
 // the number of the newest.
-func (p *Placer) ReadsAfter(number uint64) ([]Read, uint64) {
+func (p *Placer) PrefillsAfter(number uint64) ([]Prefill, uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := &p.prefillLog
@@ -50,23 +50,23 @@
 		number = 0 // the number is from an earlier run of this process
 	}
 	fresh := min(l.lastSequence-number, uint64(len(l.recent)))
-	out := make([]Read, 0, fresh)
+	out := make([]Prefill, 0, fresh)
 	for _, r := range l.recent[uint64(len(l.recent))-fresh:] {
-		out = append(out, r.Read)
+		out = append(out, r.Prefill)
 	}
 	return out, l.lastSequence
 }
 
-// Learn applies a prefill that another process reported.
-func (p *Placer) Learn(r Read) {
+// ApplyRemotePrefill applies a prefill that another process reported.
+func (p *Placer) ApplyRemotePrefill(r Prefill) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stateByID(r.Instance).recordPrefill(r.Parts, r.Own)
+	p.stateByID(r.Instance).recordPrefill(r.Parts, r.UnsharedTokens)
 }
 
-// Restore sets which prompt parts the present run of an engine has cached. memory is in tokens, 0
+// RestoreCache sets which prompt parts the present run of an engine has cached. memory is in tokens, 0
 // if unknown.
-func (p *Placer) Restore(i *fleet.Instance, memory int, parts []engine.Part) {
+func (p *Placer) RestoreCache(i *fleet.Instance, memory int, parts []engine.Part) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := p.state(i).cache
--- a/placement/runner.go
+++ b/placement/runner.go
@@ -36,17 +36,17 @@
 		if nextPrefill[r.ID] {
 			score += prefillCandidateShare * float64(r.Slots)
 		}
-		if plan.Reader != nil && r.Domain != plan.Reader.Domain && p.policy.Has(TargetNearPrefill) {
+		if plan.PrefillEngine != nil && r.Domain != plan.PrefillEngine.Domain && p.policy.Has(TargetNearPrefill) {
 			score += transferShare * float64(r.Slots)
 		}
 		if score < best {
 			best = score
-			plan.Runner = r
+			plan.Target = r
 		}
 	}
-	if plan.Runner == nil {
+	if plan.Target == nil {
 		plan.Reason, plan.RetryAfter = ReasonFull, fullRetryAfter
-	} else if plan.Reader == nil {
+	} else if plan.PrefillEngine == nil {
 		plan.Reason = ReasonLeast
 	}
 }
@@ -56,7 +56,7 @@
 // its longest response, so long responses should go elsewhere. Requests with a separate prefill are
 // exempt, because their responses are short.
 func (p *Placer) prefillCandidates(j *Job, plan *Plan, targets []*fleet.Instance) map[string]bool {
-	if j.Service.KVCapacity == 0 || plan.Reader != nil || len(targets) < 2 || !p.policy.Has(SparePrefillCandidates) {
+	if j.Service.KVCapacity == 0 || plan.PrefillEngine != nil || len(targets) < 2 || !p.policy.Has(SparePrefillCandidates) {
 		return nil
 	}
 	requests, slots := 0, 1
--- a/placement/state.go
+++ b/placement/state.go
@@ -32,20 +32,20 @@
 // Load is the work in flight at an instance.
 type Load struct {
 	Requests int `json:"requests"`
-	// Unread holds the prompts pending prefill.
-	Unread Unread `json:"unread"`
+	// Pending holds the prompts pending prefill.
+	Pending PendingByRank `json:"unread"`
 	// Starting counts the requests whose target was chosen and whose responses have not begun.
 	Starting int `json:"starting"`
-	// Long counts requests to engines without a separate prefill, whose responses take seconds.
-	Long int `json:"long"`
+	// LongResponses counts requests to engines without a separate prefill, whose responses take seconds.
+	LongResponses int `json:"long"`
 }
 
 func (l Load) Add(m Load) Load {
-	return Load{l.Requests + m.Requests, l.Unread.add(m.Unread), l.Starting + m.Starting, l.Long + m.Long}
+	return Load{l.Requests + m.Requests, l.Pending.add(m.Pending), l.Starting + m.Starting, l.LongResponses + m.LongResponses}
 }
 
 func (l Load) Sub(m Load) Load {
-	return Load{l.Requests - m.Requests, l.Unread.sub(m.Unread), l.Starting - m.Starting, l.Long - m.Long}
+	return Load{l.Requests - m.Requests, l.Pending.sub(m.Pending), l.Starting - m.Starting, l.LongResponses - m.LongResponses}
 }
 
 // instanceState is what this process has recorded about one instance.
@@ -74,10 +74,10 @@
 // reset, except for the load in flight, whose tickets are still open.
 func (p *Placer) state(i *fleet.Instance) *instanceState {
 	st := p.stateByID(i.ID)
-	if st.startTime != i.Born {
+	if st.startTime != i.StartTime {
 		local := st.local
 		*st = *newState(i.ID)
-		st.startTime, st.local = i.Born, local
+		st.startTime, st.local = i.StartTime, local
 	}
 	return st
 }
@@ -151,9 +151,9 @@
 	s.gapMs += (ms - s.gapMs) * gapSmoothing
 }
 
-// Own returns the load of this process by instance, without idle instances. It runs for each load
+// LocalLoads returns the load of this process by instance, without idle instances. It runs for each load
 // digest, so it visits only the busy instances.
-func (p *Placer) Own() map[string]Load {
+func (p *Placer) LocalLoads() map[string]Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := map[string]Load{}
@@ -167,13 +167,13 @@
 	return out
 }
 
-// Prompts returns the number of this process's prompts that are pending or being prefilled.
-func (p *Placer) Prompts() int {
+// PendingPrompts returns the number of this process's prompts that are pending or being prefilled.
+func (p *Placer) PendingPrompts() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
 	for _, st := range p.busy {
-		n += st.local.Unread.All().Prompts
+		n += st.local.Pending.All().Prompts
 	}
 	return n
 }
--- a/placement/ticket.go
+++ b/placement/ticket.go
@@ -46,15 +46,15 @@
 
 // assignPrefill adds the job to the load of its prefill engine. The caller holds the placer's lock.
 func (t *Ticket) assignPrefill(plan *Plan) {
-	t.prefillState = t.p.state(plan.Reader)
+	t.prefillState = t.p.state(plan.PrefillEngine)
 	t.prefillState.breaker.recordSend(t.placedAt)
 	ahead := t.p.load(t.prefillState)
-	work := WorkOf(t.promptTokens, plan.Uncached)
-	t.queueEmpty = ahead.Unread.All().Prompts == 0
-	t.expectedMs = t.model.QueueMs(&ahead.Unread, plan.Rank) + t.model.PrefillMs(work)
+	work := PrefillWork(t.promptTokens, plan.Uncached)
+	t.queueEmpty = ahead.Pending.All().Prompts == 0
+	t.expectedMs = t.model.QueueMs(&ahead.Pending, plan.Rank) + t.model.PrefillMs(work)
 	t.late = plan.Late
 	t.prefillLoad = Load{Requests: 1}
-	t.prefillLoad.Unread[plan.Rank] = Backlog{1, work}
+	t.prefillLoad.Pending[plan.Rank] = Backlog{1, work}
 	t.p.addLocalLoad(t.prefillState, t.prefillLoad)
 	t.busyMs = t.model.BusyMs(Backlog{1, work})
 	t.pending.add(t.workspace, t.busyMs)
@@ -66,7 +66,7 @@
 // holds the placer's lock.
 func (t *Ticket) recordCached() {
 	t.prefillState.recordPrefill(t.parts, t.unsharedTokens)
-	t.p.prefillLog.add(Read{t.prefillState.id, t.parts, t.unsharedTokens}, t.p.now())
+	t.p.prefillLog.add(Prefill{t.prefillState.id, t.parts, t.unsharedTokens}, t.p.now())
 }
 
 // assignTarget adds the job to the load of its target. The caller holds the placer's lock.
@@ -75,7 +75,7 @@
 	t.targetState.breaker.recordSend(t.targetPlacedAt)
 	t.targetLoad = Load{Requests: 1}
 	if long {
-		t.targetLoad.Long = 1
+		t.targetLoad.LongResponses = 1
 	}
 	t.p.addLocalLoad(t.targetState, t.targetLoad)
 	t.targetState.local.Starting++
@@ -88,8 +88,8 @@
 	p.busy[st.id] = st
 }
 
-// Read records the end of a separate prefill. read is true if the prompt was prefilled.
-func (t *Ticket) Read(read bool, o Outcome) {
+// PrefillEnded records the end of a separate prefill. read is true if the prompt was prefilled.
+func (t *Ticket) PrefillEnded(read bool, o Outcome) {
 	t.p.mu.Lock()
 	defer t.p.mu.Unlock()
 	r := t.prefillState
@@ -111,7 +111,7 @@
 	}
 	// A prefill that waited for one of another process says nothing about the engine's speed.
 	if !t.p.policy.Has(CleanSamples) || t.hadEngineAlone(r) {
-		t.model.Observe(t.prefillLoad.Unread.All().Work, took)
+		t.model.Observe(t.prefillLoad.Pending.All().Work, took)
 	}
 }
 
@@ -119,7 +119,7 @@
 // was placed. The caller holds the lock.
 func (t *Ticket) hadEngineAlone(r *instanceState) bool {
 	others := t.p.load(r)
-	return t.queueEmpty && r.prefills == t.prefillsBefore+1 && others.Unread.All().Prompts == 0
+	return t.queueEmpty && r.prefills == t.prefillsBefore+1 && others.Pending.All().Prompts == 0
 }
 
 // FirstEvent records that the response begins.
@@ -187,8 +187,8 @@
 type Outcome int
 
 const (
-	// Sound: the instance responded as it should, or is not at fault.
-	Sound Outcome = iota
+	// Succeeded: the instance responded as it should, or is not at fault.
+	Succeeded Outcome = iota
 	// Failed: the instance rejected the request, broke the connection or sent an invalid response.
 	Failed
 	// Unreachable: the connection failed, nothing was sent.
@@ -209,8 +209,8 @@
 	}
 }
 
-// Run records how the request ended at its target.
-func (t *Ticket) Run(o Outcome) {
+// RunEnded records how the request ended at its target.
+func (t *Ticket) RunEnded(o Outcome) {
 	t.p.mu.Lock()
 	defer t.p.mu.Unlock()
 	if t.targetState == nil {
--- a/placement/unread.go
+++ b/placement/unread.go
@@ -46,17 +46,17 @@
 	return Work{b.Tokens / b.Prompts / 2, b.Pairs / b.Prompts / 2}
 }
 
-// Unread holds the prompts pending prefill at an engine, indexed by rank.
-type Unread [Ranks]Backlog
+// PendingByRank holds the prompts pending prefill at an engine, indexed by rank.
+type PendingByRank [Ranks]Backlog
 
 // All returns the backlog of all ranks.
-func (u *Unread) All() Backlog { return u.throughRank(Ranks - 1) }
+func (u *PendingByRank) All() Backlog { return u.throughRank(Ranks - 1) }
 
 // Late returns the backlog of late requests.
-func (u *Unread) Late() Backlog { return u.All().sub(u.throughRank(lateRank - 1)) }
+func (u *PendingByRank) Late() Backlog { return u.All().sub(u.throughRank(lateRank - 1)) }
 
 // throughRank returns the backlog of the rank and of all more urgent ones.
-func (u *Unread) throughRank(rank int) Backlog {
+func (u *PendingByRank) throughRank(rank int) Backlog {
 	var sum Backlog
 	for _, b := range u[:rank+1] {
 		sum = sum.Add(b)
@@ -64,14 +64,14 @@
 	return sum
 }
 
-func (u Unread) add(v Unread) Unread {
+func (u PendingByRank) add(v PendingByRank) PendingByRank {
 	for rank := range u {
 		u[rank] = u[rank].Add(v[rank])
 	}
 	return u
 }
 
-func (u Unread) sub(v Unread) Unread {
+func (u PendingByRank) sub(v PendingByRank) PendingByRank {
 	for rank := range u {
 		u[rank] = u[rank].sub(v[rank])
 	}
