--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -50,8 +50,8 @@
 	LatencyTarget time.Duration
 	// GapTarget is the target for the time between two events of a stream.
 	GapTarget time.Duration
-	// FirstEventTimeout is how long clients wait for the first event of a stream, regardless of the timeout
-	// that they state for the whole stream. 0 is no limit.
+	// FirstEventTimeout is how long clients wait for the first event of a stream, regardless of the
+	// timeout that they state for the whole stream. 0 is no limit.
 	FirstEventTimeout time.Duration
 	// MaxAttempts is the maximum number of instances that one request is sent to.
 	MaxAttempts int
@@ -92,7 +92,7 @@
 // Scaling has the limits for the number of a service's engines per failure domain, and their
 // prices.
 type Scaling struct {
-	// MinEngines and Most are the minimum and maximum of on-demand and spot engines together.
+	// MinEngines and MaxEngines are the minimum and maximum of on-demand and spot engines together.
 	MinEngines, MaxEngines int
 	// Startup is the time from the order of an engine until it serves requests.
 	Startup time.Duration
--- a/fleet/pool_test.go
+++ b/fleet/pool_test.go
@@ -112,9 +112,9 @@
 	require.Nil(t, (&View{}).Pool("r", "s").Find("i-1"))
 }
 
-// BenchmarkIndexFrom publishes a view of 10,000 instances of which none, one, 300 or all have
+// BenchmarkIndexChanges publishes a view of 10,000 instances of which none, one, 300 or all have
 // changed.
-func BenchmarkIndexFrom(b *testing.B) {
+func BenchmarkIndexChanges(b *testing.B) {
 	v := &View{Instances: testInstances(10_000)}
 	v.Index()
 	all := map[string]bool{}
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -16,12 +16,12 @@
 type View struct {
 	// Config is nil until the first configuration has been received.
 	Config *Config
-	// ConfigConfirmedAt and InstancesAt are when the store last confirmed that the configuration and the
-	// registrations were current.
+	// ConfigConfirmedAt and InstancesConfirmedAt are when the store last confirmed that the
+	// configuration and the registrations were current.
 	ConfigConfirmedAt    bootclock.Instant
 	InstancesConfirmedAt bootclock.Instant
-	// ConfigFreshAt is the latest time at which Config is known to have been current. It is the send time
-	// of a request to the store whose response confirmed Config. The time at which the response
+	// ConfigFreshAt is the latest time at which Config is known to have been current. It is the send
+	// time of a request to the store whose response confirmed Config. The time at which the response
 	// arrived would not do, because Config may have changed while it was in transit.
 	ConfigFreshAt bootclock.Instant
 	// InstancesRevision is the store revision up to which registrations have been applied.
@@ -32,8 +32,8 @@
 	// rules. Until the registrations are known here, the scheduler chooses the instances and sends
 	// their registrations with its decisions.
 	Partial bool
-	// FullSnapshotAt is the earliest time at which this process requests the full snapshot after the partial
-	// one, 0 if it need not wait.
+	// FullSnapshotAt is the earliest time at which this process requests the full snapshot after the
+	// partial one, 0 if it need not wait.
 	FullSnapshotAt bootclock.Instant
 	// Instances holds all registered instances by ID.
 	Instances map[string]*Instance
@@ -41,8 +41,8 @@
 	// Processes is the number of registered rockdoor processes.
 	Processes int
 	// Schedulers place requests for the other processes. Watchers are the schedulers that watch the
-	// store. Scheduling is true if this process is a scheduler. Mesh holds the schedulers, and those
-	// that are replaced while they are unresponsive: the processes that exchange their load.
+	// store. GossipPeers are the processes that exchange their load: the schedulers, and those that
+	// are replaced while they are unresponsive. Scheduling is true if this process is a scheduler.
 	Schedulers  []members.Member
 	Watchers    []members.Member
 	GossipPeers []members.Member
@@ -143,8 +143,8 @@
 // Ready reports whether the view has all that is needed to serve requests.
 func (v *View) Ready() bool { return v.Complete() || v.Config != nil && v.Partial && !v.Scheduling }
 
-// FilterPermitted filters instances by Permitted: it returns those that accept requests for the service
-// and on which the rules permit requests of the route, sorted by ID.
+// FilterPermitted filters instances by Permitted: it returns those that accept requests for the
+// service and on which the rules permit requests of the route, sorted by ID.
 func (v *View) FilterPermitted(route, service string, instances []*Instance) []*Instance {
 	few := View{Config: v.Config, Rules: v.Rules, Instances: map[string]*Instance{}}
 	for _, i := range instances {
--- a/placement/cache_test.go
+++ b/placement/cache_test.go
@@ -50,9 +50,9 @@
 	require.NotEqual(t, parts[0].ID, parts[1].ID)
 }
 
-// TestReadsAfterReturnsEachEntryOnce checks which prefills another process gets for the number of
+// TestPrefillsAfterReturnsEachEntryOnce checks which prefills another process gets for the number of
 // the newest one that it has.
-func TestReadsAfterReturnsEachEntryOnce(t *testing.T) {
+func TestPrefillsAfterReturnsEachEntryOnce(t *testing.T) {
 	p := New("a", nil, nil)
 	for n := range 3 {
 		p.prefillLog.add(Prefill{Instance: "i", UnsharedTokens: n}, time.Now())
--- a/placement/group.go
+++ b/placement/group.go
@@ -52,9 +52,9 @@
 		if n >= maxGroupsTried && (best.hasInstance() || best.plan.Reason != ReasonNonePermitted) {
 			break
 		}
-		part := *j
-		part.Permitted = groups[(first+n)%len(groups)]
-		c := choose(&part)
+		groupJob := *j
+		groupJob.Permitted = groups[(first+n)%len(groups)]
+		c := choose(&groupJob)
 		if n == 0 || c.betterThan(&best) {
 			best = c
 		}
@@ -76,8 +76,8 @@
 // prompt prefix, so that all processes look for cached parts in the same group. For a job without a
 // prefix it is random.
 func (p *Placer) preferredGroup(j *Job, n int) int {
-	if subject := j.Call.Subject(); subject != "" {
-		return fleet.GroupIndex(subject, n)
+	if prefix := j.Call.Subject(); prefix != "" {
+		return fleet.GroupIndex(prefix, n)
 	}
 	return int(p.random() * float64(n))
 }
--- a/placement/group_test.go
+++ b/placement/group_test.go
@@ -48,7 +48,7 @@
 		subject := fmt.Sprint("subject-", n)
 		one, _ := New("a", nil, nil).Place(groupedJob(pool, subject, 9000))
 		other, _ := New("b", nil, nil).Place(groupedJob(&fleet.Pool{All: pool.All}, subject, 9000))
-		require.Equal(t, ReasonHome, one.Reason)
+		require.Equal(t, ReasonPreferred, one.Reason)
 		require.Same(t, one.PrefillEngine, other.PrefillEngine)
 	}
 }
--- a/placement/limit.go
+++ b/placement/limit.go
@@ -15,11 +15,11 @@
 	AnyLimited() bool
 	// Limited reports whether a run has a rate limit.
 	Limited(run string) bool
-	// CheckGrant reports whether a request may be sent to a run now. The request is added to the demand
-	// for the run unless counted is true.
+	// CheckGrant reports whether a request may be sent to a run now. The request is added to the
+	// demand for the run unless counted is true.
 	CheckGrant(run string, counted bool) bool
-	// UseGrant counts a request that is about to be sent to a run. granted is true if the run has a rate
-	// limit; ok is false if the request must not be sent.
+	// UseGrant counts a request that is about to be sent to a run. granted is true if the run has a
+	// rate limit; ok is false if the request must not be sent.
 	UseGrant(run string) (granted, ok bool)
 	// RetryAfter returns the delay after which a request that a run does not accept now should be
 	// retried, 0 if the run has no rate limit.
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -22,19 +22,19 @@
 	ReasonCacheHolder Reason = "holder"
 	// ReasonFetch is another engine, which fetches the shared parts from the cache holder.
 	ReasonFetch Reason = "fetch"
-	// ReasonHome is the preferred engine of a prompt prefix that no engine has cached.
-	ReasonHome Reason = "home"
+	// ReasonPreferred is the preferred engine of a prompt prefix that no engine has cached.
+	ReasonPreferred Reason = "home"
 	// ReasonSpill is another engine, because the preferred one is too busy.
 	ReasonSpill Reason = "spill"
-	// ReasonLeast is the instance with the lowest load score.
-	ReasonLeast Reason = "least-work"
+	// ReasonLeastWork is the instance with the lowest load score.
+	ReasonLeastWork Reason = "least-work"
 	// ReasonNonePermitted means that no permitted instance accepts requests.
 	ReasonNonePermitted Reason = "none-permitted"
 	// ReasonFull means that all permitted instances are at their request limit.
 	ReasonFull Reason = "all-full"
-	// ReasonHopeless means that no engine is expected to prefill the prompt before the client times
-	// out.
-	ReasonHopeless Reason = "hopeless"
+	// ReasonWouldTimeOut means that no engine is expected to prefill the prompt before the client
+	// times out.
+	ReasonWouldTimeOut Reason = "hopeless"
 	// ReasonQuarantined means that the request is quarantined because instances crashed while running
 	// it.
 	ReasonQuarantined Reason = "quarantined"
@@ -141,8 +141,8 @@
 }
 
 // New returns a placer for a process in a failure domain. peers returns the load that the other
-// processes have at an instance, isChangingRole reports whether an engine is about to change its role.
-// Either may be nil.
+// processes have at an instance, isChangingRole reports whether an engine is about to change its
+// role. Either may be nil.
 func New(domain string, peerLoad func(id string) Load, isChangingRole func(*fleet.Instance) bool) *Placer {
 	if peerLoad == nil {
 		peerLoad = func(string) Load { return Load{} }
@@ -170,7 +170,8 @@
 // placer is used.
 func (p *Placer) SetPolicy(policy Policy) { p.policy = policy }
 
-// EstimatePrefill returns how long an idle engine of a service is expected to take to prefill a prompt.
+// EstimatePrefill returns how long an idle engine of a service is expected to take to prefill a
+// prompt.
 func (p *Placer) EstimatePrefill(service string, w Work) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -202,8 +203,8 @@
 	for _, i := range instances {
 		l := p.loadOf(i)
 		queue := time.Duration(0)
-		if unread := l.Pending.All(); unread != (Backlog{}) {
-			queue = millis(model.BusyMs(unread))
+		if pending := l.Pending.All(); pending != (Backlog{}) {
+			queue = millis(model.BusyMs(pending))
 		}
 		visit(i, l, queue)
 	}
@@ -249,7 +250,7 @@
 	case separatePrefill:
 		p.choosePrefillEngine(&c.plan, j, sharedParts(j.Call), prefillEngines)
 	case j.Remaining <= 0:
-		c.plan.Reason, c.plan.RetryAfter = ReasonHopeless, fullRetryAfter
+		c.plan.Reason, c.plan.RetryAfter = ReasonWouldTimeOut, fullRetryAfter
 	default:
 		p.chooseTarget(&c.plan, j, targets)
 	}
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -36,7 +36,7 @@
 	for n := range 600 {
 		subject := fmt.Sprint("subject-", n)
 		plan, ticket := New("a", nil, nil).Place(testJob(all, subject, 9000))
-		require.Equal(t, ReasonHome, plan.Reason)
+		require.Equal(t, ReasonPreferred, plan.Reason)
 		require.Equal(t, PreferredEngine(subject, all[:6]), plan.PrefillEngine)
 		spread[plan.PrefillEngine.ID]++
 		ticket.Cancel()
@@ -191,9 +191,9 @@
 	}
 }
 
-// TestHopelessRequestIsRejectedAtOnce checks that a request which no engine is expected to prefill
+// TestRequestThatWouldTimeOutIsRejected checks that a request which no engine is expected to prefill
 // before the client times out is not held until then.
-func TestHopelessRequestIsRejectedAtOnce(t *testing.T) {
+func TestRequestThatWouldTimeOutIsRejected(t *testing.T) {
 	all := instancesByRole(2, 1)
 	p := New("a", func(string) Load { return pendingLoad(lateRank, 100, 800000) }, nil)
 	j := testJob(all, "s", 6000)
@@ -203,7 +203,7 @@
 	p = New("a", func(string) Load { return pendingLoad(0, 50, 400000) }, nil)
 	plan, ticket = p.Place(j)
 	require.Nil(t, ticket)
-	require.Equal(t, ReasonHopeless, plan.Reason)
+	require.Equal(t, ReasonWouldTimeOut, plan.Reason)
 	require.Greater(t, plan.RetryAfter, time.Second, "the queue has to drain first")
 	require.Empty(t, p.LocalLoads())
 }
@@ -370,7 +370,7 @@
 	again.StartTime = 18
 	j.Permitted = []*fleet.Instance{&again, all[1]}
 	plan, _ = p.Place(j)
-	require.Equal(t, ReasonHome, plan.Reason)
+	require.Equal(t, ReasonPreferred, plan.Reason)
 }
 
 func BenchmarkPlace(b *testing.B) {
--- a/placement/policy.go
+++ b/placement/policy.go
@@ -13,8 +13,8 @@
 	LateLast Mechanism = "late-last"
 	// LateByRank prefills late requests in the order of their routes' ranks instead of arrival.
 	LateByRank Mechanism = "late-in-order"
-	// RejectHopeless rejects requests that cannot be prefilled before the client times out.
-	RejectHopeless Mechanism = "refuse-hopeless"
+	// RejectWouldTimeOut rejects requests that cannot be prefilled before the client times out.
+	RejectWouldTimeOut Mechanism = "refuse-hopeless"
 	// TargetMargin reserves a part of the latency target for estimation errors.
 	TargetMargin Mechanism = "target-margin"
 	// RankedQueue counts only prompts that are prefilled before a new one towards its queueing delay.
@@ -57,7 +57,7 @@
 )
 
 var mechanisms = []Mechanism{
-	SeparatePrefill, LateLast, LateByRank, RejectHopeless, TargetMargin, RankedQueue, HalfOfRunning, Attention, CleanSamples, Outliers, Slowdown, KnownPrefixes,
+	SeparatePrefill, LateLast, LateByRank, RejectWouldTimeOut, TargetMargin, RankedQueue, HalfOfRunning, Attention, CleanSamples, Outliers, Slowdown, KnownPrefixes,
 	Fetch, PreferredEngines, LocalPrefill, LocalTarget, TargetNearPrefill, StartingCounts, SlowTargets, SparePrefillCandidates, QueueLimit, Penalty, Breakers,
 }
 
--- a/placement/reader.go
+++ b/placement/reader.go
@@ -16,9 +16,9 @@
 	// fetchedTokenCost is the share of fetched tokens that is expected to be prefilled all the same.
 	// A fetch is cheap, but the cache holder may have evicted the parts.
 	fetchedTokenCost = 0.15
-	// latencyTargetShare is the share of the latency target within which the response must be expected,
-	// or the request counts as late. Without the margin, estimation errors make borderline requests
-	// late.
+	// latencyTargetShare is the share of the latency target within which the response must be
+	// expected, or the request counts as late. Without the margin, estimation errors make borderline
+	// requests late.
 	latencyTargetShare = 0.85
 	// notPreferredMs is added to the score of every engine but the preferred one, in ms. A prefix
 	// that no engine has cached should be cached in one place only.
@@ -36,8 +36,8 @@
 	}
 	p.chooseFastest(plan, j, prefillEngines, holders, p.prefillRank(j.Route, true))
 	plan.Reason = ReasonLate
-	if untilPrefilled := plan.QueueDelay + plan.PrefillTime; untilPrefilled > j.Remaining && p.policy.Has(RejectHopeless) {
-		plan.PrefillEngine, plan.Reason = nil, ReasonHopeless
+	if untilPrefilled := plan.QueueDelay + plan.PrefillTime; untilPrefilled > j.Remaining && p.policy.Has(RejectWouldTimeOut) {
+		plan.PrefillEngine, plan.Reason = nil, ReasonWouldTimeOut
 		plan.RetryAfter = max(untilPrefilled-j.Route.LatencyTarget, minRetryAfter)
 	}
 }
@@ -92,7 +92,7 @@
 	case chosen.cached > 0:
 		plan.Reason = ReasonCacheHolder
 	case plan.PrefillEngine == holders.preferred:
-		plan.Reason = ReasonHome
+		plan.Reason = ReasonPreferred
 	default:
 		plan.Reason = ReasonSpill
 	}
@@ -168,22 +168,23 @@
 	return st.penalty(p.now())
 }
 
-// PreferredEngine returns the engine that prefills a prompt prefix first. It uses rendezvous hashing, so that
-// all processes choose the same engine, and few prefixes move when the set of engines changes.
-func PreferredEngine(subject string, engines []*fleet.Instance) *fleet.Instance {
+// PreferredEngine returns the engine that prefills a prompt prefix first. It uses rendezvous
+// hashing, so that all processes choose the same engine, and few prefixes move when the set of
+// engines changes.
+func PreferredEngine(prefix string, engines []*fleet.Instance) *fleet.Instance {
 	var preferred *fleet.Instance
 	var maxWeight uint64
 	for _, e := range engines {
-		if w := rendezvousWeight(subject, e.ID); preferred == nil || w > maxWeight {
+		if w := rendezvousWeight(prefix, e.ID); preferred == nil || w > maxWeight {
 			preferred, maxWeight = e, w
 		}
 	}
 	return preferred
 }
 
-func rendezvousWeight(subject, id string) uint64 {
+func rendezvousWeight(prefix, id string) uint64 {
 	h := xxhash.New()
-	_, _ = h.WriteString(subject)
+	_, _ = h.WriteString(prefix)
 	_, _ = h.WriteString("/")
 	_, _ = h.WriteString(id)
 	return h.Sum64()
--- a/placement/readlog.go
+++ b/placement/readlog.go
@@ -10,7 +10,7 @@
 // Prefill records that an engine has prefilled a prompt and has its parts cached since.
 type Prefill struct {
 	Instance string
-	// Parts are the shared parts in order, Own the number of tokens that are not shared.
+	// Parts are the shared parts in order.
 	Parts          []Part
 	UnsharedTokens int
 }
@@ -64,8 +64,8 @@
 	p.stateByID(r.Instance).recordPrefill(r.Parts, r.UnsharedTokens)
 }
 
-// RestoreCache sets which prompt parts the present run of an engine has cached. memory is in tokens, 0
-// if unknown.
+// RestoreCache sets which prompt parts the present run of an engine has cached. memory is in
+// tokens, 0 if unknown.
 func (p *Placer) RestoreCache(i *fleet.Instance, memory int, parts []engine.Part) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/placement/runner.go
+++ b/placement/runner.go
@@ -47,7 +47,7 @@
 	if plan.Target == nil {
 		plan.Reason, plan.RetryAfter = ReasonFull, fullRetryAfter
 	} else if plan.PrefillEngine == nil {
-		plan.Reason = ReasonLeast
+		plan.Reason = ReasonLeastWork
 	}
 }
 
--- a/placement/state.go
+++ b/placement/state.go
@@ -36,7 +36,8 @@
 	Pending PendingByRank `json:"unread"`
 	// Starting counts the requests whose target was chosen and whose responses have not begun.
 	Starting int `json:"starting"`
-	// LongResponses counts requests to engines without a separate prefill, whose responses take seconds.
+	// LongResponses counts requests to engines without a separate prefill, whose responses take
+	// seconds.
 	LongResponses int `json:"long"`
 }
 
@@ -151,8 +152,8 @@
 	s.gapMs += (ms - s.gapMs) * gapSmoothing
 }
 
-// LocalLoads returns the load of this process by instance, without idle instances. It runs for each load
-// digest, so it visits only the busy instances.
+// LocalLoads returns the load of this process by instance, without idle instances. It runs for each
+// load digest, so it visits only the busy instances.
 func (p *Placer) LocalLoads() map[string]Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/placement/ticket.go
+++ b/placement/ticket.go
@@ -48,10 +48,10 @@
 func (t *Ticket) assignPrefill(plan *Plan) {
 	t.prefillState = t.p.state(plan.PrefillEngine)
 	t.prefillState.breaker.recordSend(t.placedAt)
-	ahead := t.p.load(t.prefillState)
+	pendingLoad := t.p.load(t.prefillState)
 	work := PrefillWork(t.promptTokens, plan.Uncached)
-	t.queueEmpty = ahead.Pending.All().Prompts == 0
-	t.expectedMs = t.model.QueueMs(&ahead.Pending, plan.Rank) + t.model.PrefillMs(work)
+	t.queueEmpty = pendingLoad.Pending.All().Prompts == 0
+	t.expectedMs = t.model.QueueMs(&pendingLoad.Pending, plan.Rank) + t.model.PrefillMs(work)
 	t.late = plan.Late
 	t.prefillLoad = Load{Requests: 1}
 	t.prefillLoad.Pending[plan.Rank] = Backlog{1, work}
@@ -89,19 +89,19 @@
 }
 
 // PrefillEnded records the end of a separate prefill. read is true if the prompt was prefilled.
-func (t *Ticket) PrefillEnded(read bool, o Outcome) {
+func (t *Ticket) PrefillEnded(prefilled bool, o Outcome) {
 	t.p.mu.Lock()
 	defer t.p.mu.Unlock()
 	r := t.prefillState
 	if r == nil {
 		return
 	}
-	if read {
+	if prefilled {
 		t.recordCached()
 	}
 	t.releasePrefill()
 	r.recordAttempt(o, t.placedAt, t.p.now())
-	if !read {
+	if !prefilled {
 		return
 	}
 	t.prefilledAt = t.p.now()
