--- a/placement/model.go
+++ b/placement/model.go
@@ -165,8 +165,8 @@
 
 // QueueMs returns how long a new prompt of a rank waits in an engine's queue, in ms. Prompts of the
 // same and of more urgent ranks go first, and a less urgent prefill that is already running is
-// finished. Counting the less urgent prompts as well would predict that short urgent requests are
-// late although they overtake the long ones.
+// finished. Counting all less urgent prompts would predict that short urgent requests are late
+// although they overtake the long ones.
 func (m *Model) QueueMs(u *PendingByRank, rank int) float64 {
 	if !m.policy.Has(RankedQueue) {
 		return m.BusyMs(u.All())
--- a/placement/readlog.go
+++ b/placement/readlog.go
@@ -28,8 +28,8 @@
 	at time.Time
 }
 
-// prefillLogRetention is how long entries are kept. A process that has not polled for that long has
-// lost more than these.
+// prefillLogRetention is how long entries are kept. A process that has not polled for
+// that long has missed other updates as well.
 const prefillLogRetention = 2 * time.Second
 
 func (l *prefillLog) add(r Prefill, now time.Time) {
