--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/rockdoor/rockdoor/placement"
 )
 
-// BenchmarkPlace places prompts through a scheduler in another process's place, over
-// loopback, among engines as many as three deployments have.
+// BenchmarkPlace measures placement through a remote scheduler over loopback, with as many
+// engines as three existing deployments have.
 func BenchmarkPlace(b *testing.B) {
 	for _, n := range []int{18, 104, 2700} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -22,14 +22,14 @@
 				}
 				engines = append(engines, fmt.Sprint("a", kind, i))
 			}
-			see([]*node{s, a}, []*node{s}, engines...)
+			setView([]*node{s, a}, []*node{s}, engines...)
 			ctx := context.Background()
 			for i := 0; b.Loop(); i++ {
-				plan, ticket := a.Place(ctx, jobOf(a, fmt.Sprint(i%200)))
+				plan, ticket := a.Place(ctx, jobFor(a, fmt.Sprint(i%200)))
 				if plan.By != "a-sched" {
-					b.Fatal("the scheduler did not answer in time")
+					b.Fatal("the scheduler did not respond in time")
 				}
-				ticket = ticket.PlaceRead(ctx, jobOf(a, "x"), &plan)
+				ticket = ticket.PlaceRead(ctx, jobFor(a, "x"), &plan)
 				ticket.Run(placement.Sound)
 			}
 		})
--- a/internal/scheduler/client.go
+++ b/internal/scheduler/client.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	// askTimeout bounds one question where a request runs. Answers take a millisecond or
-	// two between failure domains; a process that is stopped or cut off must not cost a
-	// request more than a part of its latency target.
-	askTimeout = 40 * time.Millisecond
-	// asks is how many schedulers are asked before a process decides alone.
-	asks = 2
+	// callTimeout bounds one call to a scheduler. Answers take 1 to 2 ms between failure
+	// domains. A stopped or partitioned scheduler must cost a request only a small part of
+	// its latency target.
+	callTimeout = 40 * time.Millisecond
+	// maxPlaceAttempts is how many schedulers are tried before a process places a request itself.
+	maxPlaceAttempts = 2
 )
 
 // Options of a Client and a Server.
@@ -35,26 +35,26 @@
 	Self      members.Member
 	View      func() *fleet.View
 	Transport *peer.Transport
-	// Placer decides in this process.
+	// Placer makes placement decisions in this process.
 	Placer *placement.Placer
-	// Limits are the rates that instances limit themselves to; nil if none do.
+	// Limits holds the rate limits that instances report; nil if none do.
 	Limits *ratelimit.Table
-	// Quarantine knows which requests end the instances that run them; nil if none do.
+	// Quarantine holds the requests that crash the instances running them; nil if there are none.
 	Quarantine *quarantine.Table
-	// Hears reports whether this process hears another one in other ways than as one that
-	// follows it; nil if in none.
+	// Hears reports whether this process receives messages from another process by means
+	// other than the other process following this scheduler; nil means never.
 	Hears func(name string) bool
-	// InstancePrefix is that of the keys of registrations.
+	// InstancePrefix is the key prefix of instance registrations in the store.
 	InstancePrefix string
-	// Within is in what time a change in the store must have reached everybody.
+	// Within is the time limit for a change in the store to reach all processes.
 	Within time.Duration
-	// Clock is the time of day that the schedulers agree on.
+	// Clock is the wall clock on which the schedulers agree.
 	Clock   *truetime.Clock
 	Metrics metrics.Registry
 	Logger  log.Logger
 }
 
-func (o *Options) complete() {
+func (o *Options) setDefaults() {
 	if o.Quarantine == nil {
 		o.Quarantine = quarantine.NewTable()
 	}
@@ -69,47 +69,48 @@
 	}
 }
 
-// Client has the schedulers place requests. It implements Scheduler.
+// Client sends placement requests to the schedulers. It implements Scheduler.
 type Client struct {
-	o         Options
-	logger    log.Logger
-	local     Scheduler
-	directory *directory
-	reports   *reporter
-	// fresh is the name of the scheduler whose copy was fresher than that of the first in
-	// order. Calls to follow may overlap for a moment when a process stops and begins to.
-	fresh atomic.Pointer[string]
-	// limits is up to where the rate limits of the scheduler that is followed are known.
-	limits atomic.Pointer[feed.Position]
+	o       Options
+	logger  log.Logger
+	local   Scheduler
+	ranking *ranking
+	reports *reporter
+	// preferred names the scheduler to follow first, because its snapshot was fresher than the
+	// first one in order. It is atomic since calls to Follow may overlap briefly when a process
+	// stops following and starts again.
+	preferred atomic.Pointer[string]
+	// limitsPosition is the position up to which the rate limits of the followed scheduler are known.
+	limitsPosition atomic.Pointer[feed.Position]
 }
 
-// NewClient returns a client that has to be run.
+// NewClient returns a client. The caller must call Run.
 func NewClient(o Options) *Client {
-	o.complete()
+	o.setDefaults()
 	c := &Client{o: o, logger: log.With(o.Logger, "component", "scheduler"), local: Local(o.Placer)}
-	c.directory = &directory{self: o.Self, silences: peer.NewSilences(), logger: c.logger}
+	c.ranking = &ranking{self: o.Self, silences: peer.NewSilences(), logger: c.logger}
 	c.reports = newReporter(c)
 	return c
 }
 
-// Run tells the schedulers which of their tickets are open, until ctx ends.
+// Run reports the open tickets to the schedulers that issued them, until ctx ends.
 func (c *Client) Run(ctx context.Context) error { return c.reports.run(ctx) }
 
-// Place implements Scheduler. A process that is a scheduler itself decides by itself, and so
-// does one that reaches none.
+// Place implements Scheduler. A process that is itself a scheduler places its own requests,
+// and so does a process that cannot reach any scheduler.
 func (c *Client) Place(ctx context.Context, j *placement.Job) (placement.Plan, Ticket) {
 	if c.o.View().Scheduling {
 		return c.local.Place(ctx, j)
 	}
-	for _, s := range c.directory.order(c.o.View().Schedulers, c.mostAsks()) {
-		plan, t, err := c.place(ctx, s, j)
+	for _, s := range c.ranking.order(c.o.View().Schedulers, c.placeAttempts()) {
+		plan, t, err := c.placeAt(ctx, s, j)
 		if err == nil {
 			return plan, t
 		}
 		if ctx.Err() != nil {
-			break // the caller has left
+			break // the client disconnected
 		}
-		level.Info(c.logger).Log("msg", "not placed", "request", j.Call.ID, "scheduler", s.Name, "err", err)
+		level.Info(c.logger).Log("msg", "scheduler did not place the request", "request", j.Call.ID, "scheduler", s.Name, "err", err)
 	}
 	c.count("placed_alone")
 	plan, t := c.local.Place(ctx, j)
@@ -117,17 +118,16 @@
 	return plan, t
 }
 
-// Others returns the schedulers in the order in which this process prefers them, without
-// itself.
+// Others returns the schedulers other than this process, in order of preference.
 func (c *Client) Others() []members.Member {
 	all := c.o.View().Schedulers
-	return c.directory.order(all, len(all))
+	return c.ranking.order(all, len(all))
 }
 
-// place asks one scheduler.
-func (c *Client) place(ctx context.Context, s members.Member, j *placement.Job) (placement.Plan, Ticket, error) {
-	c.reports.asked(s)
-	resp, err := c.ask(ctx, s, &peerpb.Request{Body: &peerpb.Request_Place{Place: encodeJob(j)}})
+// placeAt asks one scheduler to place a job.
+func (c *Client) placeAt(ctx context.Context, s members.Member, j *placement.Job) (placement.Plan, Ticket, error) {
+	c.reports.noteCall(s)
+	resp, err := c.call(ctx, s, &peerpb.Request{Body: &peerpb.Request_Place{Place: encodeJob(j)}})
 	if err != nil {
 		return placement.Plan{}, nil, err
 	}
@@ -137,8 +137,8 @@
 	if placed.GetTicket() == 0 {
 		return plan, nil, err
 	}
-	t := &remoteTicket{c: c, at: s, id: placed.GetTicket()}
-	c.reports.opened(s, t.id)
+	t := &remoteTicket{client: c, scheduler: s, id: placed.GetTicket()}
+	c.reports.noteTicket(s, t.id)
 	if err != nil {
 		t.Cancel()
 		return plan, nil, err
@@ -146,20 +146,20 @@
 	return plan, t, nil
 }
 
-// ask makes one call to a scheduler.
-func (c *Client) ask(ctx context.Context, s members.Member, req *peerpb.Request) (*peerpb.Response, error) {
+// call makes one placement call to a scheduler.
+func (c *Client) call(ctx context.Context, s members.Member, req *peerpb.Request) (*peerpb.Response, error) {
 	begun := time.Now()
-	actx, cancel := context.WithTimeout(ctx, askTimeout)
+	actx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	resp, err := c.o.Transport.Call(actx, s.Peer, req)
 	switch {
 	case err == nil && resp.GetPlaced() == nil:
-		return nil, fault.Newf(fault.Internal, "run the same version everywhere", "scheduler %s gave another answer", s.Name)
+		return nil, fault.Newf(fault.Internal, "run the same version everywhere", "scheduler %s sent a response of the wrong type", s.Name)
 	case err == nil:
-		c.directory.answered(s)
+		c.ranking.answered(s)
 		metrics.GetOrRegisterTimer("scheduler.ask", c.o.Metrics).Update(time.Since(begun))
 	case ctx.Err() == nil && !fault.Is(err, fault.Denied):
-		c.directory.failed(s, err)
+		c.ranking.failed(s, err)
 	}
 	return resp, err
 }
--- a/internal/scheduler/codec.go
+++ b/internal/scheduler/codec.go
@@ -30,8 +30,8 @@
 	return out
 }
 
-// decodeJob puts a job under the view of this process. It fails if the view does not have
-// the route or the service.
+// decodeJob decodes a job against the view of this process. It fails if the view lacks the
+// route or the service.
 func decodeJob(m *peerpb.Place, v *fleet.View) (*placement.Job, error) {
 	if !v.Ready() {
 		return nil, fault.New(fault.Unavailable, "scheduler is not ready", "ask another one")
@@ -62,7 +62,7 @@
 	}, nil
 }
 
-// fingerprintOf returns the fingerprint of a job, zero if its sender gives none.
+// fingerprintOf returns the fingerprint of a job, or zero if the sender did not set a valid one.
 func fingerprintOf(m *peerpb.Place) quarantine.Fingerprint {
 	if len(m.GetFingerprint()) != len(quarantine.Fingerprint{}) {
 		return quarantine.Fingerprint{}
@@ -70,7 +70,7 @@
 	return quarantine.Fingerprint(m.GetFingerprint())
 }
 
-// encodePlan writes a plan, with its instances for a process that lacks them.
+// encodePlan encodes a plan. It includes the chosen instances if the receiver does not know any.
 func encodePlan(p *placement.Plan, ticket uint64, lacksInstances bool) *peerpb.Placed {
 	out := &peerpb.Placed{
 		Ticket: ticket, Reader: idOf(p.Reader), Runner: idOf(p.Runner), FetchFrom: idOf(p.FetchFrom), Reason: string(p.Reason),
@@ -109,8 +109,8 @@
 	return i.ID
 }
 
-// decodePlan reads a plan for a job. It fails if the plan names an instance at which this
-// process, which has a view, does not permit the job.
+// decodePlan decodes the plan for a job. It fails if the plan names an instance that the
+// view of this process does not permit for the job.
 func decodePlan(m *peerpb.Placed, j *placement.Job, v *fleet.View) (placement.Plan, error) {
 	p := placement.Plan{
 		Reason: placement.Reason(m.GetReason()), Uncached: int(m.GetUncached()), Ahead: micros(m.GetAheadUs()), Read: micros(m.GetReadUs()),
@@ -118,19 +118,19 @@
 	}
 	permitted := j.Permitted
 	if len(m.GetInstances()) > 0 {
-		var told []*fleet.Instance
+		var received []*fleet.Instance
 		for _, i := range m.GetInstances() {
-			told = append(told, decodeInstance(i))
+			received = append(received, decodeInstance(i))
 		}
-		permitted = v.PermittedOf(j.Route.Name, j.Service.Name, told)
+		permitted = v.PermittedOf(j.Route.Name, j.Service.Name, received)
 	}
 	var err error
 	for _, part := range []struct {
-		id string
-		to **fleet.Instance
+		id  string
+		dst **fleet.Instance
 	}{{m.GetReader(), &p.Reader}, {m.GetRunner(), &p.Runner}, {m.GetFetchFrom(), &p.FetchFrom}} {
-		if *part.to = fleet.Find(permitted, part.id); *part.to == nil && part.id != "" {
-			err = fault.Newf(fault.Conflict, "this process decides", "instance %s is not permitted here", part.id)
+		if *part.dst = fleet.Find(permitted, part.id); *part.dst == nil && part.id != "" {
+			err = fault.Newf(fault.Conflict, "this process decides", "the view of this process does not permit instance %s", part.id)
 		}
 	}
 	return p, err
--- a/internal/scheduler/codec_test.go
+++ b/internal/scheduler/codec_test.go
@@ -11,8 +11,8 @@
 	"github.com/rockdoor/rockdoor/placement"
 )
 
-// TestAJobKeepsItsCallersRankAndWorkspace sends a job to a scheduler whose configuration has
-// another rank for the route.
+// TestAJobKeepsItsCallersRankAndWorkspace sends a job to a scheduler whose configuration has a
+// different rank for the route. The rank set by the sender must be used.
 func TestAJobKeepsItsCallersRankAndWorkspace(t *testing.T) {
 	config := &fleet.Config{Routes: []fleet.Route{{Name: "r", Rank: 1}}, Services: map[string]fleet.Service{"s": {Name: "s"}}}
 	config.Index()
--- a/internal/scheduler/directory.go
+++ b/internal/scheduler/directory.go
@@ -12,18 +12,18 @@
 	"github.com/rockdoor/rockdoor/members"
 )
 
-// directory knows in which order a process asks the schedulers.
-type directory struct {
+// ranking determines the order in which a process calls the schedulers.
+type ranking struct {
 	self     members.Member
 	silences *peer.Silences
 	logger   log.Logger
 }
 
-// order returns up to most of the schedulers in the order in which they are asked: those of the
-// own failure domain first, as they are named, then those of the others, in an order that
-// differs from process to process, so that they share the load of a domain that lost its
-// own. Those that did not answer lately come last.
-func (d *directory) order(all []members.Member, most int) []members.Member {
+// order returns up to limit schedulers in the order in which to call them. Schedulers in the
+// process's own failure domain come first, in the given order, then the others in an order
+// that differs between processes. This spreads the load of a failure domain that lost its
+// schedulers. Schedulers that recently failed to respond come last.
+func (d *ranking) order(all []members.Member, limit int) []members.Member {
 	var near, far, resting []members.Member
 	for _, m := range all {
 		switch {
@@ -38,17 +38,17 @@
 	}
 	slices.SortFunc(far, func(a, b members.Member) int { return cmp.Compare(d.score(a), d.score(b)) })
 	out := append(append(near, far...), resting...)
-	return out[:min(most, len(out))]
+	return out[:min(limit, len(out))]
 }
 
-func (d *directory) score(m members.Member) uint64 {
+func (d *ranking) score(m members.Member) uint64 {
 	return xxhash.Sum64String(d.self.Name + "\x00" + m.Name)
 }
 
-func (d *directory) failed(m members.Member, err error) {
+func (d *ranking) failed(m members.Member, err error) {
 	if d.silences.Failed(m.Name) {
-		level.Info(d.logger).Log("msg", "scheduler does not answer", "scheduler", m.Name, "address", m.Peer, "err", err)
+		level.Info(d.logger).Log("msg", "scheduler does not respond", "scheduler", m.Name, "address", m.Peer, "err", err)
 	}
 }
 
-func (d *directory) answered(m members.Member) { d.silences.Answered(m.Name) }
+func (d *ranking) answered(m members.Member) { d.silences.Answered(m.Name) }
--- a/internal/scheduler/follow.go
+++ b/internal/scheduler/follow.go
@@ -19,35 +19,37 @@
 )
 
 const (
-	// followShare is the part of the time in which a change must have reached everybody
-	// (Options.Within) for which a scheduler holds a call of one that follows it while
-	// nothing changes. One that does not answer is noticed in it and as much again, slack.
-	followShare = 0.1
-	// staleShare is the part of that time from which on a copy is that of a process which is
-	// cut off from the store: a quarter passes between two answers of the store, and two hops
-	// add a tenth each. What is found then is left within seven tenths.
+	// longPollShare is the part of Options.Within for which a scheduler holds a follow call
+	// while nothing changes. A follower allows the same time again before it treats the
+	// scheduler as unresponsive.
+	longPollShare = 0.1
+	// staleShare is the part of Options.Within above which a snapshot is stale, because its
+	// sender is probably partitioned from the store. Normal staleness is up to 0.45: 0.25
+	// between two responses of the store and 0.1 for each of two hops. A follower leaves a
+	// stale snapshot by 0.7.
 	staleShare = 0.6
-	// schedulerStaleShare is the same for a scheduler. It looks for a fresher copy before those that follow it
-	// do: hundreds that leave one at once each copy the whole deployment from another.
+	// schedulerStaleShare is staleShare for a scheduler. It must switch to a fresher snapshot
+	// before its followers notice that it is stale: otherwise hundreds of followers switch at
+	// once, and each downloads the whole deployment from another scheduler.
 	schedulerStaleShare = 0.5
-	// leastSlack is how long an answer may take at the least beyond the time that its call
-	// is held.
-	leastSlack = 150 * time.Millisecond
-	// followAsks is how many schedulers are tried in a row, also for a fresher copy: those
-	// that watch the store may be cut off together, but for one.
-	followAsks = 3
-	// readyCheck is how often a process that is not ready yet looks whether it is, for those
-	// that wait for it.
-	readyCheck = 30 * time.Millisecond
-	// freshGain is how much fresher another copy must be.
-	freshGain = 200 * time.Millisecond
+	// minSlack is the minimum time that a response may take beyond the time for which the
+	// scheduler holds the call.
+	minSlack = 150 * time.Millisecond
+	// maxFollowAttempts is how many schedulers are tried in a row, also when looking for a
+	// fresher snapshot: all but one of those that watch the store may be partitioned together.
+	maxFollowAttempts = 3
+	// readyPollInterval is how often a process that is not ready checks whether it has become
+	// ready, while followers wait for it.
+	readyPollInterval = 30 * time.Millisecond
+	// minFreshnessGain is by how much another snapshot must be fresher to switch to it.
+	minFreshnessGain = 200 * time.Millisecond
 )
 
-func (o *Options) followWait() time.Duration {
-	return time.Duration(followShare * float64(o.Within))
+func (o *Options) longPollWait() time.Duration {
+	return time.Duration(longPollShare * float64(o.Within))
 }
 
-// staleAge returns from which age on a copy is left for a fresher one.
+// staleAge returns the age from which a snapshot is stale and a fresher one is looked for.
 func (o *Options) staleAge() time.Duration {
 	share := staleShare
 	if o.View().Scheduling {
@@ -58,39 +60,39 @@
 
 // Follow implements discovery.Relay.
 func (c *Client) Follow(ctx context.Context, after feed.Position) (discovery.Followed, error) {
-	var failed error = fault.New(fault.Unavailable, "no scheduler is known", "the process looks at the store itself")
-	order, most := c.inOrder(), followAsks
-	if c.wantsHead() {
-		order = c.headOrder()
-		most = len(order)
+	var lastErr error = fault.New(fault.Unavailable, "no scheduler is known", "the process reads the store itself")
+	order, maxAttempts := c.followOrder(), maxFollowAttempts
+	if c.needsPartialSnapshot() {
+		order = c.partialSnapshotOrder()
+		maxAttempts = len(order)
 	}
-	for n, s := range order[:min(most, len(order))] {
-		f, err := c.followOne(ctx, s, after, c.o.followWait(), 0)
+	for n, s := range order[:min(maxAttempts, len(order))] {
+		f, err := c.followScheduler(ctx, s, after, c.o.longPollWait(), 0)
 		if err != nil {
-			if !fault.Is(failed, fault.Denied) { // one that refuses lives
-				failed = err
+			if !fault.Is(lastErr, fault.Denied) { // a scheduler that rejects the call is alive
+				lastErr = err
 			}
 			continue
 		}
 		if f.Age >= c.o.staleAge() {
-			f = c.fresher(ctx, s, f, order[n+1:])
+			f = c.switchToFresher(ctx, s, f, order[n+1:])
 		}
 		return f, nil
 	}
-	return discovery.Followed{}, failed
+	return discovery.Followed{}, lastErr
 }
 
-// inOrder returns whom this process follows: schedulers, or, if it is one, watchers.
-func (c *Client) inOrder() []members.Member {
+// followOrder returns the processes to follow, in order: schedulers, or for a scheduler, watchers.
+func (c *Client) followOrder() []members.Member {
 	v := c.o.View()
-	from := v.Schedulers
+	candidates := v.Schedulers
 	if v.Scheduling {
-		from = v.Watchers
+		candidates = v.Watchers
 	}
-	order := c.directory.order(from, len(from))
-	fresh := c.fresh.Load()
+	order := c.ranking.order(candidates, len(candidates))
+	preferred := c.preferred.Load()
 	for n, s := range order {
-		if fresh != nil && s.Name == *fresh {
+		if preferred != nil && s.Name == *preferred {
 			copy(order[1:n+1], order[:n])
 			order[0] = s
 		}
@@ -98,91 +100,91 @@
 	return order
 }
 
-// fresher returns what one of the other schedulers has if that is fresher than f, which from
-// said, and goes on with that one.
-func (c *Client) fresher(ctx context.Context, from members.Member, f discovery.Followed, others []members.Member) discovery.Followed {
-	g, s, err := c.firstFresher(ctx, f.Age, others[:min(followAsks, len(others))])
+// switchToFresher returns the snapshot of another scheduler if it is fresher than current, which
+// was received from the scheduler from. It then prefers that other scheduler.
+func (c *Client) switchToFresher(ctx context.Context, from members.Member, current discovery.Followed, others []members.Member) discovery.Followed {
+	fresher, s, err := c.fetchFirstFresher(ctx, current.Age, others[:min(maxFollowAttempts, len(others))])
 	if err != nil {
-		return f
+		return current
 	}
-	level.Info(c.logger).Log("msg", "left a stale copy", "from", from.Name, "age", f.Age, "to", s.Name, "new_age", g.Age)
-	c.fresh.Store(&s.Name)
-	return g
+	level.Info(c.logger).Log("msg", "switched from a stale snapshot to a fresher one", "from", from.Name, "age", current.Age, "to", s.Name, "new_age", fresher.Age)
+	c.preferred.Store(&s.Name)
+	return fresher
 }
 
-// Newer implements discovery.Relay. A scheduler, whom others follow, asks all other ones, since
-// but one of them may be answered by the store; another process asks a few drawn at random.
+// Newer implements discovery.Relay. A scheduler has followers of its own and asks all other
+// schedulers, since the store may respond to only one of them. Another process asks a few at random.
 func (c *Client) Newer(ctx context.Context, age time.Duration) (discovery.Followed, error) {
 	others := c.Others()
 	rand.Shuffle(len(others), func(i, k int) { others[i], others[k] = others[k], others[i] })
 	if !c.o.View().Scheduling {
-		others = others[:min(followAsks, len(others))]
+		others = others[:min(maxFollowAttempts, len(others))]
 	}
-	f, _, err := c.firstFresher(ctx, age, others)
+	f, _, err := c.fetchFirstFresher(ctx, age, others)
 	return f, err
 }
 
-// firstFresher returns all that the first one of some schedulers has whose copy is fresher than
-// an age, and which one that is. A copy that is not costs a message without its objects. The
-// error is of kind NotFound if none of them has one.
-func (c *Client) firstFresher(ctx context.Context, age time.Duration, among []members.Member) (discovery.Followed, members.Member, error) {
-	var failed error = fault.New(fault.NotFound, "no other scheduler has a fresher copy", "the store is asked again")
-	most := age - freshGain
-	if most <= 0 {
-		return discovery.Followed{}, members.Member{}, failed
+// fetchFirstFresher returns the whole snapshot of the first candidate whose snapshot is fresher
+// than age, and that candidate. A candidate without a fresher snapshot sends a message without
+// objects. The error is of kind NotFound if all candidates responded and none has a fresher one.
+func (c *Client) fetchFirstFresher(ctx context.Context, age time.Duration, candidates []members.Member) (discovery.Followed, members.Member, error) {
+	var lastErr error = fault.New(fault.NotFound, "no other scheduler has a fresher copy", "the store is asked again")
+	maxAge := age - minFreshnessGain
+	if maxAge <= 0 {
+		return discovery.Followed{}, members.Member{}, lastErr
 	}
-	for _, s := range among {
-		f, err := c.followOne(ctx, s, feed.Position{}, 0, most)
+	for _, s := range candidates {
+		f, err := c.followScheduler(ctx, s, feed.Position{}, 0, maxAge)
 		switch {
 		case err != nil:
-			failed = err
-		case f.Age <= most:
+			lastErr = err
+		case f.Age <= maxAge:
 			return f, s, nil
 		}
 	}
-	return discovery.Followed{}, members.Member{}, failed
+	return discovery.Followed{}, members.Member{}, lastErr
 }
 
-// followOne asks one scheduler for what has changed. A copy that is older than most, if that
-// is not 0, comes without its objects.
-func (c *Client) followOne(ctx context.Context, s members.Member, after feed.Position, wait, most time.Duration) (discovery.Followed, error) {
-	fctx, cancel := context.WithTimeout(ctx, wait+max(c.o.followWait(), leastSlack))
+// followScheduler requests the changes since a position from one scheduler. If maxAge is not 0
+// and the scheduler's snapshot is older, the response has no objects.
+func (c *Client) followScheduler(ctx context.Context, s members.Member, after feed.Position, wait, maxAge time.Duration) (discovery.Followed, error) {
+	fctx, cancel := context.WithTimeout(ctx, wait+max(c.o.longPollWait(), minSlack))
 	defer cancel()
 	asked := bootclock.Now()
 	resp, err := c.o.Transport.Call(fctx, s.Peer, &peerpb.Request{Body: &peerpb.Request_Follow{Follow: &peerpb.Follow{
-		Run: after.Run, Position: after.At, LimitsPosition: c.limitsAt(after.Run), Head: most == 0 && c.wantsHead(), WaitMs: uint32(wait.Milliseconds()), Unpacks: true, MaxAgeMs: uint32(min(most.Milliseconds(), math.MaxUint32)),
+		Run: after.Run, Position: after.At, LimitsPosition: c.limitsPositionIn(after.Run), Head: maxAge == 0 && c.needsPartialSnapshot(), WaitMs: uint32(wait.Milliseconds()), Unpacks: true, MaxAgeMs: uint32(min(maxAge.Milliseconds(), math.MaxUint32)),
 	}}})
 	if err != nil {
 		if ctx.Err() == nil && !fault.Is(err, fault.Denied) {
-			c.directory.failed(s, err)
+			c.ranking.failed(s, err)
 		}
-		if fresh := c.fresh.Load(); fresh != nil && *fresh == s.Name {
-			c.fresh.CompareAndSwap(fresh, nil)
+		if fresh := c.preferred.Load(); fresh != nil && *fresh == s.Name {
+			c.preferred.CompareAndSwap(fresh, nil)
 		}
 		return discovery.Followed{}, err
 	}
-	c.directory.answered(s)
+	c.ranking.answered(s)
 	f, err := decodeUpdate(resp.GetUpdate())
 	if err != nil {
 		return f, err
 	}
-	if most == 0 && !f.Head {
+	if maxAge == 0 && !f.Head {
 		c.o.Limits.Follow(s.Name, resp.GetUpdate().GetLimits())
-		c.limits.Store(&feed.Position{Run: f.Position.Run, At: resp.GetUpdate().GetLimitsPosition()})
+		c.limitsPosition.Store(&feed.Position{Run: f.Position.Run, At: resp.GetUpdate().GetLimitsPosition()})
 	}
 	if us := resp.GetUpdate().GetTimeUs(); us != 0 {
 		c.o.Clock.HearSource(time.UnixMicro(us))
 	}
-	// The age is as of the answer, which was given after the question was asked, and within
-	// the wait. What it took beyond that, such as a pause of this process, is age too.
+	// The age in the response is valid at some time after the call was sent and within the
+	// wait. Any time beyond the wait, such as a pause of this process, adds to the age.
 	f.Age += max(0, bootclock.Since(asked)-wait)
 	f.ProvenAt = asked.Add(-time.Duration(resp.GetUpdate().GetProofAgeMs()) * time.Millisecond)
 	return f, nil
 }
 
-// limitsAt returns up to where the rate limits are known that a run of a scheduler tells of.
-func (c *Client) limitsAt(run string) uint64 {
-	if p := c.limits.Load(); p != nil && p.Run == run {
+// limitsPositionIn returns the position up to which the rate limits sent by a run of a scheduler are known.
+func (c *Client) limitsPositionIn(run string) uint64 {
+	if p := c.limitsPosition.Load(); p != nil && p.Run == run {
 		return p.At
 	}
 	return 0
@@ -219,31 +221,31 @@
 	return f, nil
 }
 
-// follow answers one that follows this process.
+// follow handles a follow request.
 func (s *Server) follow(ctx context.Context, m *peerpb.Follow) *peerpb.Response {
 	begun := time.Now()
-	wait := min(time.Duration(m.GetWaitMs())*time.Millisecond, s.o.followWait())
+	wait := min(time.Duration(m.GetWaitMs())*time.Millisecond, s.o.longPollWait())
 	if !s.awaitReady(ctx, wait) {
 		return &peerpb.Response{Error: "scheduler is not ready"}
 	}
 	if m.GetHead() {
-		return s.followHead(m)
+		return s.sendPartialSnapshot(m)
 	}
 	after := feed.Position{Run: m.GetRun(), At: m.GetPosition()}
-	u, v := s.await(ctx, after, max(wait-time.Since(begun), 0))
-	out := s.updateOf(v)
+	u, v := s.awaitUpdate(ctx, after, max(wait-time.Since(begun), 0))
+	out := s.updateFromView(v)
 	out.Run, out.Position, out.Full = u.Position.Run, u.Position.At, u.Full
-	if most := int64(m.GetMaxAgeMs()); most > 0 && out.AgeMs > most {
+	if maxAge := int64(m.GetMaxAgeMs()); maxAge > 0 && out.AgeMs > maxAge {
 		u.Events = nil
 	}
 	if m.GetMaxAgeMs() == 0 {
 		out.Limits, out.LimitsPosition = s.o.Limits.Since(m.GetLimitsPosition())
 	}
-	return s.answerFollow(out, after, u, m.GetUnpacks())
+	return s.followResponse(out, after, u, m.GetUnpacks())
 }
 
-// updateOf returns what an answer to one that follows this process says of a view, without objects.
-func (s *Server) updateOf(v *fleet.View) *peerpb.FollowUpdate {
+// updateFromView returns a follow response with the state of a view but without objects.
+func (s *Server) updateFromView(v *fleet.View) *peerpb.FollowUpdate {
 	out := &peerpb.FollowUpdate{
 		AgeMs: v.Age().Milliseconds(), StoreUp: v.StoreUp,
 		ProofAgeMs: v.ProofAge().Milliseconds() + 1, // rounded up
@@ -258,27 +260,27 @@
 	return out
 }
 
-// answerFollow puts the objects of an update into an answer.
-func (s *Server) answerFollow(out *peerpb.FollowUpdate, after feed.Position, u feed.Update, unpacks bool) *peerpb.Response {
-	if err := s.putObjects(out, after, u, unpacks); err != nil {
-		level.Error(s.logger).Log("msg", "copy not packed", "err", err)
+// followResponse returns a follow response with the objects of an update.
+func (s *Server) followResponse(out *peerpb.FollowUpdate, after feed.Position, u feed.Update, unpacks bool) *peerpb.Response {
+	if err := s.addObjects(out, after, u, unpacks); err != nil {
+		level.Error(s.logger).Log("msg", "snapshot cannot be compressed", "err", err)
 		return &peerpb.Response{Error: "copy cannot be packed"}
 	}
 	return &peerpb.Response{Body: &peerpb.Response_Update{Update: out}}
 }
 
-// putObjects puts the objects of an update in, packed if they are many.
-func (s *Server) putObjects(out *peerpb.FollowUpdate, after feed.Position, u feed.Update, unpacks bool) (err error) {
-	if unpacks && worthPacking(u) {
-		out.Packed, err = s.packs.of(after, u)
+// addObjects adds the objects of an update to a response, compressed if they are large.
+func (s *Server) addObjects(out *peerpb.FollowUpdate, after feed.Position, u feed.Update, unpacks bool) (err error) {
+	if unpacks && shouldPack(u) {
+		out.Packed, err = s.packs.get(after, u)
 		return err
 	}
 	out.Objects = encodeObjects(u.Events)
 	return nil
 }
 
-// awaitReady waits until this process is ready, and reports whether it is. After a start of all
-// processes those that wait here ask nobody else.
+// awaitReady waits until this process is ready and reports whether it is. Holding the calls keeps
+// followers from trying other schedulers when all processes start at the same time.
 func (s *Server) awaitReady(ctx context.Context, wait time.Duration) bool {
 	end := time.Now().Add(wait)
 	for !s.o.View().Ready() {
@@ -288,30 +290,30 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(readyCheck):
+		case <-time.After(readyPollInterval):
 		}
 	}
 	return true
 }
 
-// await waits for something that a copy lacks. The update has all that the returned view
-// has: the view is taken first, and what is in a view was in the feed before, so that the
-// view's ages hold for a copy with the update.
-func (s *Server) await(ctx context.Context, p feed.Position, wait time.Duration) (feed.Update, *fleet.View) {
+// awaitUpdate waits for changes after a position. The update contains everything in the returned
+// view, so the ages in the view are valid for a follower that has applied the update: the
+// view is read before the feed, and changes enter the feed before they enter a view.
+func (s *Server) awaitUpdate(ctx context.Context, p feed.Position, wait time.Duration) (feed.Update, *fleet.View) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	for over := false; ; {
+	for done := false; ; {
 		v := s.o.View()
 		u, changed := s.feed.Since(p)
-		if over || u.Full || len(u.Events) > 0 {
+		if done || u.Full || len(u.Events) > 0 {
 			return u, v
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			over = true
+			done = true
 		case <-ctx.Done():
-			over = true
+			done = true
 		}
 	}
 }
--- a/internal/scheduler/head.go
+++ b/internal/scheduler/head.go
@@ -11,59 +11,60 @@
 	"github.com/rockdoor/rockdoor/members"
 )
 
-// The head of a copy is the configuration and the rules, without the registrations. With it a process serves what
-// schedulers place, which name the instances: after a loss of all, hundreds of small hosts would else each decode
-// 10,000 registrations, half a second's work, before their first request.
+// A partial snapshot (Head in the peer protocol) has the configuration and the rules but no registrations. It is
+// enough for a process to serve requests that schedulers place, since a placement names the instances. Without it,
+// after a failure of all processes, hundreds of small hosts would each spend half a second decoding 10,000
+// registrations before their first request.
 
-// wantsHead reports whether this process asks for the head of a copy alone.
-func (c *Client) wantsHead() bool {
+// needsPartialSnapshot reports whether this process requests a partial snapshot.
+func (c *Client) needsPartialSnapshot() bool {
 	v := c.o.View()
 	return !v.Scheduling && !v.Listed && (v.Config == nil || bootclock.Now() < v.CopyAt)
 }
 
-// headOrder returns whom this process asks for the head: those that watch the store first, since they are ready
-// first after a loss of all.
-func (c *Client) headOrder() []members.Member {
+// partialSnapshotOrder returns the processes to ask for a partial snapshot, in order. Those that watch the store
+// come first, since they become ready first after a failure of all processes.
+func (c *Client) partialSnapshotOrder() []members.Member {
 	v := c.o.View()
 	others := slices.DeleteFunc(slices.Clone(v.Schedulers), func(m members.Member) bool { return members.Contain(v.Watchers, m.Name) })
-	return append(c.directory.order(v.Watchers, len(v.Watchers)), c.directory.order(others, len(others))...)
+	return append(c.ranking.order(v.Watchers, len(v.Watchers)), c.ranking.order(others, len(others))...)
 }
 
-// mostAsks returns how many schedulers are asked: all by a process that cannot decide alone yet. After a start of
-// all those of its own failure domain may be ready last.
-func (c *Client) mostAsks() int {
+// placeAttempts returns how many schedulers to try. A process that cannot place requests itself yet tries all of
+// them: after a restart of all processes, the schedulers of its own failure domain may become ready last.
+func (c *Client) placeAttempts() int {
 	if v := c.o.View(); !v.Listed {
 		return len(v.Schedulers)
 	}
-	return asks
+	return maxPlaceAttempts
 }
 
-// followHead answers one that follows this process and wants the head alone. There is no position then.
-func (s *Server) followHead(m *peerpb.Follow) *peerpb.Response {
-	out := s.updateOf(s.o.View())
+// sendPartialSnapshot responds to a follower with a partial snapshot, which has no position.
+func (s *Server) sendPartialSnapshot(m *peerpb.Follow) *peerpb.Response {
+	out := s.updateFromView(s.o.View())
 	out.Head = true
-	return s.answerFollow(out, feed.Position{}, s.heads.of(s.feed, s.o.InstancePrefix), m.GetUnpacks())
+	return s.followResponse(out, feed.Position{}, s.partialSnapshots.get(s.feed, s.o.InstancePrefix), m.GetUnpacks())
 }
 
-// heads keeps the head of a feed at its newest position. It is safe for concurrent use.
-type heads struct {
-	mu   sync.Mutex
-	kept feed.Update
+// partialSnapshotCache caches the partial snapshot of a feed at its newest position. It is safe for concurrent use.
+type partialSnapshotCache struct {
+	mu     sync.Mutex
+	cached feed.Update
 }
 
-// of returns the head of a feed in which registrations have a prefix.
-func (h *heads) of(f *feed.Feed, instancePrefix string) feed.Update {
+// get returns the partial snapshot of a feed: all objects whose keys do not have the prefix of registrations.
+func (h *partialSnapshotCache) get(f *feed.Feed, instancePrefix string) feed.Update {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.kept.Position == (feed.Position{Run: f.Run(), At: f.At()}) {
-		return h.kept
+	if h.cached.Position == (feed.Position{Run: f.Run(), At: f.At()}) {
+		return h.cached
 	}
 	whole, _ := f.Since(feed.Position{})
-	h.kept = feed.Update{Position: whole.Position}
+	h.cached = feed.Update{Position: whole.Position}
 	for _, e := range whole.Events {
 		if !strings.HasPrefix(e.Object.Key, instancePrefix) {
-			h.kept.Events = append(h.kept.Events, e)
+			h.cached.Events = append(h.cached.Events, e)
 		}
 	}
-	return h.kept
+	return h.cached
 }
--- a/internal/scheduler/head_test.go
+++ b/internal/scheduler/head_test.go
@@ -17,36 +17,36 @@
 	"github.com/rockdoor/rockdoor/objstore"
 )
 
-// knowsNoInstances gives a node the view that it has before it has copied the registrations.
-func knowsNoInstances(n *node, rules *fleet.Rules) {
+// clearInstances gives a node the view of a process that has not received the registrations yet.
+func clearInstances(n *node, rules *fleet.Rules) {
 	v := *n.view.Load()
 	v.Instances, v.Listed, v.Headed, v.Rules = map[string]*fleet.Instance{}, false, true, rules
 	v.Index()
 	n.view.Store(&v)
 }
 
-// TestAProcessServesBeforeItKnowsTheInstances has all processes of a large fleet start at once: one that has the
-// configuration serves what its scheduler places, with the instances that this one names.
+// TestAProcessServesBeforeItKnowsTheInstances covers the simultaneous start of all processes of a large fleet. A
+// process that has only the configuration must serve requests with the instances that its scheduler names.
 func TestAProcessServesBeforeItKnowsTheInstances(t *testing.T) {
 	s, n := newNode(t, "a-s"), newNode(t, "a-n")
-	see([]*node{s, n}, []*node{s}, "ap-1", "ad-1")
-	knowsNoInstances(n, nil)
+	setView([]*node{s, n}, []*node{s}, "ap-1", "ad-1")
+	clearInstances(n, nil)
 	require.True(t, n.view.Load().Ready())
-	plan, ticket := n.Place(context.Background(), jobOf(n, "x"))
+	plan, ticket := n.Place(context.Background(), jobFor(n, "x"))
 	require.NotNil(t, ticket)
 	require.Equal(t, s.self.Name, plan.By)
 	require.Equal(t, s.view.Load().Instances["ap-1"], plan.Reader)
-	require.Equal(t, ticket, ticket.PlaceRead(context.Background(), jobOf(n, "x"), &plan))
+	require.Equal(t, ticket, ticket.PlaceRead(context.Background(), jobFor(n, "x"), &plan))
 	require.Equal(t, s.view.Load().Instances["ad-1"], plan.Runner)
 }
 
-// TestSchedulersThatAreNotReadyArePassedOver has the schedulers of a failure domain be ready after those of another.
+// TestSchedulersThatAreNotReadyArePassedOver covers schedulers that become ready after those of another failure domain.
 func TestSchedulersThatAreNotReadyArePassedOver(t *testing.T) {
 	first, second, other, n := newNode(t, "a-1"), newNode(t, "a-2"), newNode(t, "b-1"), newNode(t, "a-n")
 	all := []*node{first, second, other}
-	see(append(all, n), all, "ap-1", "ad-1")
+	setView(append(all, n), all, "ap-1", "ad-1")
 	for _, late := range []*node{first, second, n} {
-		knowsNoInstances(late, nil)
+		clearInstances(late, nil)
 	}
 	starting := *n.view.Load()
 	starting.Config, starting.Watchers = nil, []members.Member{other.self}
@@ -55,33 +55,33 @@
 	head, err := n.Follow(context.Background(), feed.Position{})
 	require.NoError(t, err)
 	require.True(t, head.Head)
-	require.Less(t, time.Since(begun), n.Client.o.followWait(), "nobody waits for those that are not ready")
+	require.Less(t, time.Since(begun), n.Client.o.longPollWait(), "schedulers that are not ready are not waited for")
 	n.view.Store(placing)
-	plan, ticket := n.Place(context.Background(), jobOf(n, "x"))
+	plan, ticket := n.Place(context.Background(), jobFor(n, "x"))
 	require.NotNil(t, ticket)
 	require.Equal(t, other.self.Name, plan.By)
 }
 
-// TestAPlacedInstanceMustBePermitted has a scheduler that has not heard of a rule place a request: a process
-// that knows it, and no instances, does not send the request there.
+// TestAPlacedInstanceMustBePermitted covers a scheduler that does not know of a rule yet. A process that knows the
+// rule, but no instances, must not send the request to the instance that the scheduler chose.
 func TestAPlacedInstanceMustBePermitted(t *testing.T) {
 	s, n := newNode(t, "a-s"), newNode(t, "a-n")
-	see([]*node{s, n}, []*node{s}, "ad-1")
+	setView([]*node{s, n}, []*node{s}, "ad-1")
 	elsewhere, err := fleet.ParseRules([]byte(`{"selectors": {"r": "domain=b"}}`))
 	require.NoError(t, err)
-	knowsNoInstances(n, elsewhere)
-	plan, ticket := n.Place(context.Background(), jobOf(n, "x"))
+	clearInstances(n, elsewhere)
+	plan, ticket := n.Place(context.Background(), jobFor(n, "x"))
 	require.Nil(t, ticket)
 	require.Nil(t, plan.Runner)
 	require.Nil(t, plan.Reader)
 }
 
-// TestTheHeadOfACopyIsOfTheSameSize compares what a process needs until it serves before few and many instances.
+// TestTheHeadOfACopyIsOfTheSameSize checks that the size of a partial snapshot does not depend on the number of instances.
 func TestTheHeadOfACopyIsOfTheSameSize(t *testing.T) {
 	size := func(instances int) int {
 		s, n := newNode(t, "a-s"), newNode(t, "a-n")
 		s.Server.o.InstancePrefix = "servers/"
-		see([]*node{s, n}, []*node{s})
+		setView([]*node{s, n}, []*node{s})
 		var events []objstore.Event
 		for k := range instances {
 			events = append(events, objstore.Event{Object: registration(k)})
@@ -109,13 +109,13 @@
 	require.InDelta(t, size(100), size(5000), 8, "bytes")
 }
 
-// TestAWholeCopyComesBeforeASchedulerPlaces has a scheduler that knows the configuration alone asked.
+// TestAWholeCopyComesBeforeASchedulerPlaces checks that a scheduler with only a partial snapshot rejects placements.
 func TestAWholeCopyComesBeforeASchedulerPlaces(t *testing.T) {
 	s := newNode(t, "a-s")
-	see([]*node{s}, []*node{s}, "ad-1")
-	j := jobOf(s, "x")
+	setView([]*node{s}, []*node{s}, "ad-1")
+	j := jobFor(s, "x")
 	j.Call.Parts = []engine.Part{{ID: "x", Tokens: 9000}}
-	knowsNoInstances(s, nil)
+	clearInstances(s, nil)
 	require.False(t, s.view.Load().Ready())
 	_, err := decodeJob(encodeJob(j), s.view.Load())
 	require.True(t, fault.Is(err, fault.Unavailable), "%v", err)
--- a/internal/scheduler/heard.go
+++ b/internal/scheduler/heard.go
@@ -7,8 +7,8 @@
 	"github.com/rockdoor/rockdoor/members"
 )
 
-// Hears reports whether this process hears another one: as one that follows it or has it place
-// requests, which calls at least twice a second, or in the ways of Options.Hears.
+// Hears reports whether this process receives messages from another process: as a scheduler from
+// its clients, which call at least twice a second, or by the other means in Options.
 func (s *Server) Hears(name string) bool {
 	if s.o.Hears(name) {
 		return true
@@ -18,8 +18,8 @@
 	return s.clients[name] != nil
 }
 
-// unheard answers which of the processes that the caller names are not heard here either.
-func (s *Server) unheard(m *peerpb.Heartbeat) *peerpb.Response {
+// confirmNoContact returns which of the processes named by the caller this process has no contact with either.
+func (s *Server) confirmNoContact(m *peerpb.Heartbeat) *peerpb.Response {
 	out := &peerpb.Heartbeat{}
 	for _, p := range m.GetSilent() {
 		if !s.Hears(p.GetName()) {
@@ -29,19 +29,19 @@
 	return &peerpb.Response{Body: &peerpb.Response_Heartbeat{Heartbeat: out}}
 }
 
-// Unheard asks a scheduler which of the names it does not hear either.
+// Unheard asks a scheduler which of the named processes it has no contact with either.
 func (c *Client) Unheard(ctx context.Context, scheduler members.Member, names []string) ([]string, error) {
-	ask := &peerpb.Heartbeat{}
+	req := &peerpb.Heartbeat{}
 	for _, n := range names {
-		ask.Silent = append(ask.Silent, &peerpb.Silent{Name: n})
+		req.Silent = append(req.Silent, &peerpb.Silent{Name: n})
 	}
-	resp, err := c.o.Transport.Call(ctx, scheduler.Peer, &peerpb.Request{Body: &peerpb.Request_Heartbeat{Heartbeat: ask}})
+	resp, err := c.o.Transport.Call(ctx, scheduler.Peer, &peerpb.Request{Body: &peerpb.Request_Heartbeat{Heartbeat: req}})
 	if err != nil {
 		return nil, err
 	}
-	var left []string
+	var unheard []string
 	for _, p := range resp.GetHeartbeat().GetSilent() {
-		left = append(left, p.GetName())
+		unheard = append(unheard, p.GetName())
 	}
-	return left, nil
+	return unheard, nil
 }
--- a/internal/scheduler/limited.go
+++ b/internal/scheduler/limited.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	// grantWaitShare is the part of its latency target that a request waits for at the most where all
+	// grantWaitShare is the part of its latency target that a request may wait for a grant if all
 	// instances limit their rates.
 	grantWaitShare = 0.125
-	// readWait is how long a request waits whose prompt has been read.
-	readWait = 100 * time.Millisecond
+	// decodeGrantWait is how long a request may wait for a grant once its prompt is prefilled.
+	decodeGrantWait = 100 * time.Millisecond
 )
 
-// place decides where a job is read or runs.
-func place(ctx context.Context, p *placement.Placer, j *placement.Job) (placement.Plan, *placement.Ticket) {
+// placeWithWait places a job and waits for a rate limit grant if needed.
+func placeWithWait(ctx context.Context, p *placement.Placer, j *placement.Job) (placement.Plan, *placement.Ticket) {
 	plan, t := p.Place(j)
-	most := min(time.Duration(grantWaitShare*float64(j.Route.LatencyTarget)), ratelimit.GrantWait)
-	again(ctx, &plan, j, most, func() { plan, t = p.Place(j) })
+	maxWait := min(time.Duration(grantWaitShare*float64(j.Route.LatencyTarget)), ratelimit.GrantWait)
+	retryWhileLimited(ctx, &plan, j, maxWait, func() { plan, t = p.Place(j) })
 	return plan, t
 }
 
-// placeRead decides where a job runs whose prompt has been read.
-func placeRead(ctx context.Context, p *placement.Placer, j *placement.Job, plan *placement.Plan, t *placement.Ticket) bool {
+// placeDecodeWithWait places a prefilled job for decoding and waits for a rate limit grant if needed.
+func placeDecodeWithWait(ctx context.Context, p *placement.Placer, j *placement.Job, plan *placement.Plan, t *placement.Ticket) bool {
 	placed := p.PlaceRead(j, plan, t)
-	again(ctx, plan, j, readWait, func() { placed = p.PlaceRead(j, plan, t) })
+	retryWhileLimited(ctx, plan, j, decodeGrantWait, func() { placed = p.PlaceRead(j, plan, t) })
 	return placed
 }
 
-// again tries to place a job until it is not for rate limits that it can't be, or some time has passed.
-func again(ctx context.Context, plan *placement.Plan, j *placement.Job, most time.Duration, try func()) {
-	for waited := time.Duration(0); plan.Reason == placement.ReasonLimited && waited < min(most, j.Left); waited += ratelimit.GrantPoll {
+// retryWhileLimited retries placing a job while only rate limits prevent it, for at most maxWait.
+func retryWhileLimited(ctx context.Context, plan *placement.Plan, j *placement.Job, maxWait time.Duration, try func()) {
+	for waited := time.Duration(0); plan.Reason == placement.ReasonLimited && waited < min(maxWait, j.Left); waited += ratelimit.GrantPoll {
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/scheduler/pack.go
+++ b/internal/scheduler/pack.go
@@ -15,46 +15,46 @@
 )
 
 const (
-	// packFrom is from how many bytes of values on objects are packed. 3,000 registrations
-	// are 0.8 MB and packed 0.1 MB; a single change stays as it is.
-	packFrom = 8 << 10
-	// packsKept is how many packed updates are kept. Processes that follow are at most a few
-	// changes apart; after a start all ask for the same one.
-	packsKept = 4
-	// maxUnpacked bounds what a packed update may hold: some 200,000 registrations.
-	maxUnpacked = 64 << 20
+	// minPackBytes is the total size of values from which the objects of an update are compressed.
+	// 3,000 registrations are 0.8 MB, compressed 0.1 MB. A single change is sent uncompressed.
+	minPackBytes = 8 << 10
+	// maxCachedPacks is the number of cached compressed updates. Followers are at most a few
+	// changes apart, and after a start all of them request the same update.
+	maxCachedPacks = 4
+	// maxUnpackedBytes limits the size of a decompressed update. It is enough for about 200,000 registrations.
+	maxUnpackedBytes = 64 << 20
 )
 
-// packs packs updates and keeps the newest. It is safe for concurrent use.
-type packs struct {
-	mu   sync.Mutex
-	kept []pack
+// packCache compresses updates and caches the newest ones. It is safe for concurrent use.
+type packCache struct {
+	mu     sync.Mutex
+	cached []packedUpdate
 }
 
-// pack is the packed objects of one update. A full one follows from its position alone.
-type pack struct {
+// packedUpdate is the compressed objects of one update. A full update is identified by its position alone.
+type packedUpdate struct {
 	full      bool
 	after, at feed.Position
 	bytes     []byte
 }
 
-// worthPacking reports whether the objects of an update are packed.
-func worthPacking(u feed.Update) bool {
+// shouldPack reports whether the objects of an update are large enough to be compressed.
+func shouldPack(u feed.Update) bool {
 	size := 0
 	for _, e := range u.Events {
 		size += len(e.Object.Value)
 	}
-	return size >= packFrom
+	return size >= minPackBytes
 }
 
-// of returns the packed objects of an update of a copy at a position.
-func (p *packs) of(after feed.Position, u feed.Update) ([]byte, error) {
+// get returns the compressed objects of an update for a follower at the position after.
+func (p *packCache) get(after feed.Position, u feed.Update) ([]byte, error) {
 	if u.Full {
 		after = feed.Position{}
 	}
 	p.mu.Lock()
-	defer p.mu.Unlock() // also while one is packed: the others wait for the same
-	for _, k := range p.kept {
+	defer p.mu.Unlock() // held while compressing: the other callers wait for the same update
+	for _, k := range p.cached {
 		if k.full == u.Full && k.after == after && k.at == u.Position {
 			return k.bytes, nil
 		}
@@ -63,9 +63,9 @@
 	if err != nil {
 		return nil, err
 	}
-	p.kept = append(p.kept, pack{u.Full, after, u.Position, packed})
-	if len(p.kept) > packsKept {
-		p.kept = p.kept[1:]
+	p.cached = append(p.cached, packedUpdate{u.Full, after, u.Position, packed})
+	if len(p.cached) > maxCachedPacks {
+		p.cached = p.cached[1:]
 	}
 	return packed, nil
 }
@@ -90,19 +90,19 @@
 }
 
 func unpackObjects(packed []byte) ([]*peerpb.MirrorObject, error) {
-	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpacked))
+	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpackedBytes))
 	if err != nil {
-		return nil, badPack(err)
+		return nil, unpackError(err)
 	}
 	var m peerpb.FollowUpdate
 	if err := proto.Unmarshal(raw, &m); err != nil {
-		return nil, badPack(err)
+		return nil, unpackError(err)
 	}
 	return m.GetObjects(), nil
 }
 
-func badPack(err error) error {
-	return fault.Wrap(err, fault.Internal, "copy of a scheduler cannot be unpacked", "run the same version everywhere; another scheduler is asked")
+func unpackError(err error) error {
+	return fault.Wrap(err, fault.Internal, "snapshot of a scheduler cannot be decompressed", "run the same version everywhere; another scheduler is asked")
 }
 
 func encodeObjects(events []objstore.Event) []*peerpb.MirrorObject {
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -7,81 +7,80 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// progressKept bounds how many positions of the feed are remembered with their times.
-const progressKept = 256
+// maxTrackedPositions limits how many positions of the feed are kept with their times.
+const maxTrackedPositions = 256
 
-// progress remembers when the feed got to its latest positions. It is not safe for concurrent use.
-type progress struct {
-	seen []seenAt
+// positionHistory records when the feed reached its latest positions. It is not safe for concurrent use.
+type positionHistory struct {
+	reached []positionTime
 }
 
-type seenAt struct {
+type positionTime struct {
 	position uint64
 	at       time.Time
 }
 
-// see notes that the feed is at a position.
-func (p *progress) see(position uint64, now time.Time) {
-	if n := len(p.seen); n > 0 && p.seen[n-1].position >= position {
+// record records that the feed has reached a position.
+func (p *positionHistory) record(position uint64, now time.Time) {
+	if n := len(p.reached); n > 0 && p.reached[n-1].position >= position {
 		return
 	}
-	p.seen = append(p.seen, seenAt{position, now})
-	if len(p.seen) > progressKept {
-		p.seen = p.seen[len(p.seen)-progressKept:]
+	p.reached = append(p.reached, positionTime{position, now})
+	if len(p.reached) > maxTrackedPositions {
+		p.reached = p.reached[len(p.reached)-maxTrackedPositions:]
 	}
 }
 
-// behind returns for how long a copy at a position has lacked something, 0 if it lacks nothing.
-func (p *progress) behind(position uint64, now time.Time) time.Duration {
-	first := sort.Search(len(p.seen), func(n int) bool { return p.seen[n].position > position })
-	if first == len(p.seen) {
+// lag returns for how long a follower at a position has lacked a change, or 0 if it is up to date.
+func (p *positionHistory) lag(position uint64, now time.Time) time.Duration {
+	first := sort.Search(len(p.reached), func(n int) bool { return p.reached[n].position > position })
+	if first == len(p.reached) {
 		return 0
 	}
-	return now.Sub(p.seen[first].at)
+	return now.Sub(p.reached[first].at)
 }
 
-// Followers says how far the processes are that follow a scheduler.
+// Followers describes how up to date the followers of a scheduler are.
 type Followers struct {
-	// Serving is how many there are that were heard lately.
+	// Serving is the number of followers that called recently.
 	Serving int `json:"serving"`
-	// Behind is how many of them have lacked a change for more than a quarter of the time in which one must
-	// have reached everybody, MostMs how long the one that lacks one the longest has, in ms.
+	// Behind is how many of them have lacked a change for more than a quarter of Options.Within,
+	// MostMs is the maximum lag in ms.
 	Behind int   `json:"behind"`
 	MostMs int64 `json:"mostMs"`
 }
 
-// behindShare is the part of the time in which a change must have reached everybody from which on a
-// process counts as behind.
-const behindShare = 0.25
+// maxLagShare is the part of Options.Within above which the lag of a follower counts as being behind.
+const maxLagShare = 0.25
 
-// Followers returns how far the processes are that follow this one.
+// Followers returns how up to date the followers of this process are.
 func (s *Server) Followers() Followers {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.followers(time.Now())
 }
 
-// followers is Followers for a caller that holds the lock.
+// followers implements Followers. The caller holds the lock.
 func (s *Server) followers(now time.Time) Followers {
 	var out Followers
-	late := time.Duration(behindShare * float64(s.o.Within))
+	threshold := time.Duration(maxLagShare * float64(s.o.Within))
 	for _, c := range s.clients {
-		if !c.follows {
+		if !c.follower {
 			continue
 		}
 		out.Serving++
-		behind := s.progress.behind(c.position, now)
-		if behind > late {
+		lag := s.positions.lag(c.position, now)
+		if lag > threshold {
 			out.Behind++
 		}
-		out.MostMs = max(out.MostMs, behind.Milliseconds())
+		out.MostMs = max(out.MostMs, lag.Milliseconds())
 	}
 	return out
 }
 
-// showFollowers updates the metrics of those that follow. The caller holds the lock.
-func (s *Server) showFollowers(now time.Time) {
-	s.progress.see(s.feed.At(), now)
+// updateFollowerMetrics updates the metrics about followers. The caller holds the lock.
+func (s *Server) updateFollowerMetrics(now time.Time) {
+	s.positions.record(s.feed.At(), now)
 	f := s.followers(now)
 	metrics.GetOrRegisterGauge("scheduler.followers", s.o.Metrics).Update(int64(f.Serving))
 	metrics.GetOrRegisterGauge("scheduler.followers_behind", s.o.Metrics).Update(int64(f.Behind))
--- a/internal/scheduler/progress_test.go
+++ b/internal/scheduler/progress_test.go
@@ -9,19 +9,19 @@
 	"github.com/rockdoor/rockdoor/internal/peer/peerpb"
 )
 
-// TestFollowersThatAreBehind has one of three processes not ask for a change.
+// TestFollowersThatAreBehind covers three followers, one of which does not request the latest change.
 func TestFollowersThatAreBehind(t *testing.T) {
 	s := newNode(t, "a-sched").Server
 	now := time.Now()
 	ask := func(name string, position uint64) {
 		from := &peerpb.Identity{Name: name, Incarnation: name}
-		s.hear(from)
-		s.followed(from, &peerpb.Follow{Run: s.feed.Run(), Position: position})
+		s.recordContact(from)
+		s.recordFollower(from, &peerpb.Follow{Run: s.feed.Run(), Position: position})
 	}
 	sweep := func(at time.Duration) Followers {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.showFollowers(now.Add(at))
+		s.updateFollowerMetrics(now.Add(at))
 		return s.followers(now.Add(at))
 	}
 	s.feed.Put(registration(1))
@@ -35,6 +35,6 @@
 	ask("b", 2)
 	late := s.o.Within / 2
 	require.Equal(t, Followers{Serving: 3, Behind: 1, MostMs: late.Milliseconds()}, sweep(late+time.Millisecond))
-	s.followed(&peerpb.Identity{Name: "c", Incarnation: "c"}, &peerpb.Follow{Run: "another", Position: 7})
-	require.Equal(t, 1, sweep(late).Behind, "a position of another feed is none")
+	s.recordFollower(&peerpb.Identity{Name: "c", Incarnation: "c"}, &peerpb.Follow{Run: "another", Position: 7})
+	require.Equal(t, 1, sweep(late).Behind, "a position in the feed of another run does not count")
 }
--- a/internal/scheduler/report.go
+++ b/internal/scheduler/report.go
@@ -12,54 +12,56 @@
 )
 
 const (
-	// reportEvery is how long reports are collected before they are sent together. Of a
-	// short answer, which begins and ends within it, one message tells both.
-	reportEvery = 20 * time.Millisecond
-	// reportTimeout bounds one message. What is lost with it is made up for by the next
-	// list of open tickets.
+	// reportDelay is how long reports are collected before they are sent together. A short
+	// response that begins and ends within the delay needs only one message.
+	reportDelay = 20 * time.Millisecond
+	// reportTimeout limits one message. The next list of open tickets makes up for reports
+	// that are lost.
 	reportTimeout = 200 * time.Millisecond
-	// maxReports bounds what waits for one scheduler; further reports are dropped.
-	maxReports = 4096
-	// listEvery is how often a scheduler is told which of its tickets are open, if there
-	// are any or it may not know that there are none.
-	listEvery = 500 * time.Millisecond
+	// maxQueuedReports limits the queue for one scheduler. Further reports are dropped.
+	maxQueuedReports = 4096
+	// openListInterval is how often a scheduler is sent the list of its open tickets, if there
+	// are any or if it may not know that there are none.
+	openListInterval = 500 * time.Millisecond
 )
 
-// reporter tells the schedulers what becomes of their tickets. It is safe for concurrent
-// use.
+// reporter reports the state of tickets to the schedulers that issued them. It is safe for
+// concurrent use.
 type reporter struct {
 	c *Client
 
-	mu      sync.Mutex
-	targets map[string]*target // by address
+	mu        sync.Mutex
+	byAddress map[string]*ticketState
 }
 
-// target is a scheduler that has given tickets.
-type target struct {
-	waiting []*peerpb.TicketReport
-	open    map[uint64]struct{}
-	// listed is true once the scheduler has confirmed a list without open tickets, and
-	// nothing was asked of it since, nor for so long before that it kept a lost ticket.
-	listed bool
-	// asked is when the scheduler was asked last.
-	asked bootclock.Instant
+// ticketState is the state of the tickets that one scheduler issued to this process.
+type ticketState struct {
+	queued []*peerpb.TicketReport
+	open   map[uint64]struct{}
+	// emptyConfirmed is true once the scheduler has confirmed a list without open tickets and
+	// no call could have left it with a ticket that this process does not know of: there was no
+	// call since, and the last one was long enough before the list for the scheduler to cancel
+	// every unlisted ticket.
+	emptyConfirmed bool
+	// lastCall is when the scheduler was last asked to place a job.
+	lastCall bootclock.Instant
 }
 
-func newReporter(c *Client) *reporter { return &reporter{c: c, targets: map[string]*target{}} }
+func newReporter(c *Client) *reporter { return &reporter{c: c, byAddress: map[string]*ticketState{}} }
 
-// run tells the schedulers which tickets are open, until ctx ends.
+// run sends the lists of open tickets to the schedulers, until ctx ends.
 func (r *reporter) run(ctx context.Context) error {
-	periodic.Run(ctx, listEvery, func(context.Context) {
-		for _, address := range r.unlisted() {
+	periodic.Run(ctx, openListInterval, func(context.Context) {
+		for _, address := range r.unconfirmed() {
 			go r.send(address, true)
 		}
 	})
 	return nil
 }
 
-// unlisted returns the schedulers that have to be told. What a process that is none any more
-// counts does not matter.
-func (r *reporter) unlisted() []string {
+// unconfirmed returns the addresses to send a list of open tickets to. Processes that are no
+// longer schedulers are dropped, since their ticket counts do not matter.
+func (r *reporter) unconfirmed() []string {
 	present := map[string]bool{}
 	for _, s := range r.c.o.View().Schedulers {
 		present[s.Peer] = true
@@ -67,77 +69,77 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
-	for address, t := range r.targets {
+	for address, t := range r.byAddress {
 		switch {
 		case !present[address]:
-			delete(r.targets, address)
-		case !t.listed:
+			delete(r.byAddress, address)
+		case !t.emptyConfirmed:
 			out = append(out, address)
 		}
 	}
 	return out
 }
 
-// target returns what is known of a scheduler. The caller holds the lock.
-func (r *reporter) target(address string) *target {
-	t := r.targets[address]
+// stateOf returns the ticket state of a scheduler. The caller holds the lock.
+func (r *reporter) stateOf(address string) *ticketState {
+	t := r.byAddress[address]
 	if t == nil {
-		t = &target{open: map[uint64]struct{}{}}
-		r.targets[address] = t
+		t = &ticketState{open: map[uint64]struct{}{}}
+		r.byAddress[address] = t
 	}
 	return t
 }
 
-// asked notes that a scheduler may give a ticket, also one that does not arrive here.
-func (r *reporter) asked(s members.Member) {
+// noteCall records that a scheduler may issue a ticket, even if its response is lost.
+func (r *reporter) noteCall(s members.Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.target(s.Peer)
-	t.listed, t.asked = false, bootclock.Now()
+	t := r.stateOf(s.Peer)
+	t.emptyConfirmed, t.lastCall = false, bootclock.Now()
 }
 
-// opened notes that a scheduler has given a ticket.
-func (r *reporter) opened(s members.Member, ticket uint64) {
+// noteTicket records that a scheduler has issued a ticket.
+func (r *reporter) noteTicket(s members.Member, ticket uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.target(s.Peer).open[ticket] = struct{}{}
+	r.stateOf(s.Peer).open[ticket] = struct{}{}
 }
 
-// add has a report sent soon.
-func (r *reporter) add(s members.Member, report *peerpb.TicketReport) {
+// queue queues a report, to be sent after reportDelay.
+func (r *reporter) queue(s members.Member, report *peerpb.TicketReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.target(s.Peer)
-	if over(report.GetEvent()) {
+	t := r.stateOf(s.Peer)
+	if isFinal(report.GetEvent()) {
 		delete(t.open, report.GetTicket())
 	}
-	if len(t.waiting) >= maxReports {
+	if len(t.queued) >= maxQueuedReports {
 		r.c.count("reports_dropped")
 		return
 	}
-	t.waiting = append(t.waiting, report)
-	if len(t.waiting) == 1 {
-		time.AfterFunc(reportEvery, func() { r.send(s.Peer, false) })
+	t.queued = append(t.queued, report)
+	if len(t.queued) == 1 {
+		time.AfterFunc(reportDelay, func() { r.send(s.Peer, false) })
 	}
 }
 
-// over reports whether a ticket is not used after an event.
-func over(e peerpb.TicketEvent) bool {
+// isFinal reports whether an event ends the life of a ticket.
+func isFinal(e peerpb.TicketEvent) bool {
 	return e == peerpb.TicketEvent_TICKET_EVENT_ENDED || e == peerpb.TicketEvent_TICKET_EVENT_CANCELLED
 }
 
-// send sends the reports that wait for a scheduler, and the list of open tickets if list is
-// true.
+// send sends the queued reports to a scheduler, together with the list of open tickets if list
+// is true.
 func (r *reporter) send(address string, list bool) {
 	r.mu.Lock()
-	t := r.target(address)
-	m := &peerpb.TicketReports{Reports: t.waiting, AllOpen: list}
-	t.waiting = nil
+	t := r.stateOf(address)
+	m := &peerpb.TicketReports{Reports: t.queued, AllOpen: list}
+	t.queued = nil
 	if list {
 		for ticket := range t.open {
 			m.Open = append(m.Open, ticket)
 		}
-		t.listed = len(t.open) == 0 && bootclock.Since(t.asked) > openGrace+listEvery
+		t.emptyConfirmed = len(t.open) == 0 && bootclock.Since(t.lastCall) > unlistedGrace+openListInterval
 	}
 	r.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
@@ -148,5 +150,5 @@
 	r.c.count("reports_lost")
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.target(address).listed = false
+	r.stateOf(address).emptyConfirmed = false
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,10 +1,12 @@
-// Package scheduler has a few gateways of a fleet place requests for all of them. What an
-// engine has in hand, keeps and how fast it is, is known where its work is placed, so a
-// gateway that takes four requests a second decides as well as one that takes all.
+// Package scheduler lets a few gateways of a fleet place the requests of all gateways. A
+// scheduler knows the pending work, cached prompts and speed of each engine because it places
+// the work of all gateways there. So a gateway with four requests a second gets placements as
+// good as those of a gateway with all requests.
 //
-// A scheduler is a belief and no authority: a gateway that reaches none decides alone with
-// what it has, and two at a time, or none, cost goodput and never a promise. What a
-// scheduler answers is checked against the gateway's own view before it is used.
+// Schedulers are an optimization, not an authority. A gateway that cannot reach any of them
+// places its requests with its own knowledge. Having no scheduler, or two at the same time,
+// costs goodput but violates no guarantee. A gateway checks each placement against its own
+// view before using it.
 package scheduler
 
 import (
@@ -15,36 +17,36 @@
 
 // Scheduler decides where requests run.
 type Scheduler interface {
-	// Place decides where a job is read, or where it runs if it is not read apart. The
-	// ticket is nil if the job is refused.
+	// Place decides where a job is prefilled, or where it runs as a whole if it has no separate
+	// prefill. The ticket is nil if the job is rejected.
 	Place(ctx context.Context, j *placement.Job) (placement.Plan, Ticket)
 }
 
-// Ticket is a placed job, as placement.Ticket is. It belongs to the goroutine of the
-// request.
+// Ticket represents a placed job, like placement.Ticket. Only the goroutine of the request may
+// use it.
 type Ticket interface {
-	// Read records how reading the prompt apart ended. If it was read, PlaceRead follows.
+	// Read records the outcome of a separate prefill. After a successful one, PlaceRead must follow.
 	Read(read bool, o placement.Outcome)
-	// PlaceRead decides where a job runs whose prompt has been read. It returns the ticket
-	// to go on with, nil if there is no runner; the plan then says why.
+	// PlaceRead decides where a prefilled job is decoded. It returns the ticket to continue
+	// with, or nil if there is no decode engine; the plan then has the reason.
 	PlaceRead(ctx context.Context, j *placement.Job, plan *placement.Plan) Ticket
-	// FirstEvent records that the answer begins, Event that an event of it has arrived.
+	// FirstEvent records the first event of the response, and Event records each event.
 	FirstEvent()
 	Event()
-	// Run records how the attempt at the runner ended.
+	// Run records the outcome of the attempt at the decode engine.
 	Run(o placement.Outcome)
-	// Cancel takes the job back, if it has not ended, without a verdict on the instances.
+	// Cancel withdraws the job if it has not ended. It does not affect the health of the instances.
 	Cancel()
 }
 
-// Local returns a scheduler that decides in this process.
+// Local returns a scheduler that places requests in this process.
 func Local(p *placement.Placer) Scheduler { return local{p} }
 
 type local struct{ placer *placement.Placer }
 
 // Place implements Scheduler.
 func (l local) Place(ctx context.Context, j *placement.Job) (placement.Plan, Ticket) {
-	plan, t := place(ctx, l.placer, j)
+	plan, t := placeWithWait(ctx, l.placer, j)
 	if t == nil {
 		return plan, nil
 	}
@@ -58,7 +60,7 @@
 
 // PlaceRead implements Ticket.
 func (t localTicket) PlaceRead(ctx context.Context, j *placement.Job, plan *placement.Plan) Ticket {
-	if !placeRead(ctx, t.placer, j, plan, t.Ticket) {
+	if !placeDecodeWithWait(ctx, t.placer, j, plan, t.Ticket) {
 		return nil
 	}
 	return t
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -26,7 +26,7 @@
 	"github.com/rockdoor/rockdoor/placement"
 )
 
-// node is the part of a gateway that this package is.
+// node is the scheduler client and server of one gateway.
 type node struct {
 	*Client
 	*Server
@@ -34,7 +34,7 @@
 	view   atomic.Pointer[fleet.View]
 	placer *placement.Placer
 	feed   *feed.Feed
-	// frozen makes it take calls and answer none, slow answer when it is too late.
+	// frozen makes the node accept calls without responding; slow makes it respond too late.
 	frozen, slow atomic.Bool
 }
 
@@ -45,18 +45,18 @@
 	}
 	resp := n.Server.HandlePeer(ctx, req)
 	if n.slow.Load() {
-		time.Sleep(2 * askTimeout)
+		time.Sleep(2 * callTimeout)
 	}
 	return resp
 }
 
-// newNode starts a node of the failure domain that its name begins with.
+// newNode starts a node in the failure domain given by the first letter of its name.
 func newNode(t testing.TB, name string) *node {
 	t.Helper()
 	return newNodeOn(t, name, func(l net.Listener) net.Listener { return l })
 }
 
-// newNodeOn starts a node that is called over a link.
+// newNodeOn starts a node that accepts calls over a network link.
 func newNodeOn(t testing.TB, name string, link func(net.Listener) net.Listener) *node {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,7 +65,7 @@
 	n.view.Store(&fleet.View{})
 	reg := metrics.NewRegistry()
 	transport := peer.NewTransport(&peerpb.Identity{Name: name, Incarnation: "1"}, n, reg, log.NewNopLogger())
-	o := Options{Self: n.self, View: n.view.Load, Transport: transport, Placer: n.placer, Within: testWithin, Metrics: reg, Logger: log.NewNopLogger()}
+	o := Options{Self: n.self, View: n.view.Load, Transport: transport, Placer: n.placer, Within: testPropagationLimit, Metrics: reg, Logger: log.NewNopLogger()}
 	n.Client, n.Server = NewClient(o), NewServer(o, n.feed)
 	go func() { _ = transport.Serve(link(l)) }()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -74,17 +74,17 @@
 	return n
 }
 
-// testWithin is in what time a change must have reached everybody.
-const testWithin = 4 * time.Second
+// testPropagationLimit is the time limit for a change to reach all processes.
+const testPropagationLimit = 4 * time.Second
 
 const (
 	routeName   = "r"
 	serviceName = "s"
 )
 
-// see gives nodes the view of a fleet with schedulers and with engines, each of the failure
-// domain that its name begins with.
-func see(nodes, schedulers []*node, engines ...string) {
+// setView gives nodes the view of a fleet with the given schedulers and engines. The first letter
+// of a name is the failure domain.
+func setView(nodes, schedulers []*node, engines ...string) {
 	c := &fleet.Config{
 		Routes:   []fleet.Route{{Name: routeName, LatencyTarget: time.Second}},
 		Services: map[string]fleet.Service{serviceName: {Name: serviceName, KVCapacity: 100_000}},
@@ -109,63 +109,64 @@
 	}
 }
 
-func jobOf(n *node, subject string) *placement.Job {
+func jobFor(n *node, prefix string) *placement.Job {
 	v := n.view.Load()
 	return &placement.Job{
 		Route: v.Config.RouteNamed(routeName), Service: v.Config.Services[serviceName], Domain: n.self.Domain, Left: 2 * time.Second,
 		Permitted: v.Permitted(routeName, serviceName),
-		Call:      &engine.Call{ID: "1", PromptTokens: 9000, Parts: []engine.Part{{ID: subject, Tokens: 8000}, {ID: "own", Tokens: 1000}}},
+		Call:      &engine.Call{ID: "1", PromptTokens: 9000, Parts: []engine.Part{{ID: prefix, Tokens: 8000}, {ID: "own", Tokens: 1000}}},
 	}
 }
 
-// placed has a scheduler place a prompt. On a machine that is busy beside the test an answer
-// may come too late, and the process decides alone; it asks again then, once the scheduler has
-// given up the ticket of that answer.
-func placed(t *testing.T, n *node, subject string) (placement.Plan, Ticket) {
+// placeRemotely places a prompt through a scheduler. On a busy machine a response may come too
+// late, so that the process places the prompt itself. In that case it cancels the ticket, waits
+// until the scheduler has cancelled the ticket of the late response, and tries again.
+func placeRemotely(t *testing.T, n *node, prefix string) (placement.Plan, Ticket) {
 	t.Helper()
 	for range 20 {
-		plan, ticket := n.Place(context.Background(), jobOf(n, subject))
+		plan, ticket := n.Place(context.Background(), jobFor(n, prefix))
 		require.NotNil(t, ticket)
 		if plan.By != n.self.Name {
 			return plan, ticket
 		}
 		ticket.Cancel()
-		time.Sleep(3 * openGrace)
+		time.Sleep(3 * unlistedGrace)
 	}
-	t.Fatal("no scheduler answers")
+	t.Fatal("no scheduler responds")
 	return placement.Plan{}, nil
 }
 
-// TestManyDecideAsOne has two processes place prompts of a subject through a scheduler: the
-// second goes where the first was read, the work of both counts, and it is taken back.
+// TestManyDecideAsOne places prompts with the same prefix from two processes through one scheduler.
+// The second prompt must go to the engine that prefilled the first one, the load of both must be
+// counted, and it must be removed at the end.
 func TestManyDecideAsOne(t *testing.T) {
 	s, a, b := newNode(t, "a-sched"), newNode(t, "a-1"), newNode(t, "b-1")
-	see([]*node{s, a, b}, []*node{s}, "ap1", "ap2", "ap3", "bp4", "bp5", "ad1", "bd2")
+	setView([]*node{s, a, b}, []*node{s}, "ap1", "ap2", "ap3", "bp4", "bp5", "ad1", "bd2")
 	ctx := context.Background()
-	plan, first := placed(t, a, "x")
+	plan, first := placeRemotely(t, a, "x")
 	require.Equal(t, "a-sched", plan.By)
 	require.Equal(t, 1, s.placer.Load(plan.Reader).Requests)
-	first = first.PlaceRead(ctx, jobOf(a, "x"), &plan)
-	require.Equal(t, plan.Reader.Domain+"d", plan.Runner.ID[:2], "the runner is near the reader")
+	first = first.PlaceRead(ctx, jobFor(a, "x"), &plan)
+	require.Equal(t, plan.Reader.Domain+"d", plan.Runner.ID[:2], "the decode engine is in the domain of the prefill engine")
 	require.Zero(t, s.placer.Load(plan.Reader).Requests)
 
-	again, second := placed(t, b, "x")
+	again, second := placeRemotely(t, b, "x")
 	require.Equal(t, plan.Reader.ID, again.Reader.ID)
 	require.Equal(t, placement.ReasonHolder, again.Reason)
-	second = second.PlaceRead(ctx, jobOf(b, "x"), &again)
-	require.Equal(t, 2, running(s).Starting)
+	second = second.PlaceRead(ctx, jobFor(b, "x"), &again)
+	require.Equal(t, 2, totalLoad(s).Starting)
 	first.FirstEvent()
 	second.FirstEvent()
-	require.Eventually(t, func() bool { return running(s).Starting == 0 }, time.Second, time.Millisecond)
-	require.Equal(t, 2, running(s).Requests)
+	require.Eventually(t, func() bool { return totalLoad(s).Starting == 0 }, time.Second, time.Millisecond)
+	require.Equal(t, 2, totalLoad(s).Requests)
 	first.Run(placement.Sound)
 	first.Cancel()
 	second.Cancel()
-	require.Eventually(t, func() bool { return running(s).Requests == 0 }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return totalLoad(s).Requests == 0 }, time.Second, time.Millisecond)
 }
 
-// running returns what a scheduler counts at all engines.
-func running(s *node) placement.Load {
+// totalLoad returns the sum of the loads that a scheduler counts at all engines.
+func totalLoad(s *node) placement.Load {
 	var sum placement.Load
 	for _, l := range s.placer.Own() {
 		sum = sum.Add(l)
@@ -173,120 +174,120 @@
 	return sum
 }
 
-// TestASilentSchedulerIsPassedOver covers a scheduler that is stopped: one request waits for
-// it, and none after it. When both are silent the process decides alone.
+// TestASilentSchedulerIsPassedOver covers suspended schedulers: only one request may wait for a
+// suspended scheduler. With all of them suspended, the process places requests itself.
 func TestASilentSchedulerIsPassedOver(t *testing.T) {
 	near, far, a := newNode(t, "a-near"), newNode(t, "b-far"), newNode(t, "a-1")
-	see([]*node{near, far, a}, []*node{near, far}, "ap1", "ad1")
+	setView([]*node{near, far, a}, []*node{near, far}, "ap1", "ad1")
 	ctx := context.Background()
-	plan, ticket := placed(t, a, "x")
+	plan, ticket := placeRemotely(t, a, "x")
 	require.Equal(t, "a-near", plan.By)
 
 	near.frozen.Store(true)
 	begun := time.Now()
-	ticket = ticket.PlaceRead(ctx, jobOf(a, "x"), &plan)
-	require.NotNil(t, ticket, "another one goes on")
+	ticket = ticket.PlaceRead(ctx, jobFor(a, "x"), &plan)
+	require.NotNil(t, ticket, "another scheduler takes over")
 	require.NotEqual(t, "a-near", plan.By)
 	require.Equal(t, "ad1", plan.Runner.ID)
-	require.Less(t, time.Since(begun), time.Second, "it is not waited for")
-	require.Equal(t, "b-far", a.directory.order(a.view.Load().Schedulers, 1)[0].Name, "nor by the next one")
-	plan, _ = placed(t, a, "x")
+	require.Less(t, time.Since(begun), time.Second, "the suspended scheduler is not waited for")
+	require.Equal(t, "b-far", a.ranking.order(a.view.Load().Schedulers, 1)[0].Name, "the next request does not try the suspended scheduler first")
+	plan, _ = placeRemotely(t, a, "x")
 	require.Equal(t, "b-far", plan.By)
 
 	far.frozen.Store(true)
-	plan, ticket = a.Place(ctx, jobOf(a, "x"))
+	plan, ticket = a.Place(ctx, jobFor(a, "x"))
 	require.NotNil(t, ticket)
 	require.Equal(t, "a-1", plan.By)
 }
 
-// TestPlansAreCheckedByTheOneWhoSends covers a scheduler with another list of instances:
-// what it names is not used unless the sender's own view permits it.
+// TestPlansAreCheckedByTheOneWhoSends covers a scheduler with a different list of instances. The
+// instances that it chooses must not be used unless the view of the sender permits them.
 func TestPlansAreCheckedByTheOneWhoSends(t *testing.T) {
 	s, a := newNode(t, "a-sched"), newNode(t, "a-1")
-	see([]*node{s}, []*node{s}, "ap1", "ad1")
-	see([]*node{a}, []*node{s}, "ap2", "ad2")
-	plan, ticket := a.Place(context.Background(), jobOf(a, "x"))
+	setView([]*node{s}, []*node{s}, "ap1", "ad1")
+	setView([]*node{a}, []*node{s}, "ap2", "ad2")
+	plan, ticket := a.Place(context.Background(), jobFor(a, "x"))
 	require.NotNil(t, ticket)
 	require.Equal(t, "ap2", plan.Reader.ID)
 	require.Equal(t, "a-1", plan.By)
-	require.Eventually(t, func() bool { return len(s.placer.Own()) == 0 }, time.Second, time.Millisecond, "the scheduler's ticket is given back")
+	require.Eventually(t, func() bool { return len(s.placer.Own()) == 0 }, time.Second, time.Millisecond, "the ticket at the scheduler is cancelled")
 }
 
-// TestTicketsOfLostClientsAreGivenUp covers processes that are killed with requests in hand,
-// and one that comes back.
+// TestTicketsOfLostClientsAreGivenUp covers clients that are killed with requests in flight, and a
+// client that restarts.
 func TestTicketsOfLostClientsAreGivenUp(t *testing.T) {
 	s, a := newNode(t, "a-sched"), newNode(t, "a-1")
-	see([]*node{s, a}, []*node{s}, "ap1", "ad1")
-	_, _ = placed(t, a, "x")
+	setView([]*node{s, a}, []*node{s}, "ap1", "ad1")
+	_, _ = placeRemotely(t, a, "x")
 	s.sweep(time.Now())
 	require.Len(t, s.placer.Own(), 1)
-	s.sweep(time.Now().Add(2 * clientSilence))
+	s.sweep(time.Now().Add(2 * clientTimeout))
 	require.Empty(t, s.placer.Own())
 
-	_, _ = placed(t, a, "x")
-	s.hear(&peerpb.Identity{Name: "a-1", Incarnation: "2"})
+	_, _ = placeRemotely(t, a, "x")
+	s.recordContact(&peerpb.Identity{Name: "a-1", Incarnation: "2"})
 	require.Empty(t, s.placer.Own())
-	require.Nil(t, s.ticket(&peerpb.Identity{Name: "a-1", Incarnation: "2"}, s.last))
+	require.Nil(t, s.ticket(&peerpb.Identity{Name: "a-1", Incarnation: "2"}, s.lastTicketID))
 }
 
-// TestAStoppedSchedulerLearnsWhatItMissed stops a scheduler while requests that it placed end
-// and others are asked for in vain. When it goes on, nothing of that is left.
+// TestAStoppedSchedulerLearnsWhatItMissed suspends a scheduler while requests that it placed end
+// and new placement calls time out. After it resumes, it must not count any of these requests.
 func TestAStoppedSchedulerLearnsWhatItMissed(t *testing.T) {
 	s, a := newNode(t, "a-sched"), newNode(t, "a-1")
-	see([]*node{s, a}, []*node{s}, "ap1", "ad1")
+	setView([]*node{s, a}, []*node{s}, "ap1", "ad1")
 	ctx := context.Background()
 	var tickets []Ticket
 	for range 20 {
-		_, ticket := placed(t, a, "x")
+		_, ticket := placeRemotely(t, a, "x")
 		tickets = append(tickets, ticket)
 	}
 	s.frozen.Store(true)
 	for _, ticket := range tickets[1:] {
 		ticket.Cancel()
 	}
-	_, vain := a.Place(ctx, jobOf(a, "x"))
-	vain.Cancel()
+	_, unserved := a.Place(ctx, jobFor(a, "x"))
+	unserved.Cancel()
 	time.Sleep(2 * reportTimeout)
-	require.Equal(t, 20, running(s).Requests)
+	require.Equal(t, 20, totalLoad(s).Requests)
 	s.frozen.Store(false)
-	require.Eventually(t, func() bool { return running(s).Requests == 1 }, 3*openGrace, 10*time.Millisecond, "one is still in hand")
+	require.Eventually(t, func() bool { return totalLoad(s).Requests == 1 }, 3*unlistedGrace, 10*time.Millisecond, "one request is still in flight")
 	tickets[0].Cancel()
-	require.Eventually(t, func() bool { return running(s).Requests == 0 }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return totalLoad(s).Requests == 0 }, time.Second, time.Millisecond)
 }
 
-// The answer to the last question of a process came too late, and its ticket was younger than
-// the grace when the scheduler got the list of open tickets, without it. No list followed, since
-// nothing was asked again: the ticket counted until the process asked the next time.
+// The response to the last placement call of a process came too late, and its ticket was younger
+// than unlistedGrace when the scheduler received the list of open tickets without it. No further
+// list was sent, since no call followed, so the ticket counted as load until the next call.
 func TestATicketIsGivenUpThoughNothingIsAskedAgain(t *testing.T) {
 	s, a := newNode(t, "a-sched"), newNode(t, "a-1")
-	see([]*node{s, a}, []*node{s}, "ap1", "ad1")
-	_, first := placed(t, a, "x")
+	setView([]*node{s, a}, []*node{s}, "ap1", "ad1")
+	_, first := placeRemotely(t, a, "x")
 	first.Cancel()
-	require.Eventually(t, func() bool { return running(s).Requests == 0 }, 3*openGrace, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return totalLoad(s).Requests == 0 }, 3*unlistedGrace, 10*time.Millisecond)
 	s.slow.Store(true)
-	plan, vain := a.Place(context.Background(), jobOf(a, "x"))
+	plan, unserved := a.Place(context.Background(), jobFor(a, "x"))
 	s.slow.Store(false)
 	require.Equal(t, a.self.Name, plan.By)
-	vain.Cancel()
-	require.Eventually(t, func() bool { return running(s).Requests == 1 }, time.Second, time.Millisecond)
-	require.Eventually(t, func() bool { return running(s).Requests == 0 }, 3*openGrace, 10*time.Millisecond)
+	unserved.Cancel()
+	require.Eventually(t, func() bool { return totalLoad(s).Requests == 1 }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return totalLoad(s).Requests == 0 }, 3*unlistedGrace, 10*time.Millisecond)
 }
 
-// TestOnlySchedulersPlace covers a caller that takes another process for one.
+// TestOnlySchedulersPlace covers a process that sends placement calls to one that is not a scheduler.
 func TestOnlySchedulersPlace(t *testing.T) {
 	s, a := newNode(t, "a-sched"), newNode(t, "a-1")
-	see([]*node{a}, []*node{s}, "ap1", "ad1")
-	see([]*node{s}, nil, "ap1", "ad1")
-	plan, ticket := a.Place(context.Background(), jobOf(a, "x"))
+	setView([]*node{a}, []*node{s}, "ap1", "ad1")
+	setView([]*node{s}, nil, "ap1", "ad1")
+	plan, ticket := a.Place(context.Background(), jobFor(a, "x"))
 	require.NotNil(t, ticket)
 	require.Equal(t, "a-1", plan.By)
 }
 
-// TestFollowersGetChangesAtOnce checks that a copy hears of a change long before its call
-// would end by itself, and what it is told of the fleet.
+// TestFollowersGetChangesAtOnce checks that a follower receives a change long before its call would
+// time out, and which facts about the fleet the response has.
 func TestFollowersGetChangesAtOnce(t *testing.T) {
 	s, a := newNode(t, "a-sched"), newNode(t, "a-1")
-	see([]*node{s, a}, []*node{s}, "ap1")
+	setView([]*node{s, a}, []*node{s}, "ap1")
 	s.feed.Put(objstore.Object{Key: "k/1", Value: []byte("v"), Version: 4})
 	f, err := a.Follow(context.Background(), feed.Position{})
 	require.NoError(t, err)
@@ -296,26 +297,26 @@
 	require.Equal(t, []members.Member{s.self}, f.Schedulers)
 	require.Equal(t, f.Schedulers, f.Watchers)
 
-	time.AfterFunc(a.Client.o.followWait()/5, func() { s.feed.Remove("k/1") })
+	time.AfterFunc(a.Client.o.longPollWait()/5, func() { s.feed.Remove("k/1") })
 	begun := time.Now()
 	f, err = a.Follow(context.Background(), f.Position)
 	require.NoError(t, err)
-	require.Less(t, time.Since(begun), a.Client.o.followWait())
+	require.Less(t, time.Since(begun), a.Client.o.longPollWait())
 	require.True(t, f.Events[0].Deleted)
 }
 
-// TestAStaleCopyIsLeftForAFresherOne covers schedulers that are cut off from the store and
-// answer their followers all the same, all but one: that one is found in a single round.
+// TestAStaleCopyIsLeftForAFresherOne covers schedulers that are partitioned from the store and still
+// respond to their followers. The only one that is not must be found in a single round.
 func TestAStaleCopyIsLeftForAFresherOne(t *testing.T) {
 	near, near2, far, a := newNode(t, "a-near"), newNode(t, "a-near2"), newNode(t, "b-far"), newNode(t, "a-1")
-	see([]*node{near, near2, far, a}, []*node{near, near2, far}, "ap1")
+	setView([]*node{near, near2, far, a}, []*node{near, near2, far}, "ap1")
 	for _, n := range []*node{near, near2} {
 		stale := *n.view.Load()
-		stale.ConfigAt = bootclock.Now().Add(-testWithin)
+		stale.ConfigAt = bootclock.Now().Add(-testPropagationLimit)
 		n.view.Store(&stale)
 	}
 	var wg sync.WaitGroup
-	for range 4 { // a process that stops to follow and begins again may call twice at a time
+	for range 4 { // a process that stops following and starts again may have two calls at a time
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -331,14 +332,14 @@
 	}
 }
 
-// TestASchedulerLeavesAStaleCopyFirst has one process follow a copy of an age that another follows too, which is
-// a scheduler: that one goes on with a fresher copy before those that follow it leave it, since all of
-// them would copy the whole deployment from another scheduler at once.
+// TestASchedulerLeavesAStaleCopyFirst has a scheduler and another process follow a snapshot of the same age. The
+// scheduler must switch to a fresher snapshot while the other process does not switch yet: otherwise all followers
+// of the scheduler would download the whole deployment from another scheduler at once.
 func TestASchedulerLeavesAStaleCopyFirst(t *testing.T) {
 	old, fresh, other, scheduler := newNode(t, "a-old"), newNode(t, "b-fresh"), newNode(t, "a-1"), newNode(t, "a-2")
-	see([]*node{old, fresh, other, scheduler}, []*node{old, fresh}, "ap1")
+	setView([]*node{old, fresh, other, scheduler}, []*node{old, fresh}, "ap1")
 	stale := *old.view.Load()
-	stale.ConfigAt = bootclock.Now().Add(-testWithin * 11 / 20)
+	stale.ConfigAt = bootclock.Now().Add(-testPropagationLimit * 11 / 20)
 	old.view.Store(&stale)
 	v := *scheduler.view.Load()
 	v.Scheduling, v.Watchers = true, v.Schedulers
@@ -351,44 +352,44 @@
 	require.Equal(t, "b-fresh", f.Position.Run)
 }
 
-// TestASchedulerFindsTheOneFreshCopy has a scheduler, with the store's answer to none but one of
-// five others, ask for a copy that is fresher than its own. With three drawn at random it got
-// none in four of ten times, and asked again only seconds later. Copies that are not fresher
-// come without what they hold.
+// TestASchedulerFindsTheOneFreshCopy covers a scheduler that looks for a fresher snapshot when the
+// store responds to only one of five other schedulers. Asking three at random missed that one in
+// four of ten cases, and the next try was seconds later. Snapshots that are not fresher must be sent
+// without objects.
 func TestASchedulerFindsTheOneFreshCopy(t *testing.T) {
 	var all []*node
 	for n := range 6 {
 		all = append(all, newNode(t, fmt.Sprint("s-", n)))
 	}
-	see(all, all, "ap1")
+	setView(all, all, "ap1")
 	a, fresh := all[0], all[5]
 	for _, n := range all {
 		n.feed.Put(objstore.Object{Key: "k/1", Value: []byte("v"), Version: 4})
 	}
 	for _, n := range all[:5] {
 		stale := *n.view.Load()
-		stale.ConfigAt, stale.Scheduling = bootclock.Now().Add(-testWithin), true
+		stale.ConfigAt, stale.Scheduling = bootclock.Now().Add(-testPropagationLimit), true
 		n.view.Store(&stale)
 	}
 	for range 20 {
-		f, err := a.Newer(context.Background(), testWithin)
+		f, err := a.Newer(context.Background(), testPropagationLimit)
 		require.NoError(t, err)
 		require.Equal(t, fresh.self.Name, f.Position.Run)
 		require.Len(t, f.Events, 1)
 	}
-	f, err := a.followOne(context.Background(), all[1].self, feed.Position{}, 0, testWithin/2)
+	f, err := a.followScheduler(context.Background(), all[1].self, feed.Position{}, 0, testPropagationLimit/2)
 	require.NoError(t, err)
 	require.Empty(t, f.Events)
 	_, err = fresh.Newer(context.Background(), time.Millisecond)
 	require.True(t, fault.Is(err, fault.NotFound))
 }
 
-// TestProofIsAsOldAsTheQuestion checks what a follower may take for proven: not more than
-// was proven when it asked, however long its question was held or the answer was on its way,
-// and never for a configuration that it was not given.
+// TestProofIsAsOldAsTheQuestion checks up to when a follower may consider its configuration the
+// newest: not later than was confirmed at the time of its call, however long the call was held or
+// the response took, and never for a configuration that it has not received.
 func TestProofIsAsOldAsTheQuestion(t *testing.T) {
 	s, a := newNode(t, "a-sched"), newNode(t, "a-1")
-	see([]*node{s, a}, []*node{s}, "ap1")
+	setView([]*node{s, a}, []*node{s}, "ap1")
 	const age = 700 * time.Millisecond
 	v := *s.view.Load()
 	v.ProvenAt = bootclock.Now().Add(-age)
@@ -397,8 +398,8 @@
 	require.NoError(t, err)
 	require.LessOrEqual(t, f.ProvenAt, v.ProvenAt)
 
-	// While the question is held, the scheduler learns of another configuration.
-	time.AfterFunc(a.Client.o.followWait()/5, func() {
+	// While the call is held, the scheduler receives another configuration.
+	time.AfterFunc(a.Client.o.longPollWait()/5, func() {
 		s.feed.Put(objstore.Object{Key: "config/main", Version: 5})
 		next := v
 		next.ProvenAt = bootclock.Now()
@@ -408,11 +409,11 @@
 	f, err = a.Follow(context.Background(), f.Position)
 	require.NoError(t, err)
 	require.Len(t, f.Events, 1)
-	require.Less(t, f.ProvenAt, asked.Add(a.Client.o.followWait()))
+	require.Less(t, f.ProvenAt, asked.Add(a.Client.o.longPollWait()))
 
-	// A scheduler whose newer view was not in its feed yet when it answered proves nothing new.
+	// A scheduler whose newer view was not in its feed when it responded confirms nothing new.
 	for range 50 {
-		u, view := s.await(context.Background(), f.Position, 0)
+		u, view := s.awaitUpdate(context.Background(), f.Position, 0)
 		require.False(t, view.ProvenAt > v.ProvenAt && u.Position.At < f.Position.At)
 	}
 }
--- a/internal/scheduler/server.go
+++ b/internal/scheduler/server.go
@@ -17,79 +17,79 @@
 )
 
 const (
-	// clientSilence is after which time without a word of a client its tickets are given
-	// up: clients follow their scheduler at least twice a second.
-	clientSilence = 2 * time.Second
-	// ticketLife bounds the life of a ticket whose end is never told.
-	ticketLife = time.Minute
-	// openGrace is how old a ticket must be to be given up because a client does not list
-	// it: the answer with the ticket and the list may have crossed.
-	openGrace = time.Second
-	// sweepEvery is how often all this is looked after.
-	sweepEvery = 500 * time.Millisecond
+	// clientTimeout is the time without a call after which the tickets of a client are cancelled.
+	// Clients call their scheduler at least twice a second.
+	clientTimeout = 2 * time.Second
+	// maxTicketAge limits the life of a ticket whose end is never reported.
+	maxTicketAge = time.Minute
+	// unlistedGrace is the age from which a ticket is cancelled if its client does not list it
+	// as open. A younger ticket may be missing because the list was sent before it arrived.
+	unlistedGrace = time.Second
+	// sweepInterval is how often expired clients and tickets are looked for.
+	sweepInterval = 500 * time.Millisecond
 )
 
 // Server places requests for other processes. It is safe for concurrent use.
 type Server struct {
-	o      Options
-	logger log.Logger
-	feed   *feed.Feed
-	packs  packs
-	heads  heads
+	o                Options
+	logger           log.Logger
+	feed             *feed.Feed
+	packs            packCache
+	partialSnapshots partialSnapshotCache
 
-	mu       sync.Mutex
-	last     uint64
-	clients  map[string]*client
-	progress progress
+	mu           sync.Mutex
+	lastTicketID uint64
+	clients      map[string]*client
+	positions    positionHistory
 }
 
 // client is a process whose requests are placed here.
 type client struct {
-	run     string
-	heard   time.Time
-	tickets map[uint64]given
-	// follows is true if it copies the feed, position is up to where it had it when it asked last.
-	follows  bool
+	incarnation string
+	lastContact time.Time
+	tickets     map[uint64]issuedTicket
+	// follower is true if the client follows the feed; position is what it had at its last call.
+	follower bool
 	position uint64
 }
 
-// given is a ticket and when it was given.
-type given struct {
+// issuedTicket is a ticket and the time when it was issued.
+type issuedTicket struct {
 	*placement.Ticket
-	at time.Time
+	issuedAt time.Time
 }
 
-// NewServer returns a server that has others follow f. It has to be run.
+// NewServer returns a server that lets other processes follow f. The caller must call Run.
 func NewServer(o Options, f *feed.Feed) *Server {
-	o.complete()
+	o.setDefaults()
 	return &Server{
 		o: o, logger: log.With(o.Logger, "component", "scheduler"), feed: f,
-		// Numbers of an earlier run of this process must not be taken for those of this one.
-		last: rand.Uint64() >> 1, clients: map[string]*client{},
+		// A random start keeps tickets of an earlier run of this process from matching those of this run.
+		lastTicketID: rand.Uint64() >> 1, clients: map[string]*client{},
 	}
 }
 
-// Run gives up what is not heard of any more, until ctx ends.
+// Run discards expired clients and tickets until ctx ends.
 func (s *Server) Run(ctx context.Context) error {
-	periodic.Run(ctx, sweepEvery, func(context.Context) { s.sweep(time.Now()) })
+	periodic.Run(ctx, sweepInterval, func(context.Context) { s.sweep(time.Now()) })
 	return nil
 }
 
 func (s *Server) sweep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	defer s.showFollowers(now)
+	defer s.updateFollowerMetrics(now)
 	for name, c := range s.clients {
-		if now.Sub(c.heard) > clientSilence {
+		if now.Sub(c.lastContact) > clientTimeout {
 			if len(c.tickets) > 0 {
-				level.Info(s.logger).Log("msg", "client silent", "client", name, "tickets", len(c.tickets))
+				level.Info(s.logger).Log("msg", "client timed out, its tickets are cancelled", "client", name, "tickets", len(c.tickets))
 			}
-			c.giveUp()
+			c.cancelTickets()
 			delete(s.clients, name)
 			continue
 		}
 		for id, t := range c.tickets {
-			if now.Sub(t.at) > ticketLife {
+			if now.Sub(t.issuedAt) > maxTicketAge {
 				t.Cancel()
 				delete(c.tickets, id)
 			}
@@ -97,7 +97,7 @@
 	}
 }
 
-func (c *client) giveUp() {
+func (c *client) cancelTickets() {
 	for id, t := range c.tickets {
 		t.Cancel()
 		delete(c.tickets, id)
@@ -110,46 +110,46 @@
 		return &peerpb.Response{Error: "this process is no scheduler"}
 	}
 	from := req.GetFrom()
-	s.hear(from)
+	s.recordContact(from)
 	switch {
 	case req.GetHeartbeat() != nil:
-		return s.unheard(req.GetHeartbeat())
+		return s.confirmNoContact(req.GetHeartbeat())
 	case req.GetFollow() != nil:
-		s.followed(from, req.GetFollow())
+		s.recordFollower(from, req.GetFollow())
 		return s.follow(ctx, req.GetFollow())
 	case req.GetPlace() != nil:
 		return s.place(ctx, from, req.GetPlace())
 	case req.GetPlaceRead() != nil:
-		return s.placeRead(ctx, from, req.GetPlaceRead())
+		return s.placeDecode(ctx, from, req.GetPlaceRead())
 	case req.GetReports() != nil:
-		s.take(from, req.GetReports().GetReports())
+		s.applyReports(from, req.GetReports().GetReports())
 		if req.GetReports().GetAllOpen() {
-			s.keepOpen(from, req.GetReports().GetOpen(), time.Now())
+			s.cancelUnlisted(from, req.GetReports().GetOpen(), time.Now())
 		}
 		return &peerpb.Response{Body: &peerpb.Response_Reports{Reports: &peerpb.TicketReportsTaken{}}}
 	}
 	return &peerpb.Response{Error: "call is not known"}
 }
 
-// hear notes that a client lives. The tickets of its earlier run are given up.
-func (s *Server) hear(from *peerpb.Identity) {
+// recordContact records a call of a client. If the client has restarted, its earlier tickets are cancelled.
+func (s *Server) recordContact(from *peerpb.Identity) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.clients[from.GetName()]
 	if c == nil {
-		c = &client{run: from.GetIncarnation(), tickets: map[uint64]given{}}
+		c = &client{incarnation: from.GetIncarnation(), tickets: map[uint64]issuedTicket{}}
 		s.clients[from.GetName()] = c
 	}
-	if c.run != from.GetIncarnation() {
-		c.giveUp()
-		c.run = from.GetIncarnation()
+	if c.incarnation != from.GetIncarnation() {
+		c.cancelTickets()
+		c.incarnation = from.GetIncarnation()
 	}
-	c.heard = time.Now()
+	c.lastContact = time.Now()
 }
 
-// followed notes up to where a client has the feed. One that looks for a fresher copy, or that asks for the
-// head alone, does not follow.
-func (s *Server) followed(from *peerpb.Identity, m *peerpb.Follow) {
+// recordFollower records the feed position of a client. A client that looks for a fresher snapshot or
+// requests a partial one does not count as a follower.
+func (s *Server) recordFollower(from *peerpb.Identity, m *peerpb.Follow) {
 	if m.GetMaxAgeMs() > 0 || m.GetHead() {
 		return
 	}
@@ -159,7 +159,7 @@
 	if c == nil {
 		return
 	}
-	c.follows, c.position = true, m.GetPosition()
+	c.follower, c.position = true, m.GetPosition()
 	if m.GetRun() != s.feed.Run() {
 		c.position = 0
 	}
@@ -175,27 +175,27 @@
 		plan := placement.Plan{Reason: placement.ReasonQuarantined, RetryAfter: v.RetryAfter}
 		return &peerpb.Response{Body: &peerpb.Response_Placed{Placed: encodePlan(&plan, 0, false)}}
 	}
-	plan, t := place(ctx, s.o.Placer, job)
+	plan, t := placeWithWait(ctx, s.o.Placer, job)
 	number := uint64(0)
 	if t != nil {
-		number = s.keep(from, t)
+		number = s.addTicket(from, t)
 	}
 	metrics.GetOrRegisterTimer("scheduler.place", s.o.Metrics).Update(time.Since(begun))
 	return &peerpb.Response{Body: &peerpb.Response_Placed{Placed: encodePlan(&plan, number, m.GetLacksInstances())}}
 }
 
-// keep returns the number under which a ticket is kept.
-func (s *Server) keep(from *peerpb.Identity, t *placement.Ticket) uint64 {
+// addTicket stores a ticket and returns its number.
+func (s *Server) addTicket(from *peerpb.Identity, t *placement.Ticket) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last++
+	s.lastTicketID++
 	if c := s.clients[from.GetName()]; c != nil {
-		c.tickets[s.last] = given{t, time.Now()}
+		c.tickets[s.lastTicketID] = issuedTicket{t, time.Now()}
 	}
-	return s.last
+	return s.lastTicketID
 }
 
-// ticket returns a ticket that is kept, nil if it is not.
+// ticket returns a stored ticket, or nil if there is none of that number.
 func (s *Server) ticket(from *peerpb.Identity, number uint64) *placement.Ticket {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -205,7 +205,7 @@
 	return nil
 }
 
-func (s *Server) drop(from *peerpb.Identity, number uint64) {
+func (s *Server) removeTicket(from *peerpb.Identity, number uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c := s.clients[from.GetName()]; c != nil {
@@ -213,7 +213,7 @@
 	}
 }
 
-func (s *Server) placeRead(ctx context.Context, from *peerpb.Identity, m *peerpb.PlaceRead) *peerpb.Response {
+func (s *Server) placeDecode(ctx context.Context, from *peerpb.Identity, m *peerpb.PlaceRead) *peerpb.Response {
 	job, err := decodeJob(m.GetJob(), s.o.View())
 	if err != nil {
 		return &peerpb.Response{Error: err.Error()}
@@ -224,14 +224,15 @@
 	}
 	t.Read(true, placement.Sound)
 	var plan placement.Plan
-	placeRead(ctx, s.o.Placer, job, &plan, t)
+	placeDecodeWithWait(ctx, s.o.Placer, job, &plan, t)
 	return &peerpb.Response{Body: &peerpb.Response_Placed{Placed: encodePlan(&plan, m.GetTicket(), m.GetJob().GetLacksInstances())}}
 }
 
-// keepOpen gives up the tickets of a client that it does not list. Their ends, or the answers
-// with which they were given, were lost: a scheduler that was stopped for a while would
-// count them at its instances for the next minute, and refuse all that come.
-func (s *Server) keepOpen(from *peerpb.Identity, open []uint64, now time.Time) {
+// cancelUnlisted cancels the tickets of a client that are not in its list of open tickets. The
+// reports of their ends, or the responses that issued them, were lost. Without this, a scheduler
+// that was suspended for a while would count them as load of its instances for another minute
+// and reject all new requests.
+func (s *Server) cancelUnlisted(from *peerpb.Identity, open []uint64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.clients[from.GetName()]
@@ -242,21 +243,21 @@
 	for _, id := range open {
 		listed[id] = true
 	}
-	given := 0
+	cancelled := 0
 	for id, t := range c.tickets {
-		if !listed[id] && now.Sub(t.at) > openGrace {
+		if !listed[id] && now.Sub(t.issuedAt) > unlistedGrace {
 			t.Cancel()
 			delete(c.tickets, id)
-			given++
+			cancelled++
 		}
 	}
-	if given > 0 {
-		level.Info(s.logger).Log("msg", "tickets given up", "client", from.GetName(), "tickets", given)
+	if cancelled > 0 {
+		level.Info(s.logger).Log("msg", "tickets cancelled that the client does not list as open", "client", from.GetName(), "tickets", cancelled)
 	}
 }
 
-// take takes reports in. Those of tickets that were given up are left out.
-func (s *Server) take(from *peerpb.Identity, reports []*peerpb.TicketReport) {
+// applyReports applies reports of a client. Reports for cancelled tickets are ignored.
+func (s *Server) applyReports(from *peerpb.Identity, reports []*peerpb.TicketReport) {
 	for _, r := range reports {
 		t := s.ticket(from, r.GetTicket())
 		if t == nil {
@@ -271,10 +272,10 @@
 		case peerpb.TicketEvent_TICKET_EVENT_ENDED:
 			t.Gaps(micros(int64(r.GetGapUs())), int(r.GetGaps()))
 			t.Run(outcome)
-			s.drop(from, r.GetTicket())
+			s.removeTicket(from, r.GetTicket())
 		case peerpb.TicketEvent_TICKET_EVENT_CANCELLED:
 			t.Cancel()
-			s.drop(from, r.GetTicket())
+			s.removeTicket(from, r.GetTicket())
 		}
 	}
 }
--- a/internal/scheduler/start_test.go
+++ b/internal/scheduler/start_test.go
@@ -24,14 +24,14 @@
 )
 
 const (
-	// linkBytes is what the host of the scheduler sends in a second: a third of 200 Mbit for a
-	// third of the processes that follow one in a fleet of 300.
-	linkBytes = 8 << 20
-	// linkPiece is how much is sent at a time.
-	linkPiece = 16 << 10
+	// linkBytesPerSecond is the bandwidth of the scheduler's host: a third of 200 Mbit/s, for a
+	// third of the processes that follow one scheduler in a fleet of 300.
+	linkBytesPerSecond = 8 << 20
+	// linkChunkBytes is the size of one write to the link.
+	linkChunkBytes = 16 << 10
 )
 
-// sharedLink is a listener whose connections send through one link.
+// sharedLink is a listener whose connections share the bandwidth of one link.
 type sharedLink struct {
 	net.Listener
 	link *rate.Limiter
@@ -53,7 +53,7 @@
 func (c *sharedConn) Write(b []byte) (int, error) {
 	sent := 0
 	for len(b) > 0 {
-		piece := b[:min(len(b), linkPiece)]
+		piece := b[:min(len(b), linkChunkBytes)]
 		if err := c.link.WaitN(context.Background(), len(piece)); err != nil {
 			return sent, err
 		}
@@ -67,7 +67,7 @@
 	return sent, nil
 }
 
-// registration is one of a large deployment, as the store has it.
+// registration returns an instance registration of a large deployment as it is stored.
 func registration(n int) objstore.Object {
 	h := uint64(n+1) * 0x9E3779B97F4A7C15
 	id := fmt.Sprintf("i-%010x", h>>24)
@@ -76,12 +76,12 @@
 		n%5+1, 64+n/250, n%250, 'a'+n%5, h>>50)}
 }
 
-// TestAllCopyADeploymentAtOnce has many processes copy 3,000 registrations from their scheduler
-// at once, over one link.
+// TestAllCopyADeploymentAtOnce has many processes download 3,000 registrations from their
+// scheduler at the same time over one link.
 func TestAllCopyADeploymentAtOnce(t *testing.T) {
 	const followers, instances = 20, 3000
 	s := newNodeOn(t, "a-sched", func(l net.Listener) net.Listener {
-		return &sharedLink{l, rate.NewLimiter(linkBytes, linkPiece)}
+		return &sharedLink{l, rate.NewLimiter(linkBytesPerSecond, linkChunkBytes)}
 	})
 	for n := range instances {
 		s.feed.Put(registration(n))
@@ -90,7 +90,7 @@
 	for n := range followers {
 		nodes = append(nodes, newNode(t, fmt.Sprint("a-", n)))
 	}
-	see(nodes, nodes[:1])
+	setView(nodes, nodes[:1])
 	begun := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -111,7 +111,7 @@
 	}
 	wg.Wait()
 	close(copied)
-	t.Logf("%d of %d have a copy after %s", len(copied), followers, time.Since(begun).Round(time.Millisecond))
+	t.Logf("%d of %d have a snapshot after %s", len(copied), followers, time.Since(begun).Round(time.Millisecond))
 	require.Len(t, copied, followers)
 	for f := range copied {
 		require.True(t, f.Full)
@@ -120,20 +120,20 @@
 	}
 }
 
-// TestPackedCopies checks that a copy is packed once for all, that a caller of an earlier
-// version gets the objects as they are, and that a damaged pack is refused.
+// TestPackedCopies checks that a snapshot is compressed once for all followers, that a follower of
+// an older version receives uncompressed objects, and that damaged data is rejected.
 func TestPackedCopies(t *testing.T) {
 	s := newNode(t, "a-sched")
 	for n := range 100 {
 		s.feed.Put(registration(n))
 	}
-	see([]*node{s}, []*node{s})
+	setView([]*node{s}, []*node{s})
 	whole := func(unpacks bool) *peerpb.FollowUpdate {
 		return s.follow(context.Background(), &peerpb.Follow{Unpacks: unpacks}).GetUpdate()
 	}
 	packed := whole(true)
 	require.Empty(t, packed.GetObjects())
-	require.Same(t, &packed.GetPacked()[0], &whole(true).GetPacked()[0], "packed once")
+	require.Same(t, &packed.GetPacked()[0], &whole(true).GetPacked()[0], "compressed once")
 	f, err := decodeUpdate(packed)
 	require.NoError(t, err)
 	old, err := decodeUpdate(whole(false))
@@ -144,9 +144,9 @@
 	s.feed.Remove(registration(3).Key)
 	f, err = decodeUpdate(whole(true))
 	require.NoError(t, err)
-	require.Len(t, f.Events, 99, "a later copy is another one")
+	require.Len(t, f.Events, 99, "a later snapshot is compressed anew")
 	one := s.follow(context.Background(), &peerpb.Follow{Run: f.Position.Run, Position: f.Position.At - 1, Unpacks: true}).GetUpdate()
-	require.Empty(t, one.GetPacked(), "a single change is sent as it is")
+	require.Empty(t, one.GetPacked(), "a single change is sent uncompressed")
 	require.True(t, one.GetObjects()[0].GetDeleted())
 
 	for _, damage := range [][]byte{{1}, packed.GetPacked()[:len(packed.GetPacked())/2], []byte("not packed")} {
@@ -155,11 +155,11 @@
 	}
 }
 
-// TestASchedulerThatIsNotReadyHoldsTheCall checks that one that follows is answered as soon as
-// there is something, and refused at the end of its wait.
+// TestASchedulerThatIsNotReadyHoldsTheCall checks that a follow call is answered as soon as the
+// scheduler is ready, and rejected if it is not ready at the end of the wait.
 func TestASchedulerThatIsNotReadyHoldsTheCall(t *testing.T) {
 	s, a := newNode(t, "a-sched"), newNode(t, "a-1")
-	see([]*node{s, a}, []*node{s})
+	setView([]*node{s, a}, []*node{s})
 	ready := s.view.Load()
 	starting := *ready
 	starting.Listed = false
@@ -167,19 +167,19 @@
 	begun := time.Now()
 	_, err := a.Follow(context.Background(), feed.Position{})
 	require.True(t, fault.Is(err, fault.Denied), "%v", err)
-	require.GreaterOrEqual(t, time.Since(begun), a.Client.o.followWait())
-	time.AfterFunc(a.Client.o.followWait()/4, func() { s.view.Store(ready) })
+	require.GreaterOrEqual(t, time.Since(begun), a.Client.o.longPollWait())
+	time.AfterFunc(a.Client.o.longPollWait()/4, func() { s.view.Store(ready) })
 	s.feed.Put(registration(1))
 	f, err := a.Follow(context.Background(), feed.Position{})
 	require.NoError(t, err)
 	require.Len(t, f.Events, 1)
 }
 
-// TestSchedulersSayWhomTheyDoNotHear checks that a process that follows a scheduler is heard
-// there, and no other.
+// TestSchedulersSayWhomTheyDoNotHear checks that a scheduler has contact with the processes that
+// follow it and with no others.
 func TestSchedulersSayWhomTheyDoNotHear(t *testing.T) {
 	s, holder, a := newNode(t, "a-sched"), newNode(t, "b-holder"), newNode(t, "a-1")
-	see([]*node{s, holder, a}, []*node{s, holder})
+	setView([]*node{s, holder, a}, []*node{s, holder})
 	_, err := a.Follow(context.Background(), feed.Position{})
 	require.NoError(t, err)
 	names := []string{"a-1", "gone", "b-holder"}
@@ -187,14 +187,14 @@
 	require.NoError(t, err)
 	require.Equal(t, []string{"gone"}, left)
 	require.True(t, s.Hears("a-1"))
-	s.sweep(time.Now().Add(2 * clientSilence))
+	s.sweep(time.Now().Add(2 * clientTimeout))
 	left, err = holder.Unheard(context.Background(), s.self, names)
 	require.NoError(t, err)
 	require.Equal(t, []string{"a-1", "gone"}, left)
 }
 
-// TestAConfigurationOfManyWorkspaces has a process follow one whose configuration holds the
-// digests of two keys for each of 38,000 workspaces, which is more than a message may have.
+// TestAConfigurationOfManyWorkspaces follows a scheduler whose configuration has two key digests for
+// each of 38,000 workspaces, which uncompressed exceeds the limit of a message.
 func TestAConfigurationOfManyWorkspaces(t *testing.T) {
 	const workspaces = 38_000
 	var config bytes.Buffer
@@ -205,7 +205,7 @@
 	require.Greater(t, config.Len(), peer.MaxMessageBytes-(1<<20))
 	padding := bytes.Repeat([]byte(`{"route":"r"},`), 1<<17)
 	s, a := newNode(t, "a-sched"), newNode(t, "a-1")
-	see([]*node{s, a}, []*node{s})
+	setView([]*node{s, a}, []*node{s})
 	s.feed.Put(objstore.Object{Key: "config/main", Version: 1, Value: append(config.Bytes(), padding...)})
 	var f discovery.Followed
 	require.Eventually(t, func() bool {
--- a/internal/scheduler/ticket.go
+++ b/internal/scheduler/ticket.go
@@ -11,18 +11,18 @@
 	"github.com/rockdoor/rockdoor/placement"
 )
 
-// remoteTicket is a job that a scheduler placed.
+// remoteTicket is a job that a remote scheduler placed.
 type remoteTicket struct {
-	c  *Client
-	at members.Member
-	id uint64
-	// ended is true once the scheduler need not hear of the ticket any more.
-	ended bool
-	// lastEvent is when the last event arrived, gaps how many times between events there
-	// were, which add up to gapSum.
+	client    *Client
+	scheduler members.Member
+	id        uint64
+	// closed is true once no more reports about the ticket are needed.
+	closed bool
+	// lastEvent is when the last event arrived. gaps is the number of times between two events,
+	// and gapTotal is their sum.
 	lastEvent time.Time
 	gaps      int
-	gapSum    time.Duration
+	gapTotal  time.Duration
 }
 
 // Read implements Ticket.
@@ -32,13 +32,13 @@
 	}
 }
 
-// PlaceRead implements Ticket. If the scheduler does not answer any more, another one or
-// this process decides.
+// PlaceRead implements Ticket. If the scheduler does not respond, another one or this process
+// places the job.
 func (t *remoteTicket) PlaceRead(ctx context.Context, j *placement.Job, plan *placement.Plan) Ticket {
-	resp, err := t.c.ask(ctx, t.at, &peerpb.Request{Body: &peerpb.Request_PlaceRead{PlaceRead: &peerpb.PlaceRead{Ticket: t.id, Job: encodeJob(j)}}})
+	resp, err := t.client.call(ctx, t.scheduler, &peerpb.Request{Body: &peerpb.Request_PlaceRead{PlaceRead: &peerpb.PlaceRead{Ticket: t.id, Job: encodeJob(j)}}})
 	var next placement.Plan
 	if err == nil {
-		next, err = decodePlan(resp.GetPlaced(), j, t.c.o.View())
+		next, err = decodePlan(resp.GetPlaced(), j, t.client.o.View())
 	}
 	if err == nil && next.Runner == nil {
 		plan.Reason, plan.RetryAfter, plan.Runner = next.Reason, next.RetryAfter, nil
@@ -49,15 +49,15 @@
 		return t
 	}
 	t.Cancel()
-	level.Info(t.c.logger).Log("msg", "not placed", "request", j.Call.ID, "scheduler", t.at.Name, "err", err)
-	again := *j
-	again.NoRead = true
-	next, other := t.c.Place(ctx, &again)
+	level.Info(t.client.logger).Log("msg", "scheduler did not place the prefilled request", "request", j.Call.ID, "scheduler", t.scheduler.Name, "err", err)
+	retry := *j
+	retry.NoRead = true
+	next, newTicket := t.client.Place(ctx, &retry)
 	plan.Runner, plan.By, plan.Granted = next.Runner, next.By, next.Granted
-	if other == nil {
+	if newTicket == nil {
 		plan.Reason, plan.RetryAfter = next.Reason, next.RetryAfter
 	}
-	return other
+	return newTicket
 }
 
 // FirstEvent implements Ticket.
@@ -70,7 +70,7 @@
 	now := time.Now()
 	if !t.lastEvent.IsZero() {
 		t.gaps++
-		t.gapSum += now.Sub(t.lastEvent)
+		t.gapTotal += now.Sub(t.lastEvent)
 	}
 	t.lastEvent = now
 }
@@ -79,22 +79,22 @@
 func (t *remoteTicket) Run(o placement.Outcome) {
 	r := &peerpb.TicketReport{Event: peerpb.TicketEvent_TICKET_EVENT_ENDED, Outcome: uint32(o), Gaps: uint32(t.gaps)}
 	if t.gaps > 0 {
-		r.GapUs = uint32((t.gapSum / time.Duration(t.gaps)).Microseconds())
+		r.GapUs = uint32((t.gapTotal / time.Duration(t.gaps)).Microseconds())
 	}
 	t.report(r)
-	t.ended = true
+	t.closed = true
 }
 
 // Cancel implements Ticket.
 func (t *remoteTicket) Cancel() {
 	t.report(&peerpb.TicketReport{Event: peerpb.TicketEvent_TICKET_EVENT_CANCELLED})
-	t.ended = true
+	t.closed = true
 }
 
 func (t *remoteTicket) report(r *peerpb.TicketReport) {
-	if t.ended {
+	if t.closed {
 		return
 	}
 	r.Ticket = t.id
-	t.c.reports.add(t.at, r)
+	t.client.reports.queue(t.scheduler, r)
 }
