--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -9,118 +9,118 @@
 )
 
 const (
-	// leastRate is granted of any limit, in requests a second: without a request now and then nobody
-	// hears that a limit has ended.
-	leastRate = 0.25
-	// burstTime is how long a keeper saves up what nobody has asked for, above one request.
+	// minGrantRate is the minimum rate granted under any limit, in requests per second. Without
+	// an occasional request, no process would learn that a limit has ended.
+	minGrantRate = 0.25
+	// burstTime is how long unused requests accumulate, beyond the first request.
 	burstTime = 400 * time.Millisecond
-	// startTime is for how long only startShare of a new limit is granted: what was sent just before it is
-	// still part of what an instance gets in such a time.
-	startTime  = 4 * time.Second
-	startShare = 0.7
-	// shareTime is over how long demand and grants of a process are smoothed.
-	shareTime = time.Second
-	// idleMost is how much of a time in which nobody wanted to send counts for what is due.
-	idleMost = 5 * time.Second
-	// leastDemand is what is left of the demand of a process that is forgotten.
-	leastDemand = 1e-3
+	// rampUpTime is how long only rampUpShare of a new limit is granted. Requests sent shortly
+	// before the limit was known still count towards what the instance receives in that time.
+	rampUpTime  = 4 * time.Second
+	rampUpShare = 0.7
+	// smoothingTime is the time constant over which the demand and grants of a process decay.
+	smoothingTime = time.Second
+	// maxIdleCredit limits how much idle time is credited when the bucket is refilled.
+	maxIdleCredit = 5 * time.Second
+	// minDemand is the demand below which a process is removed from the bucket.
+	minDemand = 1e-3
 )
 
-// bucket is what a keeper grants of one limit: requests at its rate, to each process in proportion to
-// its demand.
+// bucket is a token bucket from which the coordinator grants requests under one limit. Processes
+// get grants in proportion to their demand.
 type bucket struct {
-	// at is when it was filled last.
-	at    bootclock.Instant
-	level float64
-	// most is the level up to which the bucket is filled, mostBack that with what lapsed.
-	most, mostBack float64
-	askers         []*asker
+	// filledAt is when the bucket was last filled.
+	filledAt bootclock.Instant
+	level    float64
+	// capacity is the maximum level when filling, returnCapacity the maximum with returned grants.
+	capacity, returnCapacity float64
+	requesters               []*requester
 }
 
-// asker is a process that wants to send.
-type asker struct {
+// requester is a process that requests grants.
+type requester struct {
 	process string
-	// demand and granted are how many requests it wanted and got, of which older ones count less.
+	// demand and granted are decaying counts of the requests that it asked for and was granted.
 	demand, granted float64
 }
 
-// newBucket returns a bucket that grants nothing before a time.
+// newBucket returns a bucket that grants nothing before opensAt.
 func newBucket(opensAt bootclock.Instant) *bucket {
-	return &bucket{at: opensAt}
+	return &bucket{filledAt: opensAt}
 }
 
-// fill adds what has become due at a rate, and ages demand and grants. Grants live for a time.
-func (b *bucket) fill(now bootclock.Instant, rate float64, life time.Duration) {
-	passed := now.Sub(b.at).Seconds()
-	if passed <= 0 {
+// fill adds the requests that have become due at a rate, and decays demand and grants. lifetime is that of a grant.
+func (b *bucket) fill(now bootclock.Instant, rate float64, lifetime time.Duration) {
+	elapsed := now.Sub(b.filledAt).Seconds()
+	if elapsed <= 0 {
 		return
 	}
-	b.at = now
-	b.most = max(1, rate*burstTime.Seconds())
-	b.mostBack = b.most + max(1, rate*life.Seconds())
-	b.level = max(b.level, min(b.level+rate*min(passed, idleMost.Seconds()), b.most))
-	left := decay(passed)
-	for _, a := range b.askers {
-		a.demand *= left
-		a.granted *= left
+	b.filledAt = now
+	b.capacity = max(1, rate*burstTime.Seconds())
+	b.returnCapacity = b.capacity + max(1, rate*lifetime.Seconds())
+	b.level = max(b.level, min(b.level+rate*min(elapsed, maxIdleCredit.Seconds()), b.capacity))
+	factor := decay(elapsed)
+	for _, r := range b.requesters {
+		r.demand *= factor
+		r.granted *= factor
 	}
-	b.askers = slices.DeleteFunc(b.askers, func(a *asker) bool { return a.demand < leastDemand })
+	b.requesters = slices.DeleteFunc(b.requesters, func(r *requester) bool { return r.demand < minDemand })
 }
 
-// decay is what is left after some seconds of a number that ages.
-func decay(seconds float64) float64 { return math.Exp(-seconds / shareTime.Seconds()) }
+// decay returns the factor by which a smoothed count shrinks over a number of seconds.
+func decay(seconds float64) float64 { return math.Exp(-seconds / smoothingTime.Seconds()) }
 
-// asker returns what is known of a process, nil if it has wanted nothing lately.
-func (b *bucket) asker(process string) *asker {
-	for _, a := range b.askers {
-		if a.process == process {
-			return a
+// requesterOf returns the record of a process, or nil if it has no recent demand.
+func (b *bucket) requesterOf(process string) *requester {
+	for _, r := range b.requesters {
+		if r.process == process {
+			return r
 		}
 	}
 	return nil
 }
 
-// want counts requests that a process wants to send.
-func (b *bucket) want(process string, requests float64) {
-	a := b.asker(process)
-	if a == nil {
-		a = &asker{process: process}
-		b.askers = append(b.askers, a)
+// addDemand counts requests that a process has asked for.
+func (b *bucket) addDemand(process string, requests float64) {
+	r := b.requesterOf(process)
+	if r == nil {
+		r = &requester{process: process}
+		b.requesters = append(b.requesters, r)
 	}
-	a.demand += requests
+	r.demand += requests
 }
 
-// takeBack takes in requests that were granted to a process and will not be sent.
-func (b *bucket) takeBack(process string, requests int) {
-	a := b.asker(process)
-	if a == nil {
+// returnUnused takes back requests that were granted to a process and expired unsent.
+func (b *bucket) returnUnused(process string, requests int) {
+	r := b.requesterOf(process)
+	if r == nil {
 		return
 	}
-	a.granted = max(a.granted-float64(requests), 0)
-	b.level = max(b.level, min(b.level+float64(requests), b.mostBack))
+	r.granted = max(r.granted-float64(requests), 0)
+	b.level = max(b.level, min(b.level+float64(requests), b.returnCapacity))
 }
 
-// draw grants a process one request. It reports false if none is due, or if others, which want some
-// too, got less than their part.
-func (b *bucket) draw(process string) bool {
-	if !b.has(process) {
+// tryGrant grants one request to a process. It returns false if no request is due, or if the
+// process already has more than its proportional share of the grants.
+func (b *bucket) tryGrant(process string) bool {
+	if !b.canGrant(process) {
 		return false
 	}
 	b.level--
-	b.asker(process).granted++
+	b.requesterOf(process).granted++
 	return true
 }
 
-// has reports whether draw would grant a request.
-func (b *bucket) has(process string) bool {
-	a := b.asker(process)
-	if b.level < 1 || a == nil {
+// canGrant reports whether tryGrant would grant a request.
+func (b *bucket) canGrant(process string) bool {
+	r := b.requesterOf(process)
+	if b.level < 1 || r == nil {
 		return false
 	}
 	demand, granted := 0.0, 0.0
-	for _, other := range b.askers {
+	for _, other := range b.requesters {
 		demand += other.demand
 		granted += other.granted
 	}
-	return a.granted*demand <= (granted+1)*a.demand
+	return r.granted*demand <= (granted+1)*r.demand
 }
--- a/internal/ratelimit/codec.go
+++ b/internal/ratelimit/codec.go
@@ -9,8 +9,8 @@
 	"github.com/rockdoor/rockdoor/internal/peer/peerpb"
 )
 
-// maxAge bounds the ages that are told: older ones are as good as that.
-const maxAge = time.Hour
+// maxEncodedAge limits the ages that are sent; the difference does not matter above it.
+const maxEncodedAge = time.Hour
 
 func encodeAll(all map[string]Statement) []*peerpb.RateLimit {
 	var out []*peerpb.RateLimit
@@ -29,13 +29,13 @@
 }
 
 func age(at, now bootclock.Instant) uint64 {
-	return uint64(min(max(now.Sub(at), 0), maxAge).Microseconds())
+	return uint64(min(max(now.Sub(at), 0), maxEncodedAge).Microseconds())
 }
 
-// decode reads what another process says. A rate that is none counts as the least.
+// decode decodes a report of another process. An invalid rate is treated as 0, for which the minimum is granted.
 func decode(l *peerpb.RateLimit, now bootclock.Instant) Statement {
 	at := func(us uint64) bootclock.Instant {
-		return now.Add(-min(time.Duration(min(us, math.MaxInt64/1000))*time.Microsecond, maxAge))
+		return now.Add(-min(time.Duration(min(us, math.MaxInt64/1000))*time.Microsecond, maxEncodedAge))
 	}
 	s := Statement{RateLimit: engine.RateLimit{Limited: l.GetLimited()}, Sent: at(l.GetSentAgeUs()), Heard: at(l.GetHeardAgeUs()), Began: at(l.GetBeganAgeUs())}
 	if rate := l.GetPerSecond(); s.Limited && rate > 0 && !math.IsInf(rate, 0) {
--- a/internal/ratelimit/grants.go
+++ b/internal/ratelimit/grants.go
@@ -6,33 +6,33 @@
 	"github.com/rockdoor/rockdoor/bootclock"
 )
 
-// Demand is what a process asks the keeper for.
+// Demand is what a process requests from the coordinator for one run of an instance.
 type Demand struct {
 	Run string
-	// Known is what the process knows of the run.
+	// Known is what the process knows about the limit.
 	Known Statement
-	// Wanted requests want to be sent there, Lapsed ones were granted and will not be sent.
-	Wanted, Lapsed int
+	// Requested is the number of requests it asks for, Expired the number granted earlier that expired unsent.
+	Requested, Expired int
 }
 
-// grant is a number of requests that may be sent until a time.
+// grant is a number of requests that may be sent until it expires.
 type grant struct {
-	requests int
-	until    bootclock.Instant
+	requests  int
+	expiresAt bootclock.Instant
 }
 
 // Any reports whether any run of an instance limits its rate.
-func (t *Table) Any() bool { return t.limits.Load() > 0 }
+func (t *Table) Any() bool { return t.activeLimits.Load() > 0 }
 
-// Allows reports whether a request may be sent to a run of an instance. It counts as demand, unless it
-// has been counted before.
+// Allows reports whether a request may be sent to a run of an instance. The request counts as demand
+// unless counted says that it has been counted before.
 func (t *Table) Allows(run string, counted bool) bool {
-	if t.limits.Load() == 0 {
+	if t.activeLimits.Load() == 0 {
 		return true
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.limited(run)
+	e := t.limitedEntry(run)
 	if e == nil {
 		return true
 	}
@@ -43,12 +43,12 @@
 		e.demandAt = now
 	}
 	if b != nil && !counted {
-		b.want(t.self, 1)
+		b.addDemand(t.self, 1)
 	}
-	allowed := b != nil && b.has(t.self)
+	allowed := b != nil && b.canGrant(t.self)
 	if b == nil {
-		t.ask(e, counted)
-		allowed = e.hold(now) > 0
+		t.requestGrant(e, counted)
+		allowed = e.usableGrants(now) > 0
 	}
 	if !allowed && !counted {
 		t.denied.Inc(1)
@@ -56,49 +56,50 @@
 	return allowed
 }
 
-// ask has the keeper asked for one more request, or again for one that has been counted.
-func (t *Table) ask(e *entry, counted bool) {
-	if !counted || e.wanted == 0 {
-		e.wanted++
+// requestGrant asks the coordinator for one more request, or again for one counted before. The caller
+// holds the lock.
+func (t *Table) requestGrant(e *entry, counted bool) {
+	if !counted || e.requested == 0 {
+		e.requested++
 	}
-	if e.wanted == 1 {
+	if e.requested == 1 {
 		t.signal()
 	}
 }
 
-// Take counts a request that is about to be sent to a run of an instance. Granted is true if the run
-// limits its rate, ok is false if the request may not be sent.
+// Take consumes a grant for a request that is about to be sent to a run of an instance. Granted is true
+// if the run limits its rate; ok is false if the request may not be sent.
 func (t *Table) Take(run string) (granted, ok bool) {
-	if t.limits.Load() == 0 {
+	if t.activeLimits.Load() == 0 {
 		return false, true
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.limited(run)
+	e := t.limitedEntry(run)
 	if e == nil {
 		return false, true
 	}
-	if ok = t.spend(e); ok {
+	if ok = t.consume(e); ok {
 		t.taken.Inc(1)
 	}
 	return ok, ok
 }
 
-// spend counts a request to a limited run, and reports false if it may not be sent. The caller holds the
-// lock.
-func (t *Table) spend(e *entry) bool {
+// consume consumes a grant for a request to a limited run. It returns false if there is none. The
+// caller holds the lock.
+func (t *Table) consume(e *entry) bool {
 	now := t.now()
 	if b := t.bucketOf(e, now); b != nil {
-		return b.draw(t.self)
+		return b.tryGrant(t.self)
 	}
-	if e.hold(now) == 0 {
+	if e.usableGrants(now) == 0 {
 		return false
 	}
 	e.grants[0].requests--
 	return true
 }
 
-// Request counts a request that no placement has considered before it is sent, as Allows and Take do.
+// Request counts a request as demand and consumes a grant for it. It is for requests that are sent without placement.
 func (t *Table) Request(run string) (ok bool) {
 	if !t.Allows(run, false) {
 		return false
@@ -107,51 +108,52 @@
 	return ok
 }
 
-// Withholds reports whether a request must not be sent that was placed without a grant, since its instance
-// limits its rate. The process that placed it does not know of the limit, as one that has just started,
-// or knows that it has ended: it is told what is known here, and answers with what it knows.
+// Withholds reports whether a request that was placed without a grant must not be sent, because its
+// instance limits its rate. The process that placed it does not know the limit, for example because it
+// has just started, or knows that the limit has ended. It is sent the limit known here and responds with
+// what it knows.
 func (t *Table) Withholds(run string) bool {
-	if t.limits.Load() == 0 {
+	if t.activeLimits.Load() == 0 {
 		return false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.limited(run) == nil {
+	if t.limitedEntry(run) == nil {
 		return false
 	}
-	t.news[run] = true
+	t.updated[run] = true
 	t.signal()
 	return true
 }
 
-// RetryAfter returns when a caller that is refused since a run of an instance takes no more may come
-// back: once those that want to be sent there too are through.
+// RetryAfter returns when a client may retry after a rejection due to the rate limit of a run: the time
+// until the requests that are already waiting for the run have been sent.
 func (t *Table) RetryAfter(run string) time.Duration {
-	if t.limits.Load() == 0 {
+	if t.activeLimits.Load() == 0 {
 		return 0
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.limited(run)
+	e := t.limitedEntry(run)
 	if e == nil {
 		return 0
 	}
-	seconds := (1 + e.demand) / (max(e.PerSecond, leastRate) * t.fleet.Part())
+	seconds := (1 + e.demand) / (max(e.PerSecond, minGrantRate) * t.fleet.Part())
 	return time.Duration(min(max(seconds, minRetry.Seconds()), maxRetry.Seconds()) * float64(time.Second))
 }
 
-// Wanted returns how many requests a second this process wants to send to a run.
+// Wanted returns the demand of this process for a run, in requests per second.
 func (t *Table) Wanted(run string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.limited(run)
+	e := t.limitedEntry(run)
 	if e == nil {
 		return 0
 	}
-	return e.demand * decay(t.now().Sub(e.demandAt).Seconds()) / shareTime.Seconds()
+	return e.demand * decay(t.now().Sub(e.demandAt).Seconds()) / smoothingTime.Seconds()
 }
 
-// bucketOf returns what this process grants of a limit, filled, nil if another one is the keeper. The
+// bucketOf returns the refilled bucket of a limit, or nil if another process is the coordinator. The
 // caller holds the lock.
 func (t *Table) bucketOf(e *entry, now bootclock.Instant) *bucket {
 	if t.fleet.Keeper() != t.self {
@@ -160,25 +162,25 @@
 	}
 	if e.bucket == nil {
 		opensAt := now
-		if now.Sub(e.Began) > grantLife { // an earlier keeper's grants are still sent
-			opensAt = now.Add(e.life())
+		if now.Sub(e.Began) > minGrantLifetime { // requests granted by an earlier coordinator may still be sent
+			opensAt = now.Add(e.grantLifetime())
 		}
 		e.bucket = newBucket(opensAt)
-		e.grants, e.lapsed = nil, 0
+		e.grants, e.expired = nil, 0
 	}
-	rate := max(e.PerSecond, leastRate) * t.fleet.Part()
-	if now.Sub(e.Began) < startTime {
-		rate *= startShare
+	rate := max(e.PerSecond, minGrantRate) * t.fleet.Part()
+	if now.Sub(e.Began) < rampUpTime {
+		rate *= rampUpShare
 	}
-	e.bucket.fill(now, rate, e.life())
+	e.bucket.fill(now, rate, e.grantLifetime())
 	return e.bucket
 }
 
-// hold returns how many requests of grants may still be sent.
-func (e *entry) hold(now bootclock.Instant) (requests int) {
-	for len(e.grants) > 0 && (e.grants[0].until <= now || e.grants[0].requests == 0) {
-		if now.Sub(e.grants[0].until) < backWithin {
-			e.lapsed += e.grants[0].requests
+// usableGrants discards expired grants and returns how many requests may still be sent.
+func (e *entry) usableGrants(now bootclock.Instant) (requests int) {
+	for len(e.grants) > 0 && (e.grants[0].expiresAt <= now || e.grants[0].requests == 0) {
+		if now.Sub(e.grants[0].expiresAt) < returnWindow {
+			e.expired += e.grants[0].requests
 		}
 		e.grants = e.grants[1:]
 	}
@@ -188,27 +190,27 @@
 	return requests
 }
 
-// Demand returns what is to be asked of the keeper, and counts anew.
-func (t *Table) Demand() []Demand {
+// TakeDemand returns the requests for the coordinator and resets their counts.
+func (t *Table) TakeDemand() []Demand {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Demand
 	for run, e := range t.all {
-		if e.hold(t.now()); e.wanted == 0 && e.lapsed == 0 {
+		if e.usableGrants(t.now()); e.requested == 0 && e.expired == 0 {
 			continue
 		}
-		out = append(out, Demand{run, e.Statement, e.wanted, e.lapsed})
-		e.wanted, e.lapsed = 0, 0
+		out = append(out, Demand{run, e.Statement, e.requested, e.expired})
+		e.requested, e.expired = 0, 0
 	}
 	return out
 }
 
-// Grant returns how many of the requests to a run that a process wants to send it may, 0 if this
-// process is not the keeper.
-func (t *Table) Grant(run, process string, wanted, lapsed int) (granted int) {
+// Grant returns how many requests to a run it grants to a process, at most as many as requested. It
+// returns 0 if this process is not the coordinator.
+func (t *Table) Grant(run, process string, requested, expired int) (granted int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.limited(run)
+	e := t.limitedEntry(run)
 	if e == nil {
 		return 0
 	}
@@ -216,20 +218,21 @@
 	if b == nil {
 		return 0
 	}
-	b.want(process, float64(wanted))
-	b.takeBack(process, lapsed)
-	for granted < wanted && b.draw(process) {
+	b.addDemand(process, float64(requested))
+	b.returnUnused(process, expired)
+	for granted < requested && b.tryGrant(process) {
 		granted++
 	}
 	return granted
 }
 
-// Granted takes in a grant of the keeper, which was asked at a time.
-func (t *Table) Granted(run string, requests int, asked bootclock.Instant) {
+// AddGrants adds requests granted by the coordinator. The grants were requested at asked and expire
+// counting from then.
+func (t *Table) AddGrants(run string, requests int, asked bootclock.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if e := t.limited(run); e != nil && requests > 0 {
-		e.grants = append(e.grants, grant{requests, asked.Add(e.life())})
-		t.after(e.life(), t.signal) // what has lapsed then is given back
+	if e := t.limitedEntry(run); e != nil && requests > 0 {
+		e.grants = append(e.grants, grant{requests, asked.Add(e.grantLifetime())})
+		t.after(e.grantLifetime(), t.signal) // to return what has expired by then
 	}
 }
--- a/internal/ratelimit/history_test.go
+++ b/internal/ratelimit/history_test.go
@@ -17,93 +17,93 @@
 )
 
 const (
-	// window is the time in which an instance may get useMost times its rate.
+	// window is the period in which an instance may receive at most maxUse times its rate.
 	window = 4 * time.Second
-	// useMost is the most that an instance may get in a window, as a multiple of its rate, useLeast
-	// what is used of it while all want to send more.
-	useMost  = 1.2
-	useLeast = 0.9
-	// wayMost is how long a message is on its way at most, silentAfter when a process is taken for gone.
-	wayMost     = 5 * time.Millisecond
-	silentAfter = 500 * time.Millisecond
-	// hearEvery is how often processes hear each other.
-	hearEvery = 80 * time.Millisecond
-	step      = time.Millisecond
+	// maxUse is the maximum that an instance may receive in a window, minUse the minimum of the rate that
+	// must be used while demand exceeds it, both as multiples of the rate.
+	maxUse = 1.2
+	minUse = 0.9
+	// maxMessageDelay is the maximum delay of a message, peerTimeout when a process counts as unreachable.
+	maxMessageDelay = 5 * time.Millisecond
+	peerTimeout     = 500 * time.Millisecond
+	// contactInterval is the interval at which processes update which others they are in contact with.
+	contactInterval = 80 * time.Millisecond
+	step            = time.Millisecond
 )
 
-// history is a fleet in virtual time before one instance that limits its rate. All processes decide.
-type history struct {
+// simulation runs a fleet in virtual time with one instance that limits its rate. All processes place requests.
+type simulation struct {
 	clock   *testClock
 	random  *rand.Rand
 	nodes   []*node
 	waiting deliveries
-	// sent are the times at which requests were sent, sentBy how many each process sent.
+	// sent has the times at which requests were sent, sentBy the number of requests by process.
 	sent   []bootclock.Instant
 	sentBy map[string]int
-	// rate is what the instance names, demand how many requests a second the fleet wants to send there.
+	// rate is what the instance reports, demand the number of requests per second that the fleet has for it.
 	rate, demand float64
 }
 
-// delivery is a message that arrives at a process.
+// delivery is a message to be delivered to a process.
 type delivery struct {
 	at bootclock.Instant
 	to *node
 	do func(to *node)
 }
 
-// node is a process. It implements Fleet.
+// node is a simulated process. It implements Fleet.
 type node struct {
-	h     *history
+	sim   *simulation
 	name  string
 	table *Table
-	// side numbers the part of a split fleet that it is in.
-	side  int
-	until bootclock.Instant // frozen until then
-	// heardAt is when each other process was heard last.
-	heardAt []bootclock.Instant
-	// asked is when it asked its keeper last, heard when it heard the others.
-	asked, heard bootclock.Instant
-	share        float64 // of the demand
+	// side is the number of the partition that the process is in.
+	side        int
+	frozenUntil bootclock.Instant
+	// lastContact is when this process last received a message from each process.
+	lastContact []bootclock.Instant
+	// askedAt is when it last called its coordinator, contactsUpdatedAt when it last updated lastContact.
+	askedAt, contactsUpdatedAt bootclock.Instant
+	demandShare                float64 // of the demand
 }
 
-func newHistory(seed uint64, processes int, rate, demand float64) *history {
-	h := &history{
+func newSimulation(seed uint64, processes int, rate, demand float64) *simulation {
+	h := &simulation{
 		clock: &testClock{at: bootclock.Instant(time.Hour)}, random: rand.New(rand.NewPCG(seed, 1)), sentBy: map[string]int{}, rate: rate, demand: demand,
 	}
 	for n := range processes {
-		h.nodes = append(h.nodes, &node{h: h, name: fmt.Sprintf("p-%03d", n), share: 1 / float64(processes), heardAt: make([]bootclock.Instant, processes)})
+		h.nodes = append(h.nodes, &node{sim: h, name: fmt.Sprintf("p-%03d", n), demandShare: 1 / float64(processes), lastContact: make([]bootclock.Instant, processes)})
 		h.nodes[n].start()
 	}
 	return h
 }
 
-// start begins a new run of a process, which knows nothing.
+// start begins a new run of a process without any state.
 func (n *node) start() {
 	n.table = NewTable(n.name, metrics.NewRegistry(), log.NewNopLogger())
-	n.table.now = n.h.clock.now
-	n.table.after = func(d time.Duration, f func()) { n.h.later(n, d, func(*node) { f() }) }
+	n.table.now = n.sim.clock.now
+	n.table.after = func(d time.Duration, f func()) { n.sim.schedule(n, d, func(*node) { f() }) }
 	n.table.Join(n)
 }
 
-func (n *node) frozen() bool { return n.h.clock.at < n.until }
+func (n *node) frozen() bool { return n.sim.clock.at < n.frozenUntil }
 
-// hear takes in which of the others are heard now.
-func (n *node) hear() {
-	n.heard = n.h.clock.at
-	for k, other := range n.h.nodes {
+// updateContacts records which processes are reachable now.
+func (n *node) updateContacts() {
+	n.contactsUpdatedAt = n.sim.clock.at
+	for k, other := range n.sim.nodes {
 		if other.side == n.side && !other.frozen() {
-			n.heardAt[k] = n.h.clock.at
+			n.lastContact[k] = n.sim.clock.at
 		}
 	}
 }
 
-// hears reports whether another process has been heard lately.
-func (n *node) hears(k int) bool { return n.h.clock.at.Sub(n.heardAt[k]) < silentAfter }
+// inContact reports whether a process was reachable recently.
+func (n *node) inContact(k int) bool { return n.sim.clock.at.Sub(n.lastContact[k]) < peerTimeout }
 
 // Keeper implements Fleet.
 func (n *node) Keeper() string {
-	for k, other := range n.h.nodes {
-		if other == n || n.hears(k) {
+	for k, other := range n.sim.nodes {
+		if other == n || n.inContact(k) {
 			return other.name
 		}
 	}
@@ -112,25 +112,25 @@
 
 // Part implements Fleet.
 func (n *node) Part() float64 {
-	heard := 0
-	for k, other := range n.h.nodes {
-		if other == n || n.hears(k) {
-			heard++
+	inContact := 0
+	for k, other := range n.sim.nodes {
+		if other == n || n.inContact(k) {
+			inContact++
 		}
 	}
-	return float64(heard) / float64(len(n.h.nodes))
+	return float64(inContact) / float64(len(n.sim.nodes))
 }
 
-// send delivers a message after its way, later to one that is frozen, and never over a cut.
-func (h *history) send(from, to *node, do func(to *node)) {
+// send delivers a message after a random delay. A frozen process receives it later, one in another partition never.
+func (h *simulation) send(from, to *node, do func(to *node)) {
 	if from.side != to.side {
 		return
 	}
-	h.later(to, time.Duration(h.random.Int64N(int64(wayMost))), do)
+	h.schedule(to, time.Duration(h.random.Int64N(int64(maxMessageDelay))), do)
 }
 
-// later has a run of a process do something after a time.
-func (h *history) later(to *node, after time.Duration, do func(to *node)) {
+// schedule calls do for a process after a delay, unless the process has restarted by then.
+func (h *simulation) schedule(to *node, after time.Duration, do func(to *node)) {
 	table := to.table
 	heap.Push(&h.waiting, delivery{h.clock.at.Add(after), to, func(to *node) {
 		if to.table == table { // connections end with the process
@@ -139,11 +139,11 @@
 	}})
 }
 
-func (h *history) deliver() {
+func (h *simulation) deliver() {
 	for len(h.waiting) > 0 && h.waiting[0].at <= h.clock.at {
 		d := heap.Pop(&h.waiting).(delivery)
 		if d.to.frozen() {
-			d.at = d.to.until
+			d.at = d.to.frozenUntil
 			heap.Push(&h.waiting, d)
 			continue
 		}
@@ -151,7 +151,7 @@
 	}
 }
 
-// deliveries are a heap by their times.
+// deliveries is a heap ordered by delivery time.
 type deliveries []delivery
 
 func (d deliveries) Len() int           { return len(d) }
@@ -164,11 +164,11 @@
 	return last
 }
 
-// request has a process try to send one request, for as long as requests wait; the answer names the limit.
-func (h *history) request(n *node, waited time.Duration) {
+// request tries to send one request, and retries for as long as requests wait. The response reports the limit.
+func (h *simulation) request(n *node, waited time.Duration) {
 	if !n.table.Allows("i", waited > 0) {
 		if waited += GrantPoll; waited < GrantWait {
-			h.later(n, GrantPoll, func(n *node) { h.request(n, waited) })
+			h.schedule(n, GrantPoll, func(n *node) { h.request(n, waited) })
 		}
 		return
 	}
@@ -182,17 +182,17 @@
 	h.send(n, n, func(to *node) { to.table.Heard("i", "r", limit, sent) })
 }
 
-// exchange has a process tell its news and ask its keeper.
+// exchange sends updates to all processes and requests grants from the coordinator.
 func (n *node) exchange() {
-	h := n.h
-	for run, s := range n.table.News() {
+	h := n.sim
+	for run, s := range n.table.TakeUpdates() {
 		for _, other := range h.nodes {
 			if other != n {
 				h.send(n, other, func(to *node) { to.table.Learn(run, n.name, s) })
 			}
 		}
 	}
-	demand := n.table.Demand()
+	demand := n.table.TakeDemand()
 	keeper := n.Keeper()
 	if len(demand) == 0 || keeper == n.name {
 		return
@@ -202,38 +202,38 @@
 	begun := h.clock.at
 	h.send(n, h.nodes[at], func(to *node) {
 		to.table.Learn("i", n.name, d.Known)
-		granted := to.table.Grant("i", n.name, d.Wanted, d.Lapsed)
-		h.send(to, n, func(n *node) { n.table.Granted("i", granted, begun) })
+		granted := to.table.Grant("i", n.name, d.Requested, d.Expired)
+		h.send(to, n, func(n *node) { n.table.AddGrants("i", granted, begun) })
 	})
 }
 
-// run passes a time.
-func (h *history) run(d time.Duration) {
-	every := min(max(minAsk, time.Duration(len(h.nodes))*perAsker), maxAsk)
-	for end := h.clock.at.Add(d); h.clock.at < end; h.clock.pass(step) {
+// run advances virtual time.
+func (h *simulation) run(d time.Duration) {
+	every := min(max(minRequestInterval, time.Duration(len(h.nodes))*intervalPerDecider), maxRequestInterval)
+	for end := h.clock.at.Add(d); h.clock.at < end; h.clock.advance(step) {
 		h.deliver()
 		for _, n := range h.nodes {
 			if n.frozen() {
 				continue
 			}
-			if h.random.Float64() < h.demand*n.share*step.Seconds() {
+			if h.random.Float64() < h.demand*n.demandShare*step.Seconds() {
 				h.request(n, 0)
 			}
-			if len(n.table.wake) > 0 && h.clock.at.Sub(n.asked) >= every {
+			if len(n.table.wake) > 0 && h.clock.at.Sub(n.askedAt) >= every {
 				<-n.table.wake
-				n.asked = h.clock.at
-				h.later(n, gather, (*node).exchange)
+				n.askedAt = h.clock.at
+				h.schedule(n, batchDelay, (*node).exchange)
 			}
-			if h.clock.at.Sub(n.heard) >= hearEvery {
-				n.hear()
+			if h.clock.at.Sub(n.contactsUpdatedAt) >= contactInterval {
+				n.updateContacts()
 			}
 		}
 	}
 }
 
-// most returns the most requests in any window from a time on, as a multiple of what the rate allows.
-func (h *history) most(from bootclock.Instant) float64 {
-	most, first := 0, 0
+// peakUse returns the maximum number of requests in any window from a time on, as a multiple of the rate.
+func (h *simulation) peakUse(from bootclock.Instant) float64 {
+	peak, first := 0, 0
 	for n, at := range h.sent {
 		for h.sent[first] < from || at.Sub(h.sent[first]) >= window {
 			if first == n {
@@ -242,14 +242,14 @@
 			first++
 		}
 		if h.sent[first] >= from {
-			most = max(most, n-first+1)
+			peak = max(peak, n-first+1)
 		}
 	}
-	return float64(most) / (h.rate * window.Seconds())
+	return float64(peak) / (h.rate * window.Seconds())
 }
 
-// used returns what part of the rate was sent since a time.
-func (h *history) used(since bootclock.Instant) float64 {
+// usedShare returns the share of the rate that was used since a time.
+func (h *simulation) usedShare(since bootclock.Instant) float64 {
 	n := 0
 	for _, at := range h.sent {
 		if at >= since {
@@ -259,77 +259,77 @@
 	return float64(n) / (h.rate * h.clock.at.Sub(since).Seconds())
 }
 
-// allowed is the most that may be sent in a window, as a multiple of what the rate allows: whole requests
-// can't be divided.
-func (h *history) allowed() float64 { return useMost + 1/(h.rate*window.Seconds()) }
+// maxPeakUse is the maximum that may be sent in a window, as a multiple of the rate. It allows for one more
+// request, since requests cannot be divided.
+func (h *simulation) maxPeakUse() float64 { return maxUse + 1/(h.rate*window.Seconds()) }
 
-// TestSumOfAllProcessesStaysWithinTheRate has fleets that decide and rates: in no window do all together
-// send more than 1.2 times the rate, and at least 0.9 of it while they want to send more.
+// TestSumOfAllProcessesStaysWithinTheRate covers several fleet sizes and rates. All processes together must
+// send at most 1.2 times the rate in any window, and use at least 0.9 of it while demand exceeds it.
 func TestSumOfAllProcessesStaysWithinTheRate(t *testing.T) {
 	for _, processes := range []int{1, 7, 16, 295} {
 		for _, rate := range []float64{0.5, 2, 6.4, 25, 100} {
-			h := newHistory(uint64(processes), processes, rate, 4*rate+20)
+			h := newSimulation(uint64(processes), processes, rate, 4*rate+20)
 			begun := h.clock.at
 			h.run(5 * time.Second)
 			steady := h.clock.at
 			h.run(15 * time.Second)
-			most, used := h.most(begun.Add(500*time.Millisecond)), h.used(steady)
-			t.Logf("%3d processes, %5.1f a second: at most %.2f in %s, %.2f used", processes, rate, most, window, used)
-			require.LessOrEqual(t, most, h.allowed(), "%d processes, %v a second", processes, rate)
-			require.GreaterOrEqual(t, used, useLeast-1/(15*rate), "%d processes, %v a second", processes, rate)
+			peak, usedShare := h.peakUse(begun.Add(500*time.Millisecond)), h.usedShare(steady)
+			t.Logf("%3d processes, %5.1f a second: at most %.2f in %s, %.2f used", processes, rate, peak, window, usedShare)
+			require.LessOrEqual(t, peak, h.maxPeakUse(), "%d processes, %v a second", processes, rate)
+			require.GreaterOrEqual(t, usedShare, minUse-1/(15*rate), "%d processes, %v a second", processes, rate)
 		}
 	}
 }
 
-// TestRateIsSharedByDemand has half of the processes want three times as much as the others.
+// TestRateIsSharedByDemand has half of the processes demand three times as much as the others.
 func TestRateIsSharedByDemand(t *testing.T) {
-	h := newHistory(1, 8, 40, 160)
+	h := newSimulation(1, 8, 40, 160)
 	for n, node := range h.nodes {
-		node.share = float64(1+2*(n%2)) / 16
+		node.demandShare = float64(1+2*(n%2)) / 16
 	}
 	h.run(20 * time.Second)
-	little, much := 0, 0
+	low, high := 0, 0
 	for n, node := range h.nodes {
 		if n%2 == 0 {
-			little += h.sentBy[node.name]
+			low += h.sentBy[node.name]
 		} else {
-			much += h.sentBy[node.name]
+			high += h.sentBy[node.name]
 		}
 	}
-	require.InDelta(t, 3, float64(much)/float64(little), 0.6)
+	require.InDelta(t, 3, float64(high)/float64(low), 0.6)
 }
 
-// TestSumHoldsUnderFaults draws freezes, restarts and splits of the fleet, of the keeper above all.
+// TestSumHoldsUnderFaults injects random freezes, restarts and partitions, half of the time at the coordinator.
 func TestSumHoldsUnderFaults(t *testing.T) {
 	for seed := range uint64(60) {
-		h := newHistory(seed, 2+int(seed%15), []float64{3, 6.4, 30}[seed%3], 100)
+		h := newSimulation(seed, 2+int(seed%15), []float64{3, 6.4, 30}[seed%3], 100)
 		begun := h.clock.at
 		h.run(2 * time.Second)
 		for range 8 {
-			h.fault()
+			h.injectFault()
 			h.run(time.Duration(h.random.Int64N(int64(3 * time.Second))))
 		}
 		for _, n := range h.nodes {
-			n.side, n.until = 0, 0
+			n.side, n.frozenUntil = 0, 0
 		}
 		h.run(6 * time.Second)
 		steady := h.clock.at
 		h.run(6 * time.Second)
-		require.LessOrEqual(t, h.most(begun.Add(500*time.Millisecond)), h.allowed(), "seed %d, %d processes, %v a second", seed, len(h.nodes), h.rate)
-		require.GreaterOrEqual(t, h.used(steady), useLeast-1/(6*h.rate), "seed %d, %d processes, %v a second", seed, len(h.nodes), h.rate)
+		require.LessOrEqual(t, h.peakUse(begun.Add(500*time.Millisecond)), h.maxPeakUse(), "seed %d, %d processes, %v a second", seed, len(h.nodes), h.rate)
+		require.GreaterOrEqual(t, h.usedShare(steady), minUse-1/(6*h.rate), "seed %d, %d processes, %v a second", seed, len(h.nodes), h.rate)
 	}
 }
 
-// fault freezes a process, begins a new run of one, which learns what another one knows, or splits or
-// joins the fleet.
-func (h *history) fault() {
-	n := h.nodes[0] // the keeper, if it is heard
+// injectFault freezes a process, restarts one, which learns the limits from another process, or changes the
+// partitions of the fleet.
+func (h *simulation) injectFault() {
+	n := h.nodes[0] // the coordinator, if it is reachable
 	if h.random.IntN(2) == 0 {
 		n = h.nodes[h.random.IntN(len(h.nodes))]
 	}
 	switch h.random.IntN(3) {
 	case 0:
-		n.until = h.clock.at.Add(time.Duration(h.random.Int64N(int64(3 * time.Second))))
+		n.frozenUntil = h.clock.at.Add(time.Duration(h.random.Int64N(int64(3 * time.Second))))
 	case 1:
 		n.start()
 		other := h.nodes[h.random.IntN(len(h.nodes))]
--- a/internal/ratelimit/sharer.go
+++ b/internal/ratelimit/sharer.go
@@ -18,37 +18,38 @@
 )
 
 const (
-	// gather is how long what is new is collected before it is told.
-	gather = 5 * time.Millisecond
-	// minAsk and maxAsk bound how often the keeper is asked, perAsker stretches that with the number of
-	// those that ask. Grants must not have ended before the next ones arrive.
-	minAsk   = 10 * time.Millisecond
-	maxAsk   = grantLife / 2
-	perAsker = time.Millisecond
-	// repeatEvery is how often one other process is told all limits, which may have missed some.
-	repeatEvery = time.Second
-	// askFirst is how often a process that has just started asks for all limits, until one has
-	// answered, or for firstTime.
-	askFirst  = 20 * time.Millisecond
-	firstTime = 2 * time.Second
-	// callTimeout bounds one call.
+	// batchDelay is how long updates are collected before they are sent.
+	batchDelay = 5 * time.Millisecond
+	// minRequestInterval and maxRequestInterval bound the interval between requests to the coordinator.
+	// It grows by intervalPerDecider with the number of processes that request grants. It must be shorter
+	// than the lifetime of a grant, so that new grants arrive in time.
+	minRequestInterval = 10 * time.Millisecond
+	maxRequestInterval = minGrantLifetime / 2
+	intervalPerDecider = time.Millisecond
+	// resendInterval is how often all limits are sent to one random process, which may have missed some.
+	resendInterval = time.Second
+	// startupPollInterval is how often a process that has just started requests all limits, until another
+	// process has responded or startupPeriod is over.
+	startupPollInterval = 20 * time.Millisecond
+	startupPeriod       = 2 * time.Second
+	// callTimeout limits one call.
 	callTimeout = 500 * time.Millisecond
-	// keeperAge is for how long it is kept who the keeper is.
-	keeperAge = 20 * time.Millisecond
-	// answerAge is for how long a process counts as heard that has answered a call here.
-	answerAge = 3 * time.Second
-	// lonePart is what the processes that decide alone may send of a limit, all together, beside what the
-	// keeper grants.
-	lonePart = 0.15
+	// coordinatorCacheTime is how long the choice of the coordinator is cached.
+	coordinatorCacheTime = 20 * time.Millisecond
+	// contactTimeout is how long a process counts as reachable after it has responded to a call.
+	contactTimeout = 3 * time.Second
+	// isolatedShare is the part of a limit that all processes which place requests on their own may send
+	// together, on top of what the coordinator grants.
+	isolatedShare = 0.15
 )
 
-// Deciders are the processes that decide where requests run, and so send to limited instances.
+// Deciders are the processes that place requests, and so send them to limited instances.
 type Deciders struct {
-	// All of the fleet, with this process if it is one of them.
+	// All has all deciders of the fleet, including this process if it is one.
 	All []members.Member
-	// Heard are the names of those of the others that this process hears.
+	// Heard has the names of the other deciders that this process receives messages from.
 	Heard []string
-	// Processes is how many processes there are, those that have others decide among them.
+	// Processes is the number of all processes, including those that do not place requests.
 	Processes int
 }
 
@@ -58,153 +59,154 @@
 	Table     *Table
 	Transport *peer.Transport
 	Deciders  func() Deciders
-	// Tell returns whom this process tells what it hears of instances, without itself.
+	// Tell returns the processes to send rate reports to, without this process.
 	Tell   func() []members.Member
 	Logger log.Logger
 }
 
-// Sharer tells other processes what instances say of their rates, and asks the keeper for grants. It
+// Sharer exchanges rate reports with other processes and requests grants from the coordinator. It
 // implements Fleet.
 type Sharer struct {
 	o      Options
 	logger log.Logger
-	// heard is true once another process has answered.
-	heard atomic.Bool
+	// synced is true once another process has responded.
+	synced atomic.Bool
 
 	mu sync.Mutex
-	// keeper and part hold as of keeperAt.
-	keeper   members.Member
-	part     float64
-	deciders int
-	keeperAt bootclock.Instant
-	// answered is when other processes answered a call last.
-	answered map[string]bootclock.Instant
+	// coordinator, share and deciders are cached; they were determined at coordinatorAt.
+	coordinator   members.Member
+	share         float64
+	deciders      int
+	coordinatorAt bootclock.Instant
+	// lastResponse is when each other process last responded to a call.
+	lastResponse map[string]bootclock.Instant
 }
 
-// NewSharer returns a sharer that has to be run.
+// NewSharer returns a sharer. The caller must call Run.
 func NewSharer(o Options) *Sharer {
-	s := &Sharer{o: o, logger: log.With(o.Logger, "component", "ratelimit"), answered: map[string]bootclock.Instant{}}
+	s := &Sharer{o: o, logger: log.With(o.Logger, "component", "ratelimit"), lastResponse: map[string]bootclock.Instant{}}
 	o.Table.Join(s)
 	return s
 }
 
-// Keeper implements Fleet: of the deciders that are heard, the one with the least name.
+// Keeper implements Fleet. The coordinator is the reachable decider with the lowest name.
 func (s *Sharer) Keeper() string {
-	keeper, _, _ := s.group()
-	return keeper.Name
+	coordinator, _, _ := s.coordination()
+	return coordinator.Name
 }
 
-// Part implements Fleet. Where the deciders don't hear each other, each side grants only its part.
+// Part implements Fleet. If the deciders are partitioned, each side grants only its share.
 func (s *Sharer) Part() float64 {
-	_, part, _ := s.group()
-	return part
+	_, share, _ := s.coordination()
+	return share
 }
 
-func (s *Sharer) group() (keeper members.Member, part float64, deciders int) {
+func (s *Sharer) coordination() (coordinator members.Member, share float64, deciders int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.keeperAt == 0 || bootclock.Since(s.keeperAt) > keeperAge {
-		s.review(s.o.Deciders())
+	if s.coordinatorAt == 0 || bootclock.Since(s.coordinatorAt) > coordinatorCacheTime {
+		s.updateCoordinator(s.o.Deciders())
 	}
-	return s.keeper, s.part, s.deciders
+	return s.coordinator, s.share, s.deciders
 }
 
-// review works out the keeper. The caller holds the lock.
-func (s *Sharer) review(d Deciders) {
-	before := s.keeper.Name
-	s.keeperAt = bootclock.Now()
+// updateCoordinator determines the coordinator and the share. The caller holds the lock.
+func (s *Sharer) updateCoordinator(d Deciders) {
+	before := s.coordinator.Name
+	s.coordinatorAt = bootclock.Now()
 	s.deciders = len(d.All)
-	s.keeper = members.Member{Name: s.o.Self}
+	s.coordinator = members.Member{Name: s.o.Self}
 	if !members.Contain(d.All, s.o.Self) {
-		s.part = lonePart / float64(max(d.Processes, 1))
+		s.share = isolatedShare / float64(max(d.Processes, 1))
 		return
 	}
-	present := 0
+	reachable := 0
 	for _, m := range d.All {
-		if m.Name != s.o.Self && !slices.Contains(d.Heard, m.Name) && !s.hasAnswered(m.Name) {
+		if m.Name != s.o.Self && !slices.Contains(d.Heard, m.Name) && !s.respondedRecently(m.Name) {
 			continue
 		}
-		present++
-		if m.Name < s.keeper.Name {
-			s.keeper = m
+		reachable++
+		if m.Name < s.coordinator.Name {
+			s.coordinator = m
 		}
 	}
-	s.part = float64(present) / float64(len(d.All))
-	if s.keeper.Name != before && s.o.Table.limits.Load() > 0 {
-		level.Info(s.logger).Log("msg", "keeper of rate limits", "keeper", s.keeper.Name, "before", before, "part", s.part)
+	s.share = float64(reachable) / float64(len(d.All))
+	if s.coordinator.Name != before && s.o.Table.activeLimits.Load() > 0 {
+		level.Info(s.logger).Log("msg", "coordinator of rate limits", "keeper", s.coordinator.Name, "before", before, "part", s.share)
 	}
 }
 
-// hasAnswered reports whether a process has answered a call lately. The caller holds the lock.
-func (s *Sharer) hasAnswered(name string) bool {
-	at, ok := s.answered[name]
-	return ok && bootclock.Since(at) < answerAge
+// respondedRecently reports whether a process has responded to a call recently. The caller holds the lock.
+func (s *Sharer) respondedRecently(name string) bool {
+	at, ok := s.lastResponse[name]
+	return ok && bootclock.Since(at) < contactTimeout
 }
 
-// note records whether a process has answered a call.
-func (s *Sharer) note(name string, answered bool) {
+// recordResponse records whether a process has responded to a call.
+func (s *Sharer) recordResponse(name string, responded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.keeperAt = 0; !answered {
-		delete(s.answered, name)
+	if s.coordinatorAt = 0; !responded {
+		delete(s.lastResponse, name)
 		return
 	}
-	s.answered[name] = bootclock.Now()
+	s.lastResponse[name] = bootclock.Now()
 }
 
-// Run tells others what is new at once, and asks the keeper while requests want to be sent, until ctx
-// ends.
+// Run sends updates to other processes immediately and requests grants from the coordinator while there
+// is demand, until ctx ends.
 func (s *Sharer) Run(ctx context.Context) error {
-	go s.askAll(ctx)
-	repeat := time.NewTicker(repeatEvery)
-	defer repeat.Stop()
-	var asked bootclock.Instant
+	go s.fetchAll(ctx)
+	resend := time.NewTicker(resendInterval)
+	defer resend.Stop()
+	var requestedAt bootclock.Instant
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-repeat.C:
-			if s.o.Table.limits.Load() > 0 {
-				s.repeat(ctx)
-				s.seek(ctx)
+		case <-resend.C:
+			if s.o.Table.activeLimits.Load() > 0 {
+				s.resend(ctx)
+				s.contactEarlierDeciders(ctx)
 			}
 			continue
 		case <-s.o.Table.wake:
 		}
-		time.Sleep(max(gather, s.askEvery()-bootclock.Since(asked)))
-		asked = bootclock.Now()
-		s.tell(ctx, s.o.Table.News(), s.o.Tell())
-		s.ask(ctx)
+		time.Sleep(max(batchDelay, s.requestInterval()-bootclock.Since(requestedAt)))
+		requestedAt = bootclock.Now()
+		s.send(ctx, s.o.Table.TakeUpdates(), s.o.Tell())
+		s.requestGrants(ctx)
 	}
 }
 
-// askEvery returns how often the keeper is asked at most.
-func (s *Sharer) askEvery() time.Duration {
-	_, _, deciders := s.group()
-	return min(max(minAsk, time.Duration(deciders)*perAsker), maxAsk)
+// requestInterval returns the minimum interval between requests to the coordinator.
+func (s *Sharer) requestInterval() time.Duration {
+	_, _, deciders := s.coordination()
+	return min(max(minRequestInterval, time.Duration(deciders)*intervalPerDecider), maxRequestInterval)
 }
 
-// askAll has a process that starts learn what the others know.
-func (s *Sharer) askAll(ctx context.Context) {
-	for begun := bootclock.Now(); ctx.Err() == nil && !s.heard.Load() && bootclock.Since(begun) < firstTime; time.Sleep(askFirst) {
-		if m, ok := oneOf(s.o.Tell()); ok {
+// fetchAll requests all limits from other processes after a start.
+func (s *Sharer) fetchAll(ctx context.Context) {
+	for begun := bootclock.Now(); ctx.Err() == nil && !s.synced.Load() && bootclock.Since(begun) < startupPeriod; time.Sleep(startupPollInterval) {
+		if m, ok := pickRandom(s.o.Tell()); ok {
 			s.call(ctx, m, &peerpb.RateLimits{All: true})
 		}
 	}
 }
 
-// repeat tells one other process all limits.
-func (s *Sharer) repeat(ctx context.Context) {
-	if m, ok := oneOf(s.o.Tell()); ok {
-		s.tell(ctx, s.o.Table.Limits(), []members.Member{m})
+// resend sends all limits to one random process.
+func (s *Sharer) resend(ctx context.Context) {
+	if m, ok := pickRandom(s.o.Tell()); ok {
+		s.send(ctx, s.o.Table.Limits(), []members.Member{m})
 	}
 }
 
-// seek calls the deciders that go before the keeper and are not heard. One that takes the place of another
-// may not be known to those that do hear each other, and would grant beside them.
-func (s *Sharer) seek(ctx context.Context) {
-	keeper, _, _ := s.group()
-	if keeper.Name != s.o.Self {
+// contactEarlierDeciders calls the deciders with a lower name while this process is the coordinator. A process that
+// has just become a decider may not be known to those that are in contact with each other. Without these calls it
+// would grant requests in addition to the coordinator of the others.
+func (s *Sharer) contactEarlierDeciders(ctx context.Context) {
+	coordinator, _, _ := s.coordination()
+	if coordinator.Name != s.o.Self {
 		return
 	}
 	for _, m := range s.o.Deciders().All {
@@ -214,55 +216,55 @@
 	}
 }
 
-func oneOf(all []members.Member) (members.Member, bool) {
+func pickRandom(all []members.Member) (members.Member, bool) {
 	if len(all) == 0 {
 		return members.Member{}, false
 	}
 	return all[rand.IntN(len(all))], true
 }
 
-// tell tells some processes statements. It does not wait for them.
-func (s *Sharer) tell(ctx context.Context, news map[string]Statement, to []members.Member) {
-	if len(news) == 0 {
+// send sends reports to some processes. It does not wait for them.
+func (s *Sharer) send(ctx context.Context, reports map[string]Statement, to []members.Member) {
+	if len(reports) == 0 {
 		return
 	}
-	message := &peerpb.RateLimits{Limits: encodeAll(news)}
+	message := &peerpb.RateLimits{Limits: encodeAll(reports)}
 	for _, m := range to {
 		go s.call(ctx, m, message)
 	}
 }
 
-// ask asks the keeper for what wants to be sent.
-func (s *Sharer) ask(ctx context.Context) {
-	keeper, _, _ := s.group()
-	demand := s.o.Table.Demand()
-	if len(demand) == 0 || keeper.Name == s.o.Self {
+// requestGrants sends the current demand to the coordinator.
+func (s *Sharer) requestGrants(ctx context.Context) {
+	coordinator, _, _ := s.coordination()
+	demand := s.o.Table.TakeDemand()
+	if len(demand) == 0 || coordinator.Name == s.o.Self {
 		return
 	}
 	message := &peerpb.RateLimits{}
 	for _, d := range demand {
 		message.Limits = append(message.Limits, encode(d.Run, d.Known))
-		message.Requests = append(message.Requests, &peerpb.RateRequests{Instance: d.Run, Requests: uint32(d.Wanted), Lapsed: uint32(d.Lapsed)})
+		message.Requests = append(message.Requests, &peerpb.RateRequests{Instance: d.Run, Requests: uint32(d.Requested), Lapsed: uint32(d.Expired)})
 	}
-	go s.call(ctx, keeper, message)
+	go s.call(ctx, coordinator, message)
 }
 
-// call makes one call, and takes in its answer.
+// call makes one call and applies the response.
 func (s *Sharer) call(ctx context.Context, to members.Member, message *peerpb.RateLimits) {
 	begun := bootclock.Now()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	resp, err := s.o.Transport.Call(ctx, to.Peer, &peerpb.Request{Body: &peerpb.Request_RateLimits{RateLimits: message}})
-	s.note(to.Name, err == nil)
+	s.recordResponse(to.Name, err == nil)
 	if err != nil {
-		level.Debug(s.logger).Log("msg", "rate limits not told", "peer", to.Name, "err", err)
+		level.Debug(s.logger).Log("msg", "rate limits not sent", "peer", to.Name, "err", err)
 		return
 	}
-	s.heard.Store(true)
+	s.synced.Store(true)
 	answer := resp.GetRateLimits()
 	s.learn(answer.GetLimits(), to.Name)
 	for _, r := range answer.GetRequests() {
-		s.o.Table.Granted(r.GetInstance(), int(r.GetRequests()), begun)
+		s.o.Table.AddGrants(r.GetInstance(), int(r.GetRequests()), begun)
 	}
 }
 
@@ -274,7 +276,7 @@
 	if message.GetAll() {
 		answer.Limits = encodeAll(s.o.Table.Limits())
 	} else {
-		answer.Limits = encodeAll(s.o.Table.statements(message.GetLimits()))
+		answer.Limits = encodeAll(s.o.Table.reportsFor(message.GetLimits()))
 	}
 	for _, r := range message.GetRequests() {
 		if granted := s.o.Table.Grant(r.GetInstance(), from, int(r.GetRequests()), int(r.GetLapsed())); granted > 0 {
--- a/internal/ratelimit/sharer_test.go
+++ b/internal/ratelimit/sharer_test.go
@@ -16,15 +16,15 @@
 	"github.com/rockdoor/rockdoor/members"
 )
 
-// tellTime is how long it takes at most until all that decide know a limit.
-const tellTime = 300 * time.Millisecond
+// maxPropagationTime is how long it may take until all processes that place requests know a limit.
+const maxPropagationTime = 300 * time.Millisecond
 
 // process is a sharer with its transport.
 type process struct {
 	*Sharer
 	member members.Member
 	table  *Table
-	// deciders are what it knows of the others.
+	// deciders is what the process knows about the other deciders.
 	deciders Deciders
 }
 
@@ -33,7 +33,7 @@
 	return p.Sharer.HandlePeer(ctx, req)
 }
 
-// startProcesses starts processes that tell each other, and hear nobody in other ways.
+// startProcesses starts processes that exchange reports and have no other contact with each other.
 func startProcesses(t *testing.T, names ...string) []*process {
 	var all []*process
 	var known []members.Member
@@ -72,9 +72,9 @@
 	return all
 }
 
-// TestProcessThatDecidesUnknownToOthersAsksTheirKeeper covers one that goes on deciding in the place of
-// another which has come back: no digests reach it, and it granted requests beside the keeper of those
-// that hear each other, which got 27 of a rate of 20 in 4 s to their instance.
+// TestProcessThatDecidesUnknownToOthersAsksTheirKeeper covers a process that still places requests in place
+// of another one that has come back. It received no digests and granted requests in addition to the
+// coordinator of the others, so their instance received 27 requests at a rate of 20 in 4 s.
 func TestProcessThatDecidesUnknownToOthersAsksTheirKeeper(t *testing.T) {
 	all := startProcesses(t, "a", "b")
 	for _, p := range all {
@@ -84,8 +84,8 @@
 	require.Equal(t, "a", all[0].Keeper())
 }
 
-// TestProcessesTellEachOtherOfLimits checks that all know a limit soon, one that starts later too, that
-// only the keeper's grants are spent, and that an end is told.
+// TestProcessesTellEachOtherOfLimits checks that all processes soon know a limit, including a process
+// that starts later, that only grants of the coordinator are used, and that the end of a limit is sent too.
 func TestProcessesTellEachOtherOfLimits(t *testing.T) {
 	all := startProcesses(t, "a", "b", "c")
 	known := func(want bool) func() bool {
@@ -99,14 +99,14 @@
 		}
 	}
 	all[2].table.Heard("i@1", "r", limited(50), bootclock.Now())
-	require.Eventually(t, known(true), tellTime, time.Millisecond)
+	require.Eventually(t, known(true), maxPropagationTime, time.Millisecond)
 	for _, p := range all {
 		require.Eventually(t, func() bool { return p.table.Request("i@1") }, 5*time.Second, time.Millisecond, p.member.Name)
 	}
-	time.Sleep(2 * toldLate)
+	time.Sleep(2 * maxTransitTime)
 	sent := bootclock.Now()
-	all[1].table.Heard("i@1", "r", limited(0), sent) // any limit, then its end
-	time.Sleep(2 * toldLate)
+	all[1].table.Heard("i@1", "r", limited(0), sent) // a limit that then ends
+	time.Sleep(2 * maxTransitTime)
 	all[1].table.Heard("i@1", "r", noLimit, bootclock.Now())
-	require.Eventually(t, known(false), tellTime, time.Millisecond)
+	require.Eventually(t, known(false), maxPropagationTime, time.Millisecond)
 }
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -1,10 +1,10 @@
-// Package ratelimit keeps the rates of requests that instances name in their answers: what an
-// instance takes from all processes together, for as long as it says so.
+// Package ratelimit enforces the request rates that instances set in their responses. Such a limit applies
+// to the requests of all processes together, for as long as the instance reports it.
 //
-// What an instance says is told to all processes that decide where requests run. One of them, the
-// keeper, grants the requests that each may send there, so that their sum stays within the limit
-// however many processes there are. A process without a grant sends nothing. Grants end after
-// grantLife by a clock that counts suspensions.
+// A process that receives a limit publishes it to all processes that place requests. One of them, the
+// coordinator, grants the requests that each process may send, so that their sum stays within the limit
+// for any number of processes. A process without a grant sends nothing. Grants expire after a short
+// lifetime, measured by a clock that includes suspensions.
 package ratelimit
 
 import (
@@ -22,130 +22,131 @@
 )
 
 const (
-	// grantLife is for how long a granted request may be sent. Where fewer than lifeRequests become due
-	// in that time, grants live longer, up to maxGrantLife: else most would lapse at processes that
-	// seldom have a request.
-	grantLife    = 300 * time.Millisecond
-	maxGrantLife = time.Second
-	lifeRequests = 0.5
-	// backWithin is how long after its end a grant can be given back: what comes back late would be
-	// sent in another time than it became due in.
-	backWithin = 500 * time.Millisecond
-	// toldLate is by how much at most what another process tells looks younger than it is, since ages
-	// are told without the way of the message.
-	toldLate = 50 * time.Millisecond
-	// overlapTime is after what time an end counts whose request was sent before the limit was last heard.
-	overlapTime = time.Second
-	// tellFactor is by how much a rate has to change for those that follow to be told: hundreds of them are, and
-	// some instances name another rate in each answer.
-	tellFactor = 2
-	// logEvery is how often at most a changed limit of one instance is logged.
-	logEvery = time.Second
-	// keptFor is for how long at the least what an instance has said is kept without its
-	// registration, which may lapse and come back.
-	keptFor = 5 * time.Minute
-	// minRetry and maxRetry bound when a caller is asked to come back.
+	// minGrantLifetime is how long a granted request may be sent. If fewer than minRequestsPerLifetime
+	// become due in that time, grants live longer, up to maxGrantLifetime: otherwise most of them would
+	// expire at processes that rarely have a request.
+	minGrantLifetime       = 300 * time.Millisecond
+	maxGrantLifetime       = time.Second
+	minRequestsPerLifetime = 0.5
+	// returnWindow is how long after its expiry a grant can be returned. Requests returned later would be
+	// sent in a different period from the one for which they were granted.
+	returnWindow = 500 * time.Millisecond
+	// maxTransitTime is by how much a report of another process may appear newer than it is, since ages
+	// are sent without the transit time of the message.
+	maxTransitTime = 50 * time.Millisecond
+	// overlapWindow is the time after which the end of a limit is accepted even though its request was sent
+	// before the limit was last reported.
+	overlapWindow = time.Second
+	// publishFactor is by which factor a rate must change for followers to be sent the new one. There are
+	// hundreds of followers, and some instances report a different rate in each response.
+	publishFactor = 2
+	// logInterval is the minimum time between two log lines about the limit of one instance.
+	logInterval = time.Second
+	// minRetention is how long the report of an instance is kept at least without its registration, which
+	// may expire and come back.
+	minRetention = 5 * time.Minute
+	// minRetry and maxRetry bound the retry delay that clients are given.
 	minRetry = 100 * time.Millisecond
 	maxRetry = 5 * time.Second
 )
 
 const (
-	// GrantWait is how long a request waits for a grant at the most: one that is asked for arrives in that
-	// time, and what takes longer is better refused at once.
+	// GrantWait is the maximum time that a request waits for a grant. A requested grant usually arrives in
+	// that time, and it is better to reject a request immediately than to wait longer.
 	GrantWait = 25 * time.Millisecond
-	// GrantPoll is how often it is looked for one meanwhile.
+	// GrantPoll is the interval at which a waiting request checks for a grant.
 	GrantPoll = 4 * time.Millisecond
 )
 
-// Fleet is what a table has to know of the other processes.
+// Fleet provides a table with information about the other processes.
 type Fleet interface {
-	// Keeper names the process that grants requests, which may be this one.
+	// Keeper returns the name of the coordinator, which may be this process.
 	Keeper() string
-	// Part is the share of each limit that this process may grant while it is the keeper.
+	// Part returns the share of each limit that this process may grant while it is the coordinator.
 	Part() float64
 }
 
-// Statement is what one run of an instance says of its rate.
+// Statement is the rate limit that one run of an instance last reported.
 type Statement struct {
 	engine.RateLimit
-	// Sent is when the request was sent whose answer said so last, Heard when that answer arrived.
+	// Sent is when the request was sent whose response had the report, Heard when the response arrived.
 	Sent, Heard bootclock.Instant
-	// Began is when a limit was heard first after there was none.
+	// Began is when a limit was first reported after there was none.
 	Began bootclock.Instant
 }
 
-// supersededBy reports whether a statement is later than this one. Answers overtake each other: an
-// end counts only if its request was sent after the limit was last heard, or if no limit has been heard
-// for some time after it. Else who is not to send would never hear of the end.
+// supersededBy reports whether another report replaces this one. Responses may arrive out of order, so
+// the end of a limit is accepted only if its request was sent after the limit was last reported, or if
+// the end was reported some time ago and the limit not again since. Without the second case, a process
+// that is not allowed to send would never learn of the end.
 func (s Statement) supersededBy(next Statement, now bootclock.Instant) bool {
-	if s.Limited && !next.Limited && now.Sub(next.Heard) < overlapTime {
+	if s.Limited && !next.Limited && now.Sub(next.Heard) < overlapWindow {
 		return next.Sent > s.Heard
 	}
 	return next.Heard > s.Heard
 }
 
-// entry is what is known of one run of an instance.
+// entry is the state of one run of an instance.
 type entry struct {
 	Statement
 	loggedAt bootclock.Instant
-	// changed is the position of the table at the last change that those that follow are told, told the rate then.
-	changed uint64
-	told    float64
-	// grants are those of another process that is the keeper, wanted how many requests wanted to be
-	// sent since it was asked last, lapsed how many of its grants have ended without being sent.
-	grants []grant
-	wanted int
-	lapsed int
-	// bucket is what this process grants, nil while it is not the keeper.
+	// changedPosition is the table's position at the last change sent to followers, publishedRate the rate then.
+	changedPosition uint64
+	publishedRate   float64
+	// grants are those received from the coordinator. requested counts the requests to ask the coordinator
+	// for since it was last asked, and expired counts granted requests that expired unsent.
+	grants    []grant
+	requested int
+	expired   int
+	// bucket is the source of grants while this process is the coordinator, nil otherwise.
 	bucket *bucket
-	// demand is how many requests of this process wanted to be sent, as of demandAt, of which older
-	// ones count less.
+	// demand is a decaying count of the requests that this process had for the run, as of demandAt.
 	demand   float64
 	demandAt bootclock.Instant
 }
 
-// Table holds the limits that are known to this process. It is safe for concurrent use.
+// Table holds the rate limits known to this process. It is safe for concurrent use.
 type Table struct {
 	self   string
 	logger log.Logger
 	now    func() bootclock.Instant
 	after  func(time.Duration, func())
 
-	// limits counts the limits in force: nothing is looked up while it is 0.
-	limits atomic.Int64
-	// taken and denied count requests to limited instances: those that were sent, and the choices in
-	// which an instance was passed over.
+	// activeLimits is the number of limits in force. While it is 0, lookups return immediately.
+	activeLimits atomic.Int64
+	// taken counts requests sent to limited instances, denied the placement decisions that skipped an
+	// instance because of its limit.
 	taken, denied metrics.Counter
-	// wake has an entry when there is something to tell or to ask.
+	// wake has an entry when there are updates to send or grants to request.
 	wake chan struct{}
 
 	mu    sync.Mutex
 	fleet Fleet
 	all   map[string]*entry // by run of an instance
-	// position counts changes of limits.
+	// position counts the changes of limits that are sent to followers.
 	position uint64
-	news     map[string]bool // runs whose statements are to be told
-	// oddAt is when a limit that cannot be read was logged last.
-	oddAt bootclock.Instant
+	updated  map[string]bool // runs whose reports must be sent to other processes
+	// unreadableLoggedAt is when an unreadable limit was last logged.
+	unreadableLoggedAt bootclock.Instant
 }
 
-// NewTable returns the table of a process, which logs what is new and counts in reg. The process is the
-// keeper of all limits until it joins a fleet.
+// NewTable returns the table of a process, which logs changes and counts in reg. The process is the
+// coordinator of all limits until it joins a fleet.
 func NewTable(self string, reg metrics.Registry, logger log.Logger) *Table {
 	t := &Table{
 		self: self, logger: log.With(logger, "component", "ratelimit"), now: bootclock.Now, after: runAfter, wake: make(chan struct{}, 1),
-		all: map[string]*entry{}, news: map[string]bool{},
+		all: map[string]*entry{}, updated: map[string]bool{},
 		taken: metrics.GetOrRegisterCounter("ratelimit.taken", reg), denied: metrics.GetOrRegisterCounter("ratelimit.denied", reg),
 	}
 	t.fleet = alone{self}
-	reg.GetOrRegister("ratelimit.instances", metrics.NewFunctionalGauge(t.limits.Load))
+	reg.GetOrRegister("ratelimit.instances", metrics.NewFunctionalGauge(t.activeLimits.Load))
 	return t
 }
 
-// life returns for how long requests may be sent that were granted of a limit.
-func (s Statement) life() time.Duration {
-	longer := time.Duration(lifeRequests / max(s.PerSecond, leastRate) * float64(time.Second))
-	return min(max(grantLife, longer), maxGrantLife)
+// grantLifetime returns how long granted requests may be sent under a limit.
+func (s Statement) grantLifetime() time.Duration {
+	needed := time.Duration(minRequestsPerLifetime / max(s.PerSecond, minGrantRate) * float64(time.Second))
+	return min(max(minGrantLifetime, needed), maxGrantLifetime)
 }
 
 // alone is a fleet of one process.
@@ -159,24 +160,24 @@
 
 func runAfter(d time.Duration, f func()) { time.AfterFunc(d, f) }
 
-// Join has the keeper of a fleet grant what this process sends.
+// Join makes the coordinator of a fleet grant the requests of this process.
 func (t *Table) Join(f Fleet) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.fleet = f
 }
 
-// Heard takes in what an answer of a run of an instance says. The request was sent at sent.
+// Heard applies the rate limit in a response from a run of an instance. The request was sent at sent.
 func (t *Table) Heard(run, request string, l engine.RateLimit, sent bootclock.Instant) {
-	if l == (engine.RateLimit{}) && t.limits.Load() == 0 {
+	if l == (engine.RateLimit{}) && t.activeLimits.Load() == 0 {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
 	if l.Unreadable != "" {
-		if now.Sub(t.oddAt) >= logEvery {
-			t.oddAt = now
+		if now.Sub(t.unreadableLoggedAt) >= logInterval {
+			t.unreadableLoggedAt = now
 			level.Warn(t.logger).Log("msg", "rate limit cannot be read, the one known before is kept", "instance", run, "request", request, "text", l.Unreadable)
 		}
 		return
@@ -184,16 +185,16 @@
 	t.learn(run, Statement{l, sent, now, now}, "request", request)
 }
 
-// signal has something told or asked soon.
+// signal wakes up the goroutine that sends updates and requests grants.
 func (t *Table) signal() {
 	select {
 	case t.wake <- struct{}{}:
-	default: // it is about to be
+	default: // a wake-up is already pending
 	}
 }
 
-// learn takes in a statement if it is later than the one known, and has it told if it changes
-// anything. It reports whether it was later. The caller holds the lock.
+// learn applies a report if it supersedes the known one, and marks it for sending if the limit changed.
+// It returns whether the report was applied. The caller holds the lock.
 func (t *Table) learn(run string, s Statement, from ...any) bool {
 	e := t.all[run]
 	if e == nil {
@@ -211,46 +212,46 @@
 	case before.Limited && s.Limited:
 		s.Began = min(s.Began, before.Began)
 	case s.Limited:
-		t.limits.Add(1)
+		t.activeLimits.Add(1)
 	case before.Limited:
-		e.grants, e.bucket, e.wanted, e.lapsed, e.demand = nil, nil, 0, 0, 0
-		t.limits.Add(-1)
+		e.grants, e.bucket, e.requested, e.expired, e.demand = nil, nil, 0, 0, 0
+		t.activeLimits.Add(-1)
 	}
 	e.Statement = s
 	if before.RateLimit == s.RateLimit {
 		return true
 	}
-	if before.Limited != s.Limited || s.PerSecond > tellFactor*e.told || e.told > tellFactor*s.PerSecond {
+	if before.Limited != s.Limited || s.PerSecond > publishFactor*e.publishedRate || e.publishedRate > publishFactor*s.PerSecond {
 		t.position++
-		e.changed, e.told = t.position, s.PerSecond
+		e.changedPosition, e.publishedRate = t.position, s.PerSecond
 	}
 	t.log(e, run, before, from)
-	t.news[run] = true
+	t.updated[run] = true
 	t.signal()
 	return true
 }
 
-// log writes what has changed of an instance's limit.
+// log logs a change of the limit of an instance.
 func (t *Table) log(e *entry, run string, before Statement, from []any) {
-	begins := e.Limited != before.Limited
-	if !begins && t.now().Sub(e.loggedAt) < logEvery {
+	limitedChanged := e.Limited != before.Limited
+	if !limitedChanged && t.now().Sub(e.loggedAt) < logInterval {
 		return
 	}
 	e.loggedAt = t.now()
 	msg := "rate limit changed"
 	switch {
-	case begins && e.Limited:
+	case limitedChanged && e.Limited:
 		msg = "instance limits its rate"
-	case begins:
+	case limitedChanged:
 		msg = "rate limit has ended"
 	}
 	fields := append([]any{"msg", msg, "instance", run, "per_second", e.PerSecond, "before", before.PerSecond}, from...)
 	level.Info(t.logger).Log(fields...)
 }
 
-// Limit returns what a run of an instance is known to have said.
+// Limit returns the last report of a run of an instance.
 func (t *Table) Limit(run string) Statement {
-	if t.limits.Load() == 0 {
+	if t.activeLimits.Load() == 0 {
 		return Statement{}
 	}
 	t.mu.Lock()
@@ -261,9 +262,9 @@
 	return Statement{}
 }
 
-// limited returns what is known of a run that limits its rate, nil if it does not. The caller holds
+// limitedEntry returns the entry of a run that limits its rate, or nil if it does not. The caller holds
 // the lock.
-func (t *Table) limited(run string) *entry {
+func (t *Table) limitedEntry(run string) *entry {
 	if e := t.all[run]; e != nil && e.Limited {
 		return e
 	}
@@ -273,23 +274,23 @@
 // Limited reports whether a run of an instance limits its rate.
 func (t *Table) Limited(run string) bool { return t.Limit(run).Limited }
 
-// Learn takes in what another process says of a run of an instance.
+// Learn applies a report from another process.
 func (t *Table) Learn(run, process string, s Statement) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.learnFrom(process, run, s)
 }
 
-// learnFrom takes in what another process says, and reports whether that was later than what was known here. The
+// learnFrom applies a report from another process and returns whether it superseded the known one. The
 // caller holds the lock.
 func (t *Table) learnFrom(process, run string, s Statement) bool {
-	if e := t.limited(run); e != nil {
-		s.Sent, s.Heard = s.Sent.Add(-toldLate), s.Heard.Add(-toldLate)
+	if e := t.limitedEntry(run); e != nil {
+		s.Sent, s.Heard = s.Sent.Add(-maxTransitTime), s.Heard.Add(-maxTransitTime)
 	}
 	return t.learn(run, s, "from", process)
 }
 
-// Since returns what instances have said after a position of this table, 0 for none, and its position now.
+// Since returns the reports that changed after a position of this table, 0 for none, and its current position.
 func (t *Table) Since(position uint64) ([]*peerpb.RateLimit, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -298,42 +299,42 @@
 	}
 	var out []*peerpb.RateLimit
 	for run, e := range t.all {
-		if e.changed > position && (e.Limited || position > 0) {
+		if e.changedPosition > position && (e.Limited || position > 0) {
 			out = append(out, encode(run, e.Statement))
 		}
 	}
 	return out, t.position
 }
 
-// Follow takes in what the scheduler that this process follows has told of instances. Who decides for itself
-// once its schedulers are lost would else send to each limited instance before it has heard of the limit.
-// It is not told on: those that it would be told to know it.
-func (t *Table) Follow(scheduler string, said []*peerpb.RateLimit) {
+// Follow applies reports from the scheduler that this process follows. If the process loses its schedulers
+// and places requests itself, it would otherwise send to each limited instance before it knows the limit.
+// The reports are not sent on, since the processes they would be sent to already have them.
+func (t *Table) Follow(scheduler string, reports []*peerpb.RateLimit) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	for _, l := range said {
+	for _, l := range reports {
 		if t.learnFrom(scheduler, l.GetInstance(), decode(l, now)) {
-			delete(t.news, l.GetInstance())
+			delete(t.updated, l.GetInstance())
 		}
 	}
 }
 
-// News returns the statements that are new since it was called last.
-func (t *Table) News() map[string]Statement {
+// TakeUpdates returns the reports that changed since the last call.
+func (t *Table) TakeUpdates() map[string]Statement {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := map[string]Statement{}
-	for run := range t.news {
+	for run := range t.updated {
 		if e := t.all[run]; e != nil {
 			out[run] = e.Statement
 		}
 	}
-	clear(t.news)
+	clear(t.updated)
 	return out
 }
 
-// Limits returns the statements of all instances that limit their rates, by run.
+// Limits returns the reports of all instances that limit their rates, by run.
 func (t *Table) Limits() map[string]Statement {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -346,12 +347,12 @@
 	return out
 }
 
-// statements returns what is known of the runs that a message names.
-func (t *Table) statements(named []*peerpb.RateLimit) map[string]Statement {
+// reportsFor returns the known reports for the runs named in a message.
+func (t *Table) reportsFor(queried []*peerpb.RateLimit) map[string]Statement {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := map[string]Statement{}
-	for _, l := range named {
+	for _, l := range queried {
 		if e := t.all[l.GetInstance()]; e != nil {
 			out[l.GetInstance()] = e.Statement
 		}
@@ -359,16 +360,16 @@
 	return out
 }
 
-// Retain forgets the runs that keep does not name, and that have said nothing for a while.
+// Retain removes the runs for which keep returns false and that have not reported anything for a while.
 func (t *Table) Retain(keep func(run string) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for run, e := range t.all {
-		if keep(run) || t.now().Sub(e.Heard) <= keptFor {
+		if keep(run) || t.now().Sub(e.Heard) <= minRetention {
 			continue
 		}
 		if e.Limited {
-			t.limits.Add(-1)
+			t.activeLimits.Add(-1)
 		}
 		delete(t.all, run)
 	}
--- a/internal/ratelimit/table_test.go
+++ b/internal/ratelimit/table_test.go
@@ -13,18 +13,18 @@
 	"github.com/rockdoor/rockdoor/engine"
 )
 
-// testClock is a clock that tests set.
+// testClock is a clock controlled by a test.
 type testClock struct{ at bootclock.Instant }
 
 func (c *testClock) now() bootclock.Instant { return c.at }
 
-func (c *testClock) pass(d time.Duration) { c.at = c.at.Add(d) }
+func (c *testClock) advance(d time.Duration) { c.at = c.at.Add(d) }
 
 func limited(perSecond float64) engine.RateLimit {
 	return engine.RateLimit{Limited: true, PerSecond: perSecond}
 }
 
-// noLimit is what an answer says that names none.
+// noLimit is the report of a response without a limit.
 var noLimit engine.RateLimit
 
 func newTestTable(logger log.Logger) (*Table, *testClock) {
@@ -34,37 +34,37 @@
 	return t, c
 }
 
-// TestAnswersThatOvertakeEachOther covers what counts where answers without and with a limit cross.
+// TestAnswersThatOvertakeEachOther covers responses with and without a limit that arrive out of order.
 func TestAnswersThatOvertakeEachOther(t *testing.T) {
 	b, clock := newTestTable(log.NewNopLogger())
 	early := clock.at
-	clock.pass(time.Second)
+	clock.advance(time.Second)
 	b.Heard("a@1", "r", limited(10), clock.at)
 	require.Equal(t, limited(10), b.Limit("a@1").RateLimit)
 	require.False(t, b.Limit("a@2").Limited, "a later run has said nothing")
-	clock.pass(time.Second)
+	clock.advance(time.Second)
 	b.Heard("a@1", "r", noLimit, early)
-	require.True(t, b.Limit("a@1").Limited, "the request was sent before the limit was heard")
+	require.True(t, b.Limit("a@1").Limited, "the request was sent before the limit was reported")
 	b.Heard("a@1", "r", engine.RateLimit{Unreadable: "few"}, clock.at)
-	require.True(t, b.Limit("a@1").Limited, "says nothing")
+	require.True(t, b.Limit("a@1").Limited, "an unreadable limit changes nothing")
 	b.Heard("a@1", "r", limited(5), early)
 	require.Equal(t, limited(5), b.Limit("a@1").RateLimit)
-	clock.pass(time.Second)
+	clock.advance(time.Second)
 	b.Heard("a@1", "r", noLimit, clock.at)
 	require.False(t, b.Limit("a@1").Limited)
-	require.Zero(t, b.limits.Load())
+	require.Zero(t, b.activeLimits.Load())
 }
 
-// TestLimitIsLogged checks that the log says when a limit begins and ends, and that one that changes
-// with each answer does not fill it.
+// TestLimitIsLogged checks that the begin and end of a limit are logged, and that a limit that changes with
+// each response does not flood the log.
 func TestLimitIsLogged(t *testing.T) {
 	var out strings.Builder
 	b, clock := newTestTable(log.NewLogfmtLogger(&out))
 	for n := range 100 {
-		clock.pass(time.Millisecond)
+		clock.advance(time.Millisecond)
 		b.Heard("a@1", "r-1", limited(float64(n)), clock.at)
 	}
-	clock.pass(time.Millisecond)
+	clock.advance(time.Millisecond)
 	b.Heard("a@1", "r-2", noLimit, clock.at)
 	for range 10 {
 		b.Heard("a@1", "r-3", engine.RateLimit{Unreadable: "few"}, clock.at)
@@ -80,85 +80,86 @@
 	b.Heard("a@1", "r", limited(10), clock.at)
 	b.Retain(func(string) bool { return false })
 	require.True(t, b.Limit("a@1").Limited, "its registration may come back")
-	clock.pass(2 * keptFor)
+	clock.advance(2 * minRetention)
 	b.Retain(func(string) bool { return false })
 	require.Empty(t, b.all)
-	require.Zero(t, b.limits.Load())
+	require.Zero(t, b.activeLimits.Load())
 }
 
-// TestWhoFollowsKnowsLimits has a process copy what a scheduler knows of limits: what is new, ends too, and
-// without telling it on.
+// TestWhoFollowsKnowsLimits covers a follower of a scheduler. It must receive changed limits and their ends,
+// and must not send them on.
 func TestWhoFollowsKnowsLimits(t *testing.T) {
 	scheduler := NewTable("s", metrics.NewRegistry(), log.NewNopLogger())
 	follower := NewTable("f", metrics.NewRegistry(), log.NewNopLogger())
 	follow := func(position uint64) uint64 {
-		said, next := scheduler.Since(position)
-		follower.Follow("s", said)
+		reports, next := scheduler.Since(position)
+		follower.Follow("s", reports)
 		return next
 	}
 	scheduler.Heard("a@1", "r", limited(10), bootclock.Now())
 	scheduler.Heard("b@1", "r", limited(10), bootclock.Now())
 	at := follow(0)
 	require.True(t, follower.Limited("a@1"))
-	require.Empty(t, follower.News(), "the scheduler knows it")
-	said, _ := scheduler.Since(at)
-	require.Empty(t, said)
-	time.Sleep(2 * toldLate)
+	require.Empty(t, follower.TakeUpdates(), "the scheduler knows the limit")
+	reports, _ := scheduler.Since(at)
+	require.Empty(t, reports)
+	time.Sleep(2 * maxTransitTime)
 	for _, rate := range []float64{11, 9, 14} {
 		scheduler.Heard("a@1", "r", limited(rate), bootclock.Now())
 	}
-	said, _ = scheduler.Since(at)
-	require.Empty(t, said, "a little more or less")
+	reports, _ = scheduler.Since(at)
+	require.Empty(t, reports, "small changes are not sent")
 	scheduler.Heard("a@1", "r", limited(30), bootclock.Now())
-	said, _ = scheduler.Since(at)
-	require.Len(t, said, 1, "a multiple")
+	reports, _ = scheduler.Since(at)
+	require.Len(t, reports, 1, "a change by more than publishFactor is sent")
 	scheduler.Heard("a@1", "r", noLimit, bootclock.Now())
-	said, _ = scheduler.Since(at)
-	require.Len(t, said, 1, "what has changed")
+	reports, _ = scheduler.Since(at)
+	require.Len(t, reports, 1, "only the changed limit is sent")
 	follow(at)
 	require.False(t, follower.Limited("a@1"))
 	require.True(t, follower.Limited("b@1"))
 }
 
-// TestNewerWordIsToldAlsoWhileOlderIsCopied has a process hear of a limit just before its scheduler tells it an
-// older one.
+// TestNewerWordIsToldAlsoWhileOlderIsCopied covers a process that learns a limit from a response shortly before
+// its scheduler sends an older one. The newer limit must be kept and sent to the other processes.
 func TestNewerWordIsToldAlsoWhileOlderIsCopied(t *testing.T) {
 	scheduler := NewTable("s", metrics.NewRegistry(), log.NewNopLogger())
 	follower := NewTable("f", metrics.NewRegistry(), log.NewNopLogger())
 	scheduler.Heard("a@1", "r", limited(10), bootclock.Now())
-	time.Sleep(2 * toldLate)
+	time.Sleep(2 * maxTransitTime)
 	follower.Heard("a@1", "r", limited(5), bootclock.Now())
-	said, _ := scheduler.Since(0)
-	follower.Follow("s", said)
+	reports, _ := scheduler.Since(0)
+	follower.Follow("s", reports)
 	require.Equal(t, limited(5), follower.Limit("a@1").RateLimit)
-	require.Contains(t, follower.News(), "a@1")
+	require.Contains(t, follower.TakeUpdates(), "a@1")
 }
 
-// TestAPlacerThatKnowsNoLimitIsTold has a scheduler that has just started place a request at an instance
-// whose limit the sender knows: it is not sent, and the scheduler is told.
+// TestAPlacerThatKnowsNoLimitIsTold covers a scheduler that has just started and places a request at an
+// instance whose limit only the sender knows. The request must not be sent, and the scheduler must be sent the limit.
 func TestAPlacerThatKnowsNoLimitIsTold(t *testing.T) {
 	b, clock := newTestTable(log.NewNopLogger())
 	require.False(t, b.Withholds("a@1"))
 	b.Heard("a@1", "r", limited(10), clock.at)
-	require.Contains(t, b.News(), "a@1")
-	clock.pass(time.Minute)
+	require.Contains(t, b.TakeUpdates(), "a@1")
+	clock.advance(time.Minute)
 	require.True(t, b.Withholds("a@1"))
 	require.False(t, b.Withholds("a@2"), "a later run has said nothing")
-	require.Contains(t, b.News(), "a@1")
+	require.Contains(t, b.TakeUpdates(), "a@1")
 }
 
-// TestAnEndThatOverlapsIsBelievedLater has another process hear of an end by a request that was sent before a
-// limit was heard here: which of them is later cannot be told, and who is not to send hears nothing more.
+// TestAnEndThatOverlapsIsBelievedLater covers the end of a limit, received from another process, whose request
+// was sent before the limit was last reported here. Which of the two is newer cannot be known, so the end is
+// accepted after overlapWindow: a process that is not allowed to send would not learn of it otherwise.
 func TestAnEndThatOverlapsIsBelievedLater(t *testing.T) {
 	b, clock := newTestTable(log.NewNopLogger())
 	sent := clock.at
-	clock.pass(time.Second)
+	clock.advance(time.Second)
 	b.Heard("a@1", "r", limited(10), clock.at)
-	clock.pass(2 * toldLate)
+	clock.advance(2 * maxTransitTime)
 	end := Statement{noLimit, sent, clock.at, clock.at}
 	b.Learn("a@1", "p-1", end)
 	require.True(t, b.Limited("a@1"))
-	clock.pass(overlapTime)
+	clock.advance(overlapWindow)
 	b.Learn("a@1", "p-1", end)
 	require.False(t, b.Limited("a@1"))
 }
