--- a/internal/loadshare/digest.go
+++ b/internal/loadshare/digest.go
@@ -10,28 +10,28 @@
 	"github.com/rockdoor/rockdoor/placement"
 )
 
-// digest is what a peer said last.
+// digest is the last digest received from a peer.
 type digest struct {
-	at       time.Time
-	loads    map[string]placement.Load // by instance
-	changing []*peerpb.RoleChange
+	receivedAt  time.Time
+	loads       map[string]placement.Load // by instance
+	roleChanges []*peerpb.RoleChange
 }
 
-// told is how far a peer and this process have told each other of their reads.
-type told struct {
-	// run is the peer's run: its numbers begin anew with each.
-	run string
-	// has is the newest of this process's reads that the peer has, seen the newest
-	// of the peer's reads that this process has.
-	has, seen uint64
+// peerState is how far a peer and this process have synchronized the prefills that they completed.
+type peerState struct {
+	// incarnation is that of the peer. Each run of a process numbers its prefills anew.
+	incarnation string
+	// acked is the newest prefill of this process that the peer has, received the newest prefill
+	// of the peer that this process has.
+	acked, received uint64
 }
 
-// digest describes the work of this process to a peer.
-func (s *Sharer) digest(peer string) *peerpb.LoadDigest {
+// newDigest returns a digest of the work of this process for a peer.
+func (s *Sharer) newDigest(peer string) *peerpb.LoadDigest {
 	s.mu.Lock()
-	t := s.told[peer]
+	t := s.peerStates[peer]
 	s.mu.Unlock()
-	d := &peerpb.LoadDigest{SeenRead: t.seen, ClockUs: s.o.Clock.Own().UnixMicro()}
+	d := &peerpb.LoadDigest{SeenRead: t.received, ClockUs: s.o.Clock.Own().UnixMicro()}
 	for id, role := range s.o.Changing() {
 		d.Changing = append(d.Changing, &peerpb.RoleChange{Instance: id, Role: string(role)})
 	}
@@ -41,33 +41,33 @@
 		})
 	}
 	var reads []placement.Read
-	reads, d.LastRead = s.o.Placer.ReadsAfter(t.has)
+	reads, d.LastRead = s.o.Placer.ReadsAfter(t.acked)
 	for _, r := range reads {
 		d.Reads = append(d.Reads, encodeRead(r))
 	}
 	return d
 }
 
-// kilo is the unit in which pairs of tokens are told.
-const kilo = 1000
+// pairsPerUnit is the number of token pairs in one unit of Backlog.Kilopairs.
+const pairsPerUnit = 1000
 
 func encodeUnread(u placement.Unread) []*peerpb.Backlog {
 	var out []*peerpb.Backlog
 	for rank, b := range u {
 		if b != (placement.Backlog{}) {
-			out = append(out, &peerpb.Backlog{Rank: uint32(rank), Prompts: uint32(b.Prompts), Tokens: uint32(b.Tokens), Kilopairs: uint32(b.Pairs / kilo)})
+			out = append(out, &peerpb.Backlog{Rank: uint32(rank), Prompts: uint32(b.Prompts), Tokens: uint32(b.Tokens), Kilopairs: uint32(b.Pairs / pairsPerUnit)})
 		}
 	}
 	return out
 }
 
-// decodeUnread reads what a peer said; ranks that are not known are taken for the last.
+// decodeUnread decodes the backlog sent by a peer. Unknown ranks are treated as the last one.
 func decodeUnread(list []*peerpb.Backlog) placement.Unread {
 	var out placement.Unread
 	for _, b := range list {
 		rank := min(int(b.GetRank()), len(out)-1)
 		out[rank] = out[rank].Add(placement.Backlog{
-			Prompts: int(b.GetPrompts()), Work: placement.Work{Tokens: int(b.GetTokens()), Pairs: int(b.GetKilopairs()) * kilo},
+			Prompts: int(b.GetPrompts()), Work: placement.Work{Tokens: int(b.GetTokens()), Pairs: int(b.GetKilopairs()) * pairsPerUnit},
 		})
 	}
 	return out
@@ -82,8 +82,7 @@
 	return out
 }
 
-// decodeRead reads a message of a peer; parts without a number of tokens are left
-// out.
+// decodeRead decodes a prefill sent by a peer. Parts without a number of tokens are left out.
 func decodeRead(m *peerpb.PromptRead) placement.Read {
 	out := placement.Read{Instance: m.GetInstance(), Own: int(m.GetOwnTokens())}
 	tokens := m.GetTokens()
@@ -95,26 +94,26 @@
 	return out
 }
 
-// hear takes in a digest.
-func (s *Sharer) hear(from *peerpb.Identity, d *peerpb.LoadDigest) {
+// applyDigest applies a digest received from a peer.
+func (s *Sharer) applyDigest(from *peerpb.Identity, d *peerpb.LoadDigest) {
 	if d.GetClockUs() != 0 {
 		s.o.Clock.HearPeer(from.GetName(), time.UnixMicro(d.GetClockUs()))
 	}
-	for _, r := range s.fresh(from, d) {
+	for _, r := range s.newReads(from, d) {
 		s.o.Placer.Learn(decodeRead(r))
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	name := from.GetName()
 	if _, known := s.digests[name]; !known {
-		level.Info(s.logger).Log("msg", "peer heard", "peer", name)
+		level.Info(s.logger).Log("msg", "contact with peer", "peer", name)
 	}
 	next := digest{time.Now(), decodeLoads(d.GetInstances()), d.GetChanging()}
-	s.replace(s.digests[name], next)
+	s.updateTotals(s.digests[name], next)
 	s.digests[name] = next
-	s.heardAt[name] = next.at
-	s.silent.Answered(name)
-	s.sumChanging()
+	s.lastContact[name] = next.receivedAt
+	s.backoffs.Answered(name)
+	s.mergeRoleChanges()
 }
 
 func decodeLoads(list []*peerpb.InstanceLoad) map[string]placement.Load {
@@ -127,46 +126,46 @@
 	return out
 }
 
-// fresh returns the reads of a digest that were not heard before. Digests may
-// overtake each other.
-func (s *Sharer) fresh(from *peerpb.Identity, d *peerpb.LoadDigest) []*peerpb.PromptRead {
+// newReads returns the prefills of a digest that were not received before. Digests may arrive
+// out of order.
+func (s *Sharer) newReads(from *peerpb.Identity, d *peerpb.LoadDigest) []*peerpb.PromptRead {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.told[from.GetName()]
-	if t.run != from.GetIncarnation() {
-		t = told{run: from.GetIncarnation()}
+	t := s.peerStates[from.GetName()]
+	if t.incarnation != from.GetIncarnation() {
+		t = peerState{incarnation: from.GetIncarnation()}
 	}
 	reads, last := d.GetReads(), d.GetLastRead()
 	missing := uint64(0)
-	if last > t.seen {
-		missing = min(last-t.seen, uint64(len(reads)))
-		t.seen = last
+	if last > t.received {
+		missing = min(last-t.received, uint64(len(reads)))
+		t.received = last
 	}
-	t.has = d.GetSeenRead()
-	s.told[from.GetName()] = t
+	t.acked = d.GetSeenRead()
+	s.peerStates[from.GetName()] = t
 	return reads[uint64(len(reads))-missing:]
 }
 
-// replace puts a peer's new digest in the place of its old one in the sums, which costs
-// the same however many peers there are. The caller holds the lock.
-func (s *Sharer) replace(old, next digest) {
+// updateTotals replaces a peer's old digest by its new one in the totals. The cost does not
+// depend on the number of peers. The caller holds the lock.
+func (s *Sharer) updateTotals(old, next digest) {
 	for id, l := range old.loads {
-		if s.sum[id] = s.sum[id].Sub(l); s.sum[id] == (placement.Load{}) {
-			delete(s.sum, id)
+		if s.totals[id] = s.totals[id].Sub(l); s.totals[id] == (placement.Load{}) {
+			delete(s.totals, id)
 		}
 	}
 	for id, l := range next.loads {
-		s.sum[id] = s.sum[id].Add(l)
+		s.totals[id] = s.totals[id].Add(l)
 	}
 }
 
-// sumChanging joins what the digests say of role changes. The caller holds the lock.
-func (s *Sharer) sumChanging() {
+// mergeRoleChanges merges the role changes of all digests. The caller holds the lock.
+func (s *Sharer) mergeRoleChanges() {
 	changing := map[string]engine.Role{}
 	for _, d := range s.digests {
-		for _, c := range d.changing {
+		for _, c := range d.roleChanges {
 			changing[c.GetInstance()] = engine.Role(c.GetRole())
 		}
 	}
-	s.changing = changing
+	s.roleChanges = changing
 }
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -1,6 +1,6 @@
-// Package loadshare tells the schedulers of a deployment what each of them has in
-// hand at each instance, so that together they act on nearly the whole load.
-// Each works alone with its own figures when it hears from nobody.
+// Package loadshare exchanges load digests between the schedulers of a deployment. Each
+// scheduler sends the others the work that it has placed at each instance, so that all of them
+// decide on nearly the whole load. A scheduler that receives no digests uses its own figures.
 package loadshare
 
 import (
@@ -25,139 +25,138 @@
 )
 
 const (
-	// calmInterval is how often digests are exchanged while this process has no prompts
-	// in hand, and with each prompt more often: where prompts queue, what the others
-	// placed since their last digest is as much as an engine reads in the time.
-	calmInterval = 80 * time.Millisecond
-	// minInterval is how often at the most.
+	// idleInterval is the interval between digests while this process has no prompts in flight.
+	// The interval shrinks with each prompt: while prompts queue, the other schedulers place
+	// as much within one interval as an engine prefills in that time.
+	idleInterval = 80 * time.Millisecond
+	// minInterval is the minimum interval between digests.
 	minInterval = 15 * time.Millisecond
-	// perPeer stretches the least interval with the number of peers, so that a process
-	// makes at most some 400 exchanges a second.
-	perPeer = 2500 * time.Microsecond
-	// callTimeout bounds one exchange.
+	// intervalPerPeer raises the minimum interval with the number of peers, so that a process
+	// makes at most about 400 exchanges per second.
+	intervalPerPeer = 2500 * time.Microsecond
+	// callTimeout limits one exchange.
 	callTimeout = 500 * time.Millisecond
-	// keptIntervals is for how many intervals a digest counts.
-	keptIntervals = 6
-	// replaceAfter is for how long a scheduler must be silent before another one takes its
-	// place. A start takes less.
-	replaceAfter = 3 * time.Second
-	// registerRetry is how often a failed registration is tried again.
-	registerRetry = time.Second
-	// registerTimeout bounds one try.
+	// digestLifeIntervals is the lifetime of a digest in intervals.
+	digestLifeIntervals = 6
+	// unresponsiveAfter is how long a scheduler must be unresponsive before another process takes
+	// its place. A restart takes less time.
+	unresponsiveAfter = 3 * time.Second
+	// registerRetryInterval is the delay before a failed registration is retried.
+	registerRetryInterval = time.Second
+	// registerTimeout limits one attempt to register.
 	registerTimeout = 2 * time.Second
-	// registerAgain is how long after it has registered a process takes word that it is not
-	// registered for old: lists may be seconds old.
-	registerAgain = 10 * time.Second
+	// staleListTime is how long after registering a process ignores reports that it is not
+	// registered, since the lists on which they are based may be seconds old.
+	staleListTime = 10 * time.Second
 )
 
 // Options of a Sharer.
 type Options struct {
 	Self  members.Member
 	Store objstore.Store
-	// Prefix is where the gateways register.
+	// Prefix is the key prefix of gateway registrations in the store.
 	Prefix    string
 	Transport *peer.Transport
-	// Placer knows what this process has in hand and learns what others had read.
+	// Placer provides the load of this process and learns of prompts prefilled for other processes.
 	Placer *placement.Placer
-	// Changing returns the engines that this process is having change their role,
-	// and to which.
+	// Changing returns the engines whose role this process is changing, and their new roles.
 	Changing func() map[string]engine.Role
-	// Members returns the gateways that tell each other, none if this is not one of them.
+	// Members returns the gateways that exchange digests, or none if this process is not among them.
 	Members func() []members.Member
-	// Clock hears the clocks of the other gateways' hosts.
+	// Clock receives the clock readings of the other gateways' hosts.
 	Clock  *truetime.Clock
 	Logger log.Logger
 }
 
-// Sharer exchanges digests with the other gateways.
+// Sharer exchanges load digests with the other gateways.
 type Sharer struct {
 	o      Options
 	logger log.Logger
-	// missing has an entry if this process may have lost its registration.
-	missing chan struct{}
-	// restored has an entry if the store came back from a copy that may lack it.
+	// recheck has an entry if this process may have lost its registration.
+	recheck chan struct{}
+	// restored has an entry if the store was restored from a backup that may lack the registration.
 	restored chan struct{}
-	// again is registerAgain, except in tests.
-	again time.Duration
-	// left is true once this process takes its registration back.
-	left atomic.Bool
+	// staleListTime is the constant of that name, except in tests.
+	staleListTime time.Duration
+	// leaving is true once this process removes its registration.
+	leaving atomic.Bool
 
-	mu      sync.Mutex
-	digests map[string]digest // by peer
-	told    map[string]told   // by peer
-	// heardAt is when a peer was heard last, or expected to be for the first time.
-	heardAt map[string]time.Time
-	// exchanging is true while this process is one of those that tell each other of their work.
+	mu         sync.Mutex
+	digests    map[string]digest    // by peer
+	peerStates map[string]peerState // by peer
+	// lastContact is when a peer was last heard from, or when it became a member of this exchange.
+	lastContact map[string]time.Time
+	// exchanging is true while this process is one of those that exchange digests.
 	exchanging bool
-	silent     *peer.Silences
-	// calling are the peers whose answer is awaited.
-	calling map[string]bool
-	sum     map[string]placement.Load
-	// changing are engines that some other gateway is having change their role, and
-	// to which.
-	changing map[string]engine.Role
+	backoffs   *peer.Silences
+	// pendingCalls has the peers whose response is pending.
+	pendingCalls map[string]bool
+	totals       map[string]placement.Load
+	// roleChanges has the engines whose role another gateway is changing, and their new roles.
+	roleChanges map[string]engine.Role
 }
 
-// New returns a sharer that has to be run.
+// New returns a sharer. The caller must call Run.
 func New(o Options) *Sharer {
 	if o.Clock == nil {
 		o.Clock = truetime.New()
 	}
 	return &Sharer{
-		o: o, logger: log.With(o.Logger, "component", "loadshare"), missing: make(chan struct{}, 1), restored: make(chan struct{}, 1), again: registerAgain,
-		digests: map[string]digest{}, told: map[string]told{}, heardAt: map[string]time.Time{}, silent: peer.NewSilences(), calling: map[string]bool{}, sum: map[string]placement.Load{},
+		o: o, logger: log.With(o.Logger, "component", "loadshare"), recheck: make(chan struct{}, 1), restored: make(chan struct{}, 1), staleListTime: staleListTime,
+		digests: map[string]digest{}, peerStates: map[string]peerState{}, lastContact: map[string]time.Time{}, backoffs: peer.NewSilences(), pendingCalls: map[string]bool{}, totals: map[string]placement.Load{},
 	}
 }
 
-// Load returns what the other gateways have in hand at an instance.
+// Load returns the work of the other gateways at an instance.
 func (s *Sharer) Load(instance string) placement.Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sum[instance]
+	return s.totals[instance]
 }
 
-// Changing reports whether another gateway is having an engine change its role. The
-// role in the engine's own registration goes before that gateway's word, which may
-// have lost the store and not see that the engine has changed.
+// Changing reports whether another gateway is changing the role of an engine. The role in the
+// engine's registration takes precedence over that gateway's digest: the gateway may have lost
+// contact with the store and not see that the change is complete.
 func (s *Sharer) Changing(i *fleet.Instance) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	to := s.changing[i.ID]
+	to := s.roleChanges[i.ID]
 	return to != "" && to != i.Role
 }
 
-// Heard returns the names of the other gateways that are heard.
+// Heard returns the names of the other gateways that have sent a digest recently.
 func (s *Sharer) Heard() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Collect(maps.Keys(s.digests))
 }
 
-// Silent reports whether a peer has not been heard for so long that another one takes its
-// place. Nobody is silent for a process that is not told any more, as one that works for others no
-// longer: it took all others for silent, and decided beside them for seconds at a time.
+// Silent reports whether a peer has been unresponsive for so long that another process takes its
+// place. It returns false for all peers if this process no longer receives digests, which happens
+// when it stops working for others. Otherwise it would consider all schedulers unresponsive and
+// place requests in parallel with them for seconds.
 func (s *Sharer) Silent(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at, expected := s.heardAt[name]
-	return expected && time.Since(at) > replaceAfter && (s.exchanging || s.hearsAny())
+	at, expected := s.lastContact[name]
+	return expected && time.Since(at) > unresponsiveAfter && (s.exchanging || s.hasAnyContact())
 }
 
-// hearsAny reports whether any peer has been heard lately. The caller holds the lock.
-func (s *Sharer) hearsAny() bool {
-	for _, at := range s.heardAt {
-		if time.Since(at) <= replaceAfter {
+// hasAnyContact reports whether any peer has been in contact recently. The caller holds the lock.
+func (s *Sharer) hasAnyContact() bool {
+	for _, at := range s.lastContact {
+		if time.Since(at) <= unresponsiveAfter {
 			return true
 		}
 	}
 	return false
 }
 
-// noteExchanging notes whether this process exchanges digests now. If it has heard nobody for a while, it begins to listen:
-// what was not heard before is no silence. The caller holds the lock.
-func (s *Sharer) noteExchanging(exchanging bool) {
-	if exchanging && !s.exchanging && !s.hearsAny() {
-		clear(s.heardAt)
+// setExchanging records whether this process exchanges digests now. If it starts after having had no contact for a
+// while, the earlier lack of contact is discarded, since it says nothing about the peers. The caller holds the lock.
+func (s *Sharer) setExchanging(exchanging bool) {
+	if exchanging && !s.exchanging && !s.hasAnyContact() {
+		clear(s.lastContact)
 	}
 	s.exchanging = exchanging
 }
@@ -166,12 +165,12 @@
 func (s *Sharer) Run(ctx context.Context) error {
 	go s.stayRegistered(ctx)
 	for {
-		peers := s.peers()
+		peers := s.peersToCall()
 		interval := s.interval()
 		for _, p := range peers {
 			go s.exchange(ctx, p)
 		}
-		s.expire(s.longestInterval() * keptIntervals)
+		s.expireDigests(s.longestInterval() * digestLifeIntervals)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -180,46 +179,46 @@
 	}
 }
 
-// peers returns the members that this process calls now: of each pair the one with
-// the lesser name calls, and the answer carries the other's digest. One that has not
-// answered yet is not called again.
-func (s *Sharer) peers() []members.Member {
+// peersToCall returns the members that this process calls now. Of each pair of processes the one
+// with the lower name calls, and the response has the other's digest. A peer whose response is
+// still pending is not called again.
+func (s *Sharer) peersToCall() []members.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []members.Member
 	all := s.o.Members()
-	s.noteExchanging(len(all) > 0)
+	s.setExchanging(len(all) > 0)
 	for _, m := range all {
-		if _, expected := s.heardAt[m.Name]; !expected {
-			s.heardAt[m.Name] = time.Now()
+		if _, expected := s.lastContact[m.Name]; !expected {
+			s.lastContact[m.Name] = time.Now()
 		}
-		if m.Name <= s.o.Self.Name || s.calling[m.Name] || s.silent.Resting(m.Name) {
+		if m.Name <= s.o.Self.Name || s.pendingCalls[m.Name] || s.backoffs.Resting(m.Name) {
 			continue
 		}
-		s.calling[m.Name] = true
+		s.pendingCalls[m.Name] = true
 		out = append(out, m)
 	}
 	return out
 }
 
 func (s *Sharer) exchange(ctx context.Context, p members.Member) {
-	defer s.called(p.Name)
+	defer s.callEnded(p.Name)
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	req := &peerpb.Request{Body: &peerpb.Request_Loads{Loads: s.digest(p.Name)}}
+	req := &peerpb.Request{Body: &peerpb.Request_Loads{Loads: s.newDigest(p.Name)}}
 	resp, err := s.o.Transport.Call(ctx, p.Peer, req)
 	if err != nil {
-		s.fail(p, err)
+		s.recordFailure(p, err)
 		return
 	}
-	s.hear(resp.GetFrom(), resp.GetLoads())
+	s.applyDigest(resp.GetFrom(), resp.GetLoads())
 }
 
-// called notes that a call to a peer has ended.
-func (s *Sharer) called(name string) {
+// callEnded records that a call to a peer has ended.
+func (s *Sharer) callEnded(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.calling, name)
+	delete(s.pendingCalls, name)
 }
 
 // HandlePeer implements peer.Handler.
@@ -228,65 +227,65 @@
 	if loads == nil {
 		return &peerpb.Response{Error: "call is not known"}
 	}
-	s.hear(req.GetFrom(), loads)
-	return &peerpb.Response{Body: &peerpb.Response_Loads{Loads: s.digest(req.GetFrom().GetName())}}
+	s.applyDigest(req.GetFrom(), loads)
+	return &peerpb.Response{Body: &peerpb.Response_Loads{Loads: s.newDigest(req.GetFrom().GetName())}}
 }
 
-// interval returns how long to wait until the next exchange.
+// interval returns the time to wait before the next exchange.
 func (s *Sharer) interval() time.Duration {
-	least := max(minInterval, time.Duration(len(s.o.Members()))*perPeer)
-	return max(least, calmInterval/time.Duration(1+s.o.Placer.Prompts()))
+	minimum := max(minInterval, time.Duration(len(s.o.Members()))*intervalPerPeer)
+	return max(minimum, idleInterval/time.Duration(1+s.o.Placer.Prompts()))
 }
 
-// longestInterval returns the longest time between two exchanges.
+// longestInterval returns the longest interval between two exchanges.
 func (s *Sharer) longestInterval() time.Duration {
-	return max(calmInterval, time.Duration(len(s.o.Members()))*perPeer)
+	return max(idleInterval, time.Duration(len(s.o.Members()))*intervalPerPeer)
 }
 
-// expire drops the digests of peers that have not been heard for a while.
-func (s *Sharer) expire(after time.Duration) {
+// expireDigests removes the digests of peers that have not been heard from for a while.
+func (s *Sharer) expireDigests(after time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	dropped := false
 	for name, d := range s.digests {
-		if time.Since(d.at) > after {
-			s.replace(d, digest{})
+		if time.Since(d.receivedAt) > after {
+			s.updateTotals(d, digest{})
 			delete(s.digests, name)
-			delete(s.told, name)
+			delete(s.peerStates, name)
 			dropped = true
-			level.Info(s.logger).Log("msg", "peer silent", "peer", name, "age", time.Since(d.at).Round(time.Millisecond))
+			level.Info(s.logger).Log("msg", "peer silent", "peer", name, "age", time.Since(d.receivedAt).Round(time.Millisecond))
 		}
 	}
 	if dropped {
-		s.sumChanging()
+		s.mergeRoleChanges()
 	}
 }
 
-// fail makes the next call to a peer wait.
-func (s *Sharer) fail(p members.Member, err error) {
-	if s.silent.Failed(p.Name) {
-		level.Info(s.logger).Log("msg", "peer does not answer", "peer", p.Name, "address", p.Peer, "err", err)
+// recordFailure delays the next call to a peer that failed to respond.
+func (s *Sharer) recordFailure(p members.Member, err error) {
+	if s.backoffs.Failed(p.Name) {
+		level.Info(s.logger).Log("msg", "peer does not respond", "peer", p.Name, "address", p.Peer, "err", err)
 	}
 }
 
-// CheckRegistration has this process register again if it is not registered any more.
+// CheckRegistration makes this process register again, unless it has registered within staleListTime.
 func (s *Sharer) CheckRegistration() {
 	select {
-	case s.missing <- struct{}{}:
-	default: // it is being looked after
+	case s.recheck <- struct{}{}:
+	default: // a check is already pending
 	}
 }
 
-// RegisterAnew has this process register again if the store, which came back from an older copy, lacks
-// its registration.
+// RegisterAnew makes this process register again after the store was restored from a backup that may lack its
+// registration.
 func (s *Sharer) RegisterAnew() {
 	select {
 	case s.restored <- struct{}{}:
-	default: // it is being looked after
+	default: // a registration is already pending
 	}
 }
 
-// stayRegistered registers this process, and again whenever its registration may be gone.
+// stayRegistered registers this process, and again whenever its registration may be missing.
 func (s *Sharer) stayRegistered(ctx context.Context) {
 	s.register(ctx)
 	registered := time.Now()
@@ -294,13 +293,13 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.missing:
-			if time.Since(registered) <= s.again {
+		case <-s.recheck:
+			if time.Since(registered) <= s.staleListTime {
 				continue
 			}
 		case <-s.restored:
 		}
-		if s.left.Load() {
+		if s.leaving.Load() {
 			continue
 		}
 		level.Info(s.logger).Log("msg", "registering again")
@@ -309,7 +308,7 @@
 	}
 }
 
-// register registers this process, as often as it takes.
+// register registers this process and retries until it succeeds.
 func (s *Sharer) register(ctx context.Context) {
 	for {
 		rctx, cancel := context.WithTimeout(ctx, registerTimeout)
@@ -322,14 +321,14 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(registerRetry):
+		case <-time.After(registerRetryInterval):
 		}
 	}
 }
 
 // Leave removes the registration of this process.
 func (s *Sharer) Leave(ctx context.Context) {
-	s.left.Store(true)
+	s.leaving.Store(true)
 	if err := members.Unregister(ctx, s.o.Store, s.o.Prefix, s.o.Self); err != nil {
 		level.Warn(s.logger).Log("msg", "registration not removed", "err", err)
 	}
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -21,7 +21,7 @@
 	"github.com/rockdoor/rockdoor/platform"
 )
 
-// node is one gateway's part.
+// node is the load exchange of one gateway.
 type node struct {
 	*Sharer
 	self   members.Member
@@ -50,19 +50,19 @@
 	return n
 }
 
-// job is a request with a long prompt of a subject before one reader, i, and one
-// runner.
-func job(subject string) *placement.Job {
+// job returns a request whose long prompt has the given prefix. It may run on the prefill engine i
+// and the mixed engine r.
+func job(prefix string) *placement.Job {
 	return &placement.Job{
 		Route: &fleet.Route{}, Left: time.Second, Permitted: []*fleet.Instance{{ID: "i", Role: engine.RolePrefill}, {ID: "r", Role: engine.RoleMixed}},
-		Call: &engine.Call{PromptTokens: 5000, Parts: []engine.Part{{ID: subject, Tokens: 4000}, {ID: "own", Tokens: 1000}}},
+		Call: &engine.Call{PromptTokens: 5000, Parts: []engine.Part{{ID: prefix, Tokens: 4000}, {ID: "own", Tokens: 1000}}},
 	}
 }
 
-// place counts a job at i.
-func (n *node) place(t *testing.T, subject string) *placement.Ticket {
+// place places a job at i.
+func (n *node) place(t *testing.T, prefix string) *placement.Ticket {
 	t.Helper()
-	_, ticket := n.placer.Place(job(subject))
+	_, ticket := n.placer.Place(job(prefix))
 	require.NotNil(t, ticket)
 	return ticket
 }
@@ -99,9 +99,9 @@
 		plan, ticket := nodes[0].placer.Place(job("s3"))
 		ticket.Cancel()
 		return plan.Reason == placement.ReasonHolder
-	}, 3*time.Second, 5*time.Millisecond, "the engine that read a subject is known to the others")
+	}, 3*time.Second, 5*time.Millisecond, "the other schedulers know which engine prefilled the prefix")
 	require.True(t, nodes[0].Changing(&fleet.Instance{ID: "by-c", Role: engine.RoleMixed}))
-	require.False(t, nodes[0].Changing(&fleet.Instance{ID: "by-c", Role: engine.RolePrefill}), "it has changed, whether c sees that or not")
+	require.False(t, nodes[0].Changing(&fleet.Instance{ID: "by-c", Role: engine.RolePrefill}), "the registration shows that the role has changed, even if c does not see it")
 	require.False(t, nodes[0].Changing(&fleet.Instance{ID: "by-a", Role: engine.RoleMixed}))
 	require.Len(t, nodes[0].Heard(), 2)
 
@@ -109,7 +109,7 @@
 	require.Eventually(t, func() bool {
 		return nodes[0].Load("i") == want && !nodes[0].Changing(&fleet.Instance{ID: "by-c", Role: engine.RoleMixed})
 	}, 3*time.Second, 5*time.Millisecond,
-		"what a silent gateway said counts no longer")
+		"the digest of an unresponsive gateway has expired")
 
 	require.Eventually(t, func() bool {
 		objs, _, err := platform.NewStore(store).List(context.Background(), platform.MemberPrefix)
@@ -123,13 +123,13 @@
 	nodes[1].stop()
 }
 
-// TestDigestsAreExchangedMoreOftenUnderLoad checks the pace: in the peaks of the
-// standard days the others placed more in 50 ms than an engine reads in that time.
+// TestDigestsAreExchangedMoreOftenUnderLoad checks the interval between digests. In the peaks of the
+// standard days, the other schedulers placed more in 50 ms than an engine prefills in that time.
 func TestDigestsAreExchangedMoreOftenUnderLoad(t *testing.T) {
 	var all []members.Member
 	p := placement.New("a", nil, nil)
 	s := New(Options{Placer: p, Members: func() []members.Member { return all }, Logger: log.NewNopLogger()})
-	require.Equal(t, calmInterval, s.interval())
+	require.Equal(t, idleInterval, s.interval())
 	var tickets []*placement.Ticket
 	for range 10 {
 		_, ticket := p.Place(job("s"))
@@ -139,27 +139,27 @@
 	for n := range 100 {
 		all = append(all, members.Member{Name: string(rune('a' + n))})
 	}
-	require.Equal(t, 100*perPeer, s.interval(), "bounded in a large fleet")
-	require.Equal(t, 100*perPeer, s.longestInterval())
+	require.Equal(t, 100*intervalPerPeer, s.interval(), "limited in a large fleet")
+	require.Equal(t, 100*intervalPerPeer, s.longestInterval())
 	all = nil
 	for _, ticket := range tickets {
 		ticket.Cancel()
 	}
-	require.Equal(t, calmInterval, s.interval())
+	require.Equal(t, idleInterval, s.interval())
 }
 
 // TestPeerThatHasNotAnsweredIsNotCalledAgain checks that calls to a slow peer do not
-// pile up.
+// accumulate.
 func TestPeerThatHasNotAnsweredIsNotCalledAgain(t *testing.T) {
 	all := []members.Member{{Name: "b"}, {Name: "c"}}
 	s := New(Options{Self: members.Member{Name: "a"}, Members: func() []members.Member { return all }, Logger: log.NewNopLogger()})
-	require.Len(t, s.peers(), 2)
-	require.Empty(t, s.peers())
-	s.called("b")
-	require.Equal(t, []members.Member{{Name: "b"}}, s.peers())
+	require.Len(t, s.peersToCall(), 2)
+	require.Empty(t, s.peersToCall())
+	s.callEnded("b")
+	require.Equal(t, []members.Member{{Name: "b"}}, s.peersToCall())
 }
 
-// BenchmarkHear takes in digests of 64 peers, each with work at 60 instances.
+// BenchmarkHear applies digests of 64 peers, each with work at 60 instances.
 func BenchmarkHear(b *testing.B) {
 	s := New(Options{Placer: placement.New("a", nil, nil), Logger: log.NewNopLogger()})
 	d := &peerpb.LoadDigest{}
@@ -173,13 +173,13 @@
 		peers = append(peers, &peerpb.Identity{Name: string(rune('a' + n)), Incarnation: "1"})
 	}
 	for n := 0; b.Loop(); n++ {
-		s.hear(peers[n%len(peers)], d)
+		s.applyDigest(peers[n%len(peers)], d)
 	}
 }
 
-// TestARegistrationThatWentIsRenewed covers a process whose registration was removed while it
-// lives. Word that comes right after it has registered is taken for old, and one that stops
-// stays away.
+// TestARegistrationThatWentIsRenewed covers a running process whose registration is removed. A report
+// of a missing registration shortly after registering must be ignored as stale, and a process that
+// stops must not register again.
 func TestARegistrationThatWentIsRenewed(t *testing.T) {
 	fake := fleetstore.New()
 	server := httptest.NewServer(fake)
@@ -187,7 +187,7 @@
 	store := platform.NewStore(server.Listener.Addr().String())
 	self := members.Member{Name: "a", Incarnation: members.NewIncarnation()}
 	s := New(Options{Self: self, Store: store, Prefix: platform.MemberPrefix, Logger: log.NewNopLogger()})
-	s.again = 200 * time.Millisecond
+	s.staleListTime = 200 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go s.stayRegistered(ctx)
@@ -198,48 +198,49 @@
 	require.Eventually(t, registered, time.Second, time.Millisecond)
 	calls := fake.Calls()
 	s.CheckRegistration()
-	time.Sleep(s.again / 2)
+	time.Sleep(s.staleListTime / 2)
 	require.Equal(t, calls, fake.Calls())
 
 	require.NoError(t, members.Unregister(ctx, store, platform.MemberPrefix, self))
-	time.Sleep(s.again)
+	time.Sleep(s.staleListTime)
 	s.CheckRegistration()
 	require.Eventually(t, registered, time.Second, time.Millisecond)
 
 	s.Leave(ctx)
-	time.Sleep(2 * s.again)
+	time.Sleep(2 * s.staleListTime)
 	s.CheckRegistration()
-	time.Sleep(s.again / 2)
+	time.Sleep(s.staleListTime / 2)
 	require.False(t, registered())
 }
 
-// TestWhoIsNotToldTakesNobodyForSilent has a process work for others, leave that to another one, and take it on again
-// later. In a fleet that had grown past the size at which all tell each other, one that did no longer took all 17
-// others for silent, decided beside their schedulers, and sent a quarter more to a limited instance than that takes.
+// TestWhoIsNotToldTakesNobodyForSilent covers a process that stops working for others and later starts again. In a
+// fleet that had grown past the size at which all processes exchange digests, a process that no longer did so
+// considered all 17 others unresponsive, placed requests in parallel with their schedulers, and sent a quarter more
+// to a rate-limited instance than its limit.
 func TestWhoIsNotToldTakesNobodyForSilent(t *testing.T) {
 	all := []members.Member{{Name: "a"}, {Name: "b"}}
-	working := all
-	s := New(Options{Self: members.Member{Name: "z"}, Members: func() []members.Member { return working }, Logger: log.NewNopLogger()})
+	membersNow := all
+	s := New(Options{Self: members.Member{Name: "z"}, Members: func() []members.Member { return membersNow }, Logger: log.NewNopLogger()})
 	age := func(by time.Duration) {
-		for name, at := range s.heardAt {
-			s.heardAt[name] = at.Add(-by)
+		for name, at := range s.lastContact {
+			s.lastContact[name] = at.Add(-by)
 		}
 	}
-	s.peers()
-	age(2 * replaceAfter)
-	require.True(t, s.Silent("a"), "it does not answer")
-
-	working = nil
-	s.peers()
-	require.False(t, s.Silent("a"), "nobody tells this process")
-	s.hear(&peerpb.Identity{Name: "b"}, &peerpb.LoadDigest{})
-	require.True(t, s.Silent("a"), "b tells it")
+	s.peersToCall()
+	age(2 * unresponsiveAfter)
+	require.True(t, s.Silent("a"), "it does not respond")
+
+	membersNow = nil
+	s.peersToCall()
+	require.False(t, s.Silent("a"), "no peer sends digests to this process")
+	s.applyDigest(&peerpb.Identity{Name: "b"}, &peerpb.LoadDigest{})
+	require.True(t, s.Silent("a"), "b sends digests to this process")
 	require.False(t, s.Silent("b"))
 
-	age(2 * replaceAfter)
-	working = all
-	s.peers()
-	require.False(t, s.Silent("a"), "it has just begun to listen")
-	age(2 * replaceAfter)
+	age(2 * unresponsiveAfter)
+	membersNow = all
+	s.peersToCall()
+	require.False(t, s.Silent("a"), "this process has just started to receive digests")
+	age(2 * unresponsiveAfter)
 	require.True(t, s.Silent("a"))
 }
