--- a/internal/cachescan/cachescan.go
+++ b/internal/cachescan/cachescan.go
@@ -1,7 +1,7 @@
-// Package cachescan asks engines, once in the life of a process, what their prefix
-// caches keep. A process learns of later reads from its own work and from its peers; what
-// was read before it started only the engines know, if the other processes were lost too:
-// without it, prompts that an engine keeps are read again elsewhere.
+// Package cachescan lists the prefix caches of the engines once after a process has started. A
+// process learns of later prefills from its own work and from its peers. If all processes failed
+// together, only the engines know which prompts were prefilled before. Without the scan, prompts
+// that one engine has cached would be prefilled again on another one.
 package cachescan
 
 import (
@@ -21,17 +21,17 @@
 )
 
 const (
-	// listTimeout bounds one call.
+	// listTimeout limits one call.
 	listTimeout = 800 * time.Millisecond
-	// atOnce is how many engines are asked at a time.
-	atOnce = 4
-	// scanFor is for how long engines are asked: by then reads tell of the engines that matter. Some 300
-	// engines are asked in half of it; without the bound each scheduler would ask 10,000 for many seconds,
-	// with a new connection each.
-	scanFor = time.Second
+	// maxConcurrent is the number of engines called at a time.
+	maxConcurrent = 4
+	// maxScanTime limits the scan. By then, new prefills show which engines matter. About 300 engines take
+	// half of it. Without the limit, each scheduler would call 10,000 engines for many seconds, with a new
+	// connection for each.
+	maxScanTime = time.Second
 )
 
-// Lister tells what an engine's prefix cache keeps.
+// Lister lists the prompt parts in the prefix cache of an engine.
 type Lister interface {
 	Kept(ctx context.Context, address string) ([]engine.Part, error)
 }
@@ -44,14 +44,14 @@
 	Logger log.Logger
 }
 
-// Run asks each engine of the view once, as far as time allows, and has the placer take in the answers. An
-// engine that is not asked or does not answer is left out: what it keeps will be seen from later reads.
+// Run calls each engine of the view once, as far as time allows, and passes the responses to the placer. An
+// engine that is not called or does not respond is skipped. Its cache contents become known by later prefills.
 func Run(ctx context.Context, o Options) {
 	begun := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, scanFor)
+	ctx, cancel := context.WithTimeout(ctx, maxScanTime)
 	defer cancel()
 	var g errgroup.Group
-	g.SetLimit(atOnce)
+	g.SetLimit(maxConcurrent)
 	var asked atomic.Int64
 	all := 0
 	v := o.View()
@@ -67,7 +67,7 @@
 				break
 			}
 			g.Go(func() error {
-				if ctx.Err() != nil { // it ended while this call waited for its turn
+				if ctx.Err() != nil { // the scan ended while this call was waiting to start
 					return nil
 				}
 				asked.Add(1)
--- a/internal/cachescan/cachescan_test.go
+++ b/internal/cachescan/cachescan_test.go
@@ -22,8 +22,8 @@
 	"github.com/rockdoor/rockdoor/platform"
 )
 
-// TestCachesAreKnownAfterAllProcessesWereLost has an engine read a prompt, and then a new
-// process without peers place another one of the same subject.
+// TestCachesAreKnownAfterAllProcessesWereLost covers a new process without peers. It must place a
+// prompt on the engine that has prefilled another prompt with the same prefix before.
 func TestCachesAreKnownAfterAllProcessesWereLost(t *testing.T) {
 	v := &fleet.View{Config: &fleet.Config{Services: map[string]fleet.Service{"m": {Name: "m", KVCapacity: 100_000}}}, Instances: map[string]*fleet.Instance{}}
 	var all []*fleet.Instance
@@ -36,13 +36,13 @@
 		s := httptest.NewServer(e)
 		defer s.Close()
 		if n == 1 {
-			read(t, s.URL)
+			prefill(t, s.URL)
 		}
 		i := &fleet.Instance{ID: id, Born: int64(n + 1), Service: "m", Address: s.Listener.Addr().String(), Domain: "a", Role: role, Slots: 8}
 		v.Instances[id], all = i, append(all, i)
 	}
-	silent := &fleet.Instance{ID: "p-9", Service: "m", Address: "127.0.0.1:1", Domain: "a", Role: engine.RolePrefill}
-	v.Instances["p-9"] = silent
+	unreachable := &fleet.Instance{ID: "p-9", Service: "m", Address: "127.0.0.1:1", Domain: "a", Role: engine.RolePrefill}
+	v.Instances["p-9"] = unreachable
 	v.Index()
 	placer := placement.New("a", nil, nil)
 	Run(context.Background(), Options{
@@ -57,8 +57,8 @@
 	require.Equal(t, 2700, plan.Uncached)
 }
 
-// read has the engine read a prompt.
-func read(t *testing.T, url string) {
+// prefill prefills a prompt on an engine.
+func prefill(t *testing.T, url string) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, url, nil)
 	require.NoError(t, err)
@@ -68,23 +68,23 @@
 	resp.Body.Close()
 }
 
-// slowLister takes a while for each engine, and counts them and those asked when the time was over.
+// slowLister is a lister that takes 5 ms for each engine. It counts all calls, and those after the deadline.
 type slowLister struct {
-	until       time.Time
+	deadline    time.Time
 	asked, late atomic.Int64
 }
 
 func (l *slowLister) Kept(context.Context, string) ([]engine.Part, error) {
 	l.asked.Add(1)
-	if time.Now().After(l.until) {
+	if time.Now().After(l.deadline) {
 		l.late.Add(1)
 	}
 	time.Sleep(5 * time.Millisecond)
 	return nil, nil
 }
 
-// TestAScanIsBounded has a process that starts list 300 and 10,000 engines: what it asks follows the
-// time, not the engines.
+// TestAScanIsBounded scans 300 and 10,000 engines. The number of calls must be limited by the time, not
+// only by the number of engines.
 func TestAScanIsBounded(t *testing.T) {
 	for _, n := range []int{300, 10_000} {
 		v := &fleet.View{Config: &fleet.Config{Services: map[string]fleet.Service{"m": {Name: "m", KVCapacity: 100_000}}}, Instances: map[string]*fleet.Instance{}}
@@ -96,12 +96,12 @@
 		lister := &slowLister{}
 		synctest.Test(t, func(t *testing.T) {
 			begun := time.Now()
-			lister.until = begun.Add(scanFor)
+			lister.deadline = begun.Add(maxScanTime)
 			Run(context.Background(), Options{View: func() *fleet.View { return v }, Lister: lister, Placer: placement.New("a", nil, nil), Logger: log.NewNopLogger()})
-			require.LessOrEqual(t, time.Since(begun), scanFor+listTimeout)
+			require.LessOrEqual(t, time.Since(begun), maxScanTime+listTimeout)
 		})
-		inTime := atOnce * int(scanFor/(5*time.Millisecond))
-		require.InDelta(t, min(n, inTime), lister.asked.Load(), atOnce, "%d engines", n)
-		require.Zero(t, lister.late.Load(), "asked after the time was over")
+		inTime := maxConcurrent * int(maxScanTime/(5*time.Millisecond))
+		require.InDelta(t, min(n, inTime), lister.asked.Load(), maxConcurrent, "%d engines", n)
+		require.Zero(t, lister.late.Load(), "called after the end of the scan")
 	}
 }
