--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -1,5 +1,5 @@
-// Package suspects tells the processes of a deployment which requests ended the instances
-// that ran them.
+// Package suspects exchanges observations between the processes of a deployment about which
+// requests crashed the instances that ran them.
 package suspects
 
 import (
@@ -20,20 +20,20 @@
 )
 
 const (
-	// gather is how long what is observed is collected before it is told: all requests in hand
-	// at an engine break off together when it ends.
-	gather = 10 * time.Millisecond
-	// askEvery is how often one other process is asked for what was missed.
-	askEvery = time.Second
-	// askFirst is how often others are asked by a process that has just started and knows nothing,
-	// until one has answered, or for firstTime: it would have requests end engines that all others
-	// refuse.
-	askFirst  = 20 * time.Millisecond
-	firstTime = 2 * time.Second
-	// callTimeout bounds one exchange.
+	// batchDelay is how long observations are collected before they are sent: when an engine
+	// crashes, all requests in flight there fail together.
+	batchDelay = 10 * time.Millisecond
+	// pollInterval is how often one random process is asked for missed observations.
+	pollInterval = time.Second
+	// startupPollInterval is how often a process that has just started asks others, until another
+	// process has responded or startupPeriod is over. Without observations it would let requests
+	// crash engines that all other processes reject.
+	startupPollInterval = 20 * time.Millisecond
+	startupPeriod       = 2 * time.Second
+	// callTimeout limits one exchange.
 	callTimeout = 500 * time.Millisecond
-	// maxNews bounds the observations of one message; the rest follows with the next.
-	maxNews = 2000
+	// maxObservations limits the observations in one message. The rest follows in the next ones.
+	maxObservations = 2000
 )
 
 // Options of a Sharer.
@@ -42,7 +42,7 @@
 	Run       string
 	Table     *quarantine.Table
 	Transport *peer.Transport
-	// Peers returns the processes that are told, without this one.
+	// Peers returns the processes to exchange observations with, without this process.
 	Peers  func() []members.Member
 	Logger log.Logger
 }
@@ -51,53 +51,53 @@
 type Sharer struct {
 	o      Options
 	logger log.Logger
-	// heard is true once another process has answered.
-	heard atomic.Bool
+	// synced is true once another process has responded.
+	synced atomic.Bool
 
-	mu   sync.Mutex
-	told map[string]told // by peer
+	mu         sync.Mutex
+	peerStates map[string]peerState // by peer
 }
 
-// told is how far a peer and this process have told each other of what they know.
-type told struct {
-	// run is the peer's: its numbers begin anew with each.
+// peerState is how far a peer and this process have synchronized their observations.
+type peerState struct {
+	// run is that of the peer. Each run of a process numbers its observations anew.
 	run string
-	// has is the number of the newest observation here that the peer has, seen that of the newest
-	// one there that this process has.
-	has, seen uint64
+	// acked is the number of the newest observation of this process that the peer has, received
+	// that of the newest observation of the peer that this process has.
+	acked, received uint64
 }
 
-// New returns a sharer that has to be run.
+// New returns a sharer. The caller must call Run.
 func New(o Options) *Sharer {
-	return &Sharer{o: o, logger: log.With(o.Logger, "component", "suspects"), told: map[string]told{}}
+	return &Sharer{o: o, logger: log.With(o.Logger, "component", "suspects"), peerStates: map[string]peerState{}}
 }
 
-// Run tells others what is new at once, and asks one of them each second, until ctx ends.
+// Run sends new observations immediately and exchanges with one random process each second, until ctx ends.
 func (s *Sharer) Run(ctx context.Context) error {
-	tick := time.NewTicker(askFirst)
+	tick := time.NewTicker(startupPollInterval)
 	defer tick.Stop()
 	begun, first := bootclock.Now(), true
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-s.o.Table.News():
-			time.Sleep(gather)
-			s.tell(ctx, s.o.Peers())
+			time.Sleep(batchDelay)
+			s.exchangeAll(ctx, s.o.Peers())
 		case <-tick.C:
-			if first && (s.heard.Load() || bootclock.Since(begun) > firstTime) {
+			if first && (s.synced.Load() || bootclock.Since(begun) > startupPeriod) {
 				first = false
-				tick.Reset(askEvery)
+				tick.Reset(pollInterval)
 			}
 			if peers := s.o.Peers(); len(peers) > 0 {
-				s.tell(ctx, []members.Member{peers[rand.IntN(len(peers))]})
+				s.exchangeAll(ctx, []members.Member{peers[rand.IntN(len(peers))]})
 			}
 		}
 	}
 	return nil
 }
 
-// tell exchanges observations with some processes. It does not wait for them.
-func (s *Sharer) tell(ctx context.Context, peers []members.Member) {
+// exchangeAll exchanges observations with the given processes. It does not wait for the responses.
+func (s *Sharer) exchangeAll(ctx context.Context, peers []members.Member) {
 	for _, p := range peers {
 		go s.exchange(ctx, p)
 	}
@@ -106,29 +106,29 @@
 func (s *Sharer) exchange(ctx context.Context, p members.Member) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	resp, err := s.o.Transport.Call(ctx, p.Peer, &peerpb.Request{Body: &peerpb.Request_Crashes{Crashes: s.message(p.Name)}})
+	resp, err := s.o.Transport.Call(ctx, p.Peer, &peerpb.Request{Body: &peerpb.Request_Crashes{Crashes: s.newMessage(p.Name)}})
 	if err != nil {
-		level.Debug(s.logger).Log("msg", "ends of instances not told", "peer", p.Name, "err", err)
+		level.Debug(s.logger).Log("msg", "crashes of instances not sent", "peer", p.Name, "err", err)
 		return
 	}
-	s.hear(resp.GetFrom().GetName(), resp.GetCrashes())
-	s.heard.Store(true)
+	s.applyMessage(resp.GetFrom().GetName(), resp.GetCrashes())
+	s.synced.Store(true)
 }
 
 // HandlePeer implements peer.Handler.
 func (s *Sharer) HandlePeer(_ context.Context, req *peerpb.Request) *peerpb.Response {
 	name := req.GetFrom().GetName()
-	s.hear(name, req.GetCrashes())
-	return &peerpb.Response{Body: &peerpb.Response_Crashes{Crashes: s.message(name)}}
+	s.applyMessage(name, req.GetCrashes())
+	return &peerpb.Response{Body: &peerpb.Response_Crashes{Crashes: s.newMessage(name)}}
 }
 
-// message tells a peer what it is not known to have.
-func (s *Sharer) message(peer string) *peerpb.Crashes {
+// newMessage returns a message with the observations that a peer is not known to have.
+func (s *Sharer) newMessage(peer string) *peerpb.Crashes {
 	s.mu.Lock()
-	t := s.told[peer]
+	t := s.peerStates[peer]
 	s.mu.Unlock()
-	news, last := s.o.Table.After(t.has, maxNews)
-	m := &peerpb.Crashes{Run: s.o.Run, After: t.has, Last: last, SeenRun: t.run, Seen: t.seen}
+	news, last := s.o.Table.After(t.acked, maxObservations)
+	m := &peerpb.Crashes{Run: s.o.Run, After: t.acked, Last: last, SeenRun: t.run, Seen: t.received}
 	for _, o := range news {
 		age := max(bootclock.Since(o.At), 0)
 		m.News = append(m.News, &peerpb.Crash{Request: o.Request[:], Instance: o.Instance, RanMs: uint32(o.Ran.Milliseconds()), AgeMs: uint32(age.Milliseconds())})
@@ -136,30 +136,30 @@
 	return m
 }
 
-// hear takes in what a peer knows, and how much of what this process knows it has.
-func (s *Sharer) hear(peer string, m *peerpb.Crashes) {
+// applyMessage applies the observations of a peer and records which of this process's observations the peer has.
+func (s *Sharer) applyMessage(peer string, m *peerpb.Crashes) {
 	s.o.Table.Learn(decode(m.GetNews()))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.told[peer]
+	t := s.peerStates[peer]
 	if t.run != m.GetRun() {
-		t = told{run: m.GetRun()}
+		t = peerState{run: m.GetRun()}
 	}
-	if m.GetAfter() <= t.seen { // otherwise some are missing in between: it does not know that this process is new
-		t.seen = max(t.seen, m.GetLast())
+	if m.GetAfter() <= t.received { // otherwise observations before After are missing: the peer does not know that this process has restarted
+		t.received = max(t.received, m.GetLast())
 	}
-	t.has = 0
+	t.acked = 0
 	if m.GetSeenRun() == s.o.Run {
-		t.has = m.GetSeen()
+		t.acked = m.GetSeen()
 	}
-	s.told[peer] = t
+	s.peerStates[peer] = t
 }
 
 func decode(news []*peerpb.Crash) []quarantine.Observation {
 	var out []quarantine.Observation
 	for _, c := range news {
 		if len(c.GetRequest()) != len(quarantine.Fingerprint{}) {
-			continue // of a version that names requests otherwise
+			continue // sent by a version with different fingerprints
 		}
 		at := bootclock.Now().Add(-time.Duration(c.GetAgeMs()) * time.Millisecond)
 		out = append(out, quarantine.Observation{Request: quarantine.Fingerprint(c.GetRequest()), Instance: c.GetInstance(), Ran: time.Duration(c.GetRanMs()) * time.Millisecond, At: at})
--- a/internal/suspects/suspects_test.go
+++ b/internal/suspects/suspects_test.go
@@ -11,18 +11,18 @@
 	"github.com/rockdoor/rockdoor/quarantine"
 )
 
-// wayTime is how long a message takes here; ages are told without it.
-const wayTime = 3 * time.Millisecond
+// transitTime is the transit time of a message, which the ages in it do not include.
+const transitTime = 3 * time.Millisecond
 
-// say has one process tell another what it knows, and reports whether there was news.
-func say(from, to *Sharer) bool {
-	m := from.message(to.o.Run)
-	time.Sleep(wayTime)
-	to.hear(from.o.Run, m)
+// deliver sends a message from one process to another and reports whether it had observations.
+func deliver(from, to *Sharer) bool {
+	m := from.newMessage(to.o.Run)
+	time.Sleep(transitTime)
+	to.applyMessage(from.o.Run, m)
 	return len(m.GetNews()) > 0
 }
 
-func sharers(n int) []*Sharer {
+func newSharers(n int) []*Sharer {
 	var out []*Sharer
 	for i := range n {
 		out = append(out, New(Options{Run: fmt.Sprint("p-", i), Table: quarantine.NewTable(), Logger: nopLogger{}}))
@@ -34,55 +34,55 @@
 
 func (nopLogger) Log(...any) error { return nil }
 
-// TestWhatIsToldComesToRest has processes tell each other of more ends than are kept and of good
-// runs. Ages don't count the way of a message, so that each process took what it was
-// told for later than what it had, told that on, and was told again: the processes of a small fleet
-// did nothing else any more, at a sixth of a core each.
+// TestWhatIsToldComesToRest exchanges more crashes than are stored, and successful runs. Ages do not
+// include the transit time of a message. So each process considered received observations newer than
+// its own, sent them on, and received them again. The processes of a small fleet exchanged them forever,
+// with a sixth of a core each.
 func TestWhatIsToldComesToRest(t *testing.T) {
-	all := sharers(3)
+	all := newSharers(3)
 	f := quarantine.FingerprintOf("w", "POST", "h", "/", nil)
 	for n := range 20 {
 		all[n%3].o.Table.Ended(f, fmt.Sprint("i-", n), 0)
 	}
-	rest := func() bool {
-		news := false
+	settled := func() bool {
+		sent := false
 		for _, a := range all {
 			for _, b := range all {
-				if a != b && say(a, b) {
-					news = true
+				if a != b && deliver(a, b) {
+					sent = true
 				}
 			}
 		}
-		return !news
+		return !sent
 	}
-	require.Eventually(t, rest, time.Second, time.Millisecond)
+	require.Eventually(t, settled, time.Second, time.Millisecond)
 	for _, s := range all {
 		require.True(t, s.o.Table.Look(f).Refused)
 	}
 	all[1].o.Table.Sound(f)
-	require.Eventually(t, rest, time.Second, time.Millisecond)
+	require.Eventually(t, settled, time.Second, time.Millisecond)
 	for _, s := range all {
 		require.False(t, s.o.Table.Look(f).Refused)
 	}
 }
 
-// TestProcessThatStartsAgainIsToldAll covers a peer that has lost what it knew.
+// TestProcessThatStartsAgainIsToldAll covers a peer that lost its observations in a restart.
 func TestProcessThatStartsAgainIsToldAll(t *testing.T) {
-	all := sharers(2)
+	all := newSharers(2)
 	f := quarantine.FingerprintOf("w", "POST", "h", "/", nil)
 	for n := range 3 {
 		all[0].o.Table.Ended(f, fmt.Sprint("i-", n), 0)
 	}
-	say(all[0], all[1])
-	say(all[1], all[0])
-	young := New(Options{Run: "p-1", Table: quarantine.NewTable(), Logger: nopLogger{}})
-	young.o.Run = "again"
-	m := all[0].message("p-1")
-	require.Empty(t, m.GetNews(), "it does not know yet")
-	young.hear("p-0", m)
-	all[0].hear("p-1", young.message("p-0"))
-	young.hear("p-0", all[0].message("p-1"))
-	require.True(t, young.o.Table.Look(f).Refused)
-	young.hear("p-0", &peerpb.Crashes{Run: "p-0", News: []*peerpb.Crash{{Request: []byte("short"), Instance: "i"}}})
-	require.Len(t, young.o.Table.Suspects(), 1, "names of another version are left out")
+	deliver(all[0], all[1])
+	deliver(all[1], all[0])
+	restarted := New(Options{Run: "p-1", Table: quarantine.NewTable(), Logger: nopLogger{}})
+	restarted.o.Run = "again"
+	m := all[0].newMessage("p-1")
+	require.Empty(t, m.GetNews(), "the restart is not known yet")
+	restarted.applyMessage("p-0", m)
+	all[0].applyMessage("p-1", restarted.newMessage("p-0"))
+	restarted.applyMessage("p-0", all[0].newMessage("p-1"))
+	require.True(t, restarted.o.Table.Look(f).Refused)
+	restarted.applyMessage("p-0", &peerpb.Crashes{Run: "p-0", News: []*peerpb.Crash{{Request: []byte("short"), Instance: "i"}}})
+	require.Len(t, restarted.o.Table.Suspects(), 1, "fingerprints of another version are ignored")
 }
--- a/internal/suspects/watch.go
+++ b/internal/suspects/watch.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// endedWait is how long a request waits to hear whether its instance has ended, so that
-	// the next attempt knows; after it the answer is awaited beside.
-	endedWait = 20 * time.Millisecond
-	// endedTimeout bounds that answer. A host that is dark gives none.
-	endedTimeout = time.Second
+	// crashCheckWait is how long a request waits to learn whether its instance has crashed, so that
+	// the next attempt can take it into account. After that the check continues in the background.
+	crashCheckWait = 20 * time.Millisecond
+	// crashCheckTimeout limits the check. A host that has lost power or network does not respond at all.
+	crashCheckTimeout = time.Second
 )
 
-// Watch finds out whether an instance has ended under a request.
+// Watch finds out whether an instance crashed while running a request.
 type Watch struct {
 	Table *quarantine.Table
 	// Refuses reports whether an address refuses connections.
@@ -28,26 +28,26 @@
 	Logger  log.Logger
 }
 
-// Broken is a request whose connection to an instance broke.
+// Broken describes a request whose connection to an instance broke.
 type Broken struct {
-	// Request is its id in logs.
+	// Request is the ID of the request in logs.
 	Request     string
 	Fingerprint quarantine.Fingerprint
-	// Instance names the run of the instance, Address is where it was.
+	// Instance names the run of the instance, Address is its address.
 	Instance string
 	Address  string
-	// Ran is how long the request had been there.
+	// Ran is how long the request had been running.
 	Ran time.Duration
 }
 
-// Broke takes in that a connection broke while an instance may have been at work on a request. That the
-// instance has ended is shown by its port: a broken connection may also be a cut or a
-// reset, of which this process is as likely the cause.
+// Broke handles a connection that broke while an instance may have been running a request. The instance
+// counts as crashed only if its port refuses connections. A connection may also break by a network failure
+// or a reset, which this process is just as likely to have caused.
 func (w *Watch) Broke(b Broken) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		ctx, cancel := context.WithTimeout(context.Background(), endedTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), crashCheckTimeout)
 		defer cancel()
 		if !w.Refuses(ctx, b.Address) {
 			return
@@ -58,11 +58,11 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(endedWait):
+	case <-time.After(crashCheckWait):
 	}
 }
 
-// Refusal returns the error for a request that is refused, where by says how that is known.
+// Refusal returns the error for a quarantined request, where by says how that is known.
 func Refusal(by string) error {
 	return fault.Newf(fault.Denied, "check the request; it is tried again after the time in Retry-After",
 		"instances ended while they ran this request: %s", by)
