--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,8 +1,7 @@
-// Package peer carries calls between rockdoor processes: protobuf messages over
-// one yamux session per pair of processes and direction, whose streams carry one call
-// after another. A call never outlives
-// its deadline, messages are bounded, and a peer that sends garbage only loses
-// its session.
+// Package peer implements calls between rockdoor processes. Calls are protobuf messages
+// over yamux. There is one session per pair of processes and direction, and each stream of
+// a session carries one call after another. A call never outlives its deadline, the size
+// of messages is limited, and a peer that sends garbage loses only its own session.
 package peer
 
 import (
@@ -28,21 +27,21 @@
 )
 
 const (
-	// MaxMessageBytes bounds one message.
+	// MaxMessageBytes limits the size of one message.
 	MaxMessageBytes = 4 << 20
 
 	dialTimeout  = time.Second
 	serveTimeout = 5 * time.Second
-	// maxSessions and maxStreams suffice for one process to serve all the others of a fleet
-	// of some 600, which happens while the processes that share this work are away.
-	maxSessions     = 1024
-	maxStreams      = 4096
-	keepAlive       = 5 * time.Second
-	sessionTimeout  = 3 * time.Second
-	acceptRetryWait = 20 * time.Millisecond
+	// maxSessions and maxStreams are enough for one process to serve all others of a fleet of
+	// about 600, which happens while the processes that usually share this work are unavailable.
+	maxSessions       = 1024
+	maxStreams        = 4096
+	keepAliveInterval = 5 * time.Second
+	sessionTimeout    = 3 * time.Second
+	acceptRetryDelay  = 20 * time.Millisecond
 )
 
-// Handler answers calls. It must not keep the request.
+// Handler handles calls. It must not retain the request.
 type Handler interface {
 	HandlePeer(ctx context.Context, req *peerpb.Request) *peerpb.Response
 }
@@ -64,7 +63,7 @@
 	wg       sync.WaitGroup
 }
 
-// NewTransport returns a transport that calls as self and answers by handler.
+// NewTransport returns a transport that identifies itself as self and passes incoming calls to handler.
 func NewTransport(self *peerpb.Identity, handler Handler, reg metrics.Registry, logger log.Logger) *Transport {
 	return &Transport{
 		self:     self,
@@ -80,7 +79,7 @@
 
 func sessionConfig() *yamux.Config {
 	cfg := yamux.DefaultConfig()
-	cfg.KeepAliveInterval = keepAlive
+	cfg.KeepAliveInterval = keepAliveInterval
 	cfg.ConnectionWriteTimeout = sessionTimeout
 	cfg.StreamOpenTimeout = sessionTimeout
 	cfg.StreamCloseTimeout = sessionTimeout
@@ -100,7 +99,7 @@
 				return err
 			}
 			level.Warn(t.logger).Log("msg", "accept failed", "err", err)
-			time.Sleep(acceptRetryWait)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		t.accept(conn)
@@ -161,14 +160,14 @@
 	}
 }
 
-// serveStream answers the calls of a stream until its caller closes it. An error means
-// that the peer broke the protocol.
+// serveStream serves the calls of a stream until its caller closes it. An error means
+// that the peer violated the protocol.
 func (t *Transport) serveStream(stream *stream) error {
 	defer stream.Close()
 	for {
-		_ = stream.SetDeadline(time.Now().Add(serveIdle)) // fails only on a closed stream, which the next line notices
-		if _, err := stream.in.Peek(1); err != nil {
-			return nil // the caller is done, or has left
+		_ = stream.SetDeadline(time.Now().Add(serverIdleTimeout)) // fails only on a closed stream, which Peek reports too
+		if _, err := stream.reader.Peek(1); err != nil {
+			return nil // the caller closed the stream, or was lost
 		}
 		if err := t.serveCall(stream); err != nil {
 			return err
@@ -176,13 +175,13 @@
 	}
 }
 
-// serveCall answers one call.
+// serveCall serves one call.
 func (t *Transport) serveCall(stream *stream) error {
 	ctx, cancel := context.WithTimeout(context.Background(), serveTimeout)
 	defer cancel()
 	_ = stream.SetDeadline(time.Now().Add(serveTimeout))
 	req := &peerpb.Request{}
-	if err := t.read(stream.in, req); err != nil {
+	if err := t.readMessage(stream.reader, req); err != nil {
 		return err
 	}
 	if req.GetFrom().GetName() == "" || req.Body == nil {
@@ -190,26 +189,27 @@
 	}
 	resp := t.handler.HandlePeer(ctx, req)
 	resp.From = t.self
-	n, _ := protodelim.MarshalTo(stream, resp) // a failure means that the caller is gone
-	t.count("out", n)
+	n, _ := protodelim.MarshalTo(stream, resp) // an error means that the caller is unreachable
+	t.countBytes("out", n)
 	return nil
 }
 
-func (t *Transport) read(r protodelim.Reader, m proto.Message) error {
+func (t *Transport) readMessage(r protodelim.Reader, m proto.Message) error {
 	opts := protodelim.UnmarshalOptions{MaxSize: MaxMessageBytes}
 	if err := opts.UnmarshalFrom(r, m); err != nil {
 		return err
 	}
-	t.count("in", proto.Size(m))
+	t.countBytes("in", proto.Size(m))
 	return nil
 }
 
-func (t *Transport) count(direction string, n int) {
+func (t *Transport) countBytes(direction string, n int) {
 	metrics.GetOrRegisterCounter("peer.bytes_"+direction, t.reg).Inc(int64(n))
 }
 
-// Call sends req to the process at address and returns its answer. The error
-// is Unavailable if no byte of the call was sent and Unknown otherwise.
+// Call sends req to the process at address and returns its response. The error is
+// Unavailable if nothing of the call was sent, Denied if the peer rejected it, and
+// Unknown otherwise.
 func (t *Transport) Call(ctx context.Context, address string, req *peerpb.Request) (*peerpb.Response, error) {
 	stream, err := t.open(ctx, address)
 	if err != nil {
@@ -220,18 +220,18 @@
 		stream.Close()
 		return nil, err
 	}
-	if ctx.Err() == nil { // otherwise its deadline is being changed
-		t.keep(address, stream)
+	if ctx.Err() == nil { // otherwise the stream's deadline is being changed
+		t.keepIdle(address, stream)
 	} else {
 		stream.Close()
 	}
 	if resp.Error != "" {
-		return nil, fault.New(fault.Denied, "peer "+address+" refused: "+resp.Error, "see the log of that process")
+		return nil, fault.New(fault.Denied, "peer "+address+" rejected the call: "+resp.Error, "see the log of that process")
 	}
 	return resp, nil
 }
 
-// call sends req on a stream and waits for the answer.
+// call sends req on a stream and waits for the response.
 func (t *Transport) call(ctx context.Context, address string, stream *stream, req *peerpb.Request) (*peerpb.Response, error) {
 	if deadline, ok := ctx.Deadline(); ok {
 		_ = stream.SetDeadline(deadline)
@@ -240,23 +240,23 @@
 	defer stop()
 	req.From = t.self
 	n, err := protodelim.MarshalTo(stream, req)
-	t.count("out", n)
+	t.countBytes("out", n)
 	if err != nil {
-		t.drop(address, stream.session)
-		return nil, fault.Wrap(err, fault.Unknown, "call to peer "+address+" was cut", "the call may have arrived")
+		t.dropSession(address, stream.session)
+		return nil, fault.Wrap(err, fault.Unknown, "connection to peer "+address+" broke during the call", "the call may have arrived")
 	}
 	resp := &peerpb.Response{}
-	if err := t.read(stream.in, resp); err != nil {
+	if err := t.readMessage(stream.reader, resp); err != nil {
 		if !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, yamux.ErrTimeout) {
-			t.drop(address, stream.session) // a peer that answers nothing has ended the session
+			t.dropSession(address, stream.session) // the session has probably ended
 		}
-		return nil, fault.Wrap(err, fault.Unknown, "answer of peer "+address+" was lost", "the call may have arrived")
+		return nil, fault.Wrap(err, fault.Unknown, "response of peer "+address+" was lost", "the call may have arrived")
 	}
 	return resp, nil
 }
 
-// open returns a stream to address. If the session has ended in the meantime it
-// dials once more, which is safe, since nothing of the call has been sent.
+// open returns a stream to address. If the session has ended in the meantime, it dials
+// again. This is safe since nothing of the call has been sent.
 func (t *Transport) open(ctx context.Context, address string) (*stream, error) {
 	if s := t.idleStream(address); s != nil {
 		return s, nil
@@ -270,14 +270,14 @@
 		if err == nil {
 			return stream, nil
 		}
-		t.drop(address, session)
+		t.dropSession(address, session)
 		if attempt > 0 || ctx.Err() != nil {
-			return nil, fault.Wrap(err, fault.Unavailable, "peer "+address+" takes no calls", "check the process and the network between the hosts")
+			return nil, fault.Wrap(err, fault.Unavailable, "peer "+address+" accepts no calls", "check the process and the network between the hosts")
 		}
 	}
 }
 
-// session returns the session to address, dialing if there is none.
+// session returns the session to address, and dials if there is none.
 func (t *Transport) session(ctx context.Context, address string) (*yamux.Session, error) {
 	t.mu.Lock()
 	s := t.dialed[address]
@@ -317,8 +317,8 @@
 	return s, nil
 }
 
-// drop forgets a session that failed.
-func (t *Transport) drop(address string, s *yamux.Session) {
+// dropSession closes a failed session and removes it.
+func (t *Transport) dropSession(address string, s *yamux.Session) {
 	s.Close()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -327,7 +327,7 @@
 	}
 }
 
-// Close ends all sessions and waits for the calls in hand.
+// Close closes all sessions and waits for the calls in flight.
 func (t *Transport) Close() {
 	t.mu.Lock()
 	t.closed = true
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -36,14 +36,14 @@
 	return tr, l.Addr().String()
 }
 
-func beat(n int64) *peerpb.Request {
+func heartbeat(n int64) *peerpb.Request {
 	return &peerpb.Request{Body: &peerpb.Request_Heartbeat{Heartbeat: &peerpb.Heartbeat{ConfigRevision: n}}}
 }
 
 func call(t *testing.T, tr *Transport, address string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	resp, err := tr.Call(ctx, address, beat(3))
+	resp, err := tr.Call(ctx, address, heartbeat(3))
 	if err == nil {
 		require.EqualValues(t, 3, resp.GetHeartbeat().GetConfigRevision())
 		require.Equal(t, "server", resp.GetFrom().GetName())
@@ -58,25 +58,25 @@
 		require.NoError(t, call(t, client, address))
 	}
 	require.Len(t, client.dialed, 1, "one session carries all calls")
-	require.Len(t, client.idle[address], 1, "and one stream those that follow each other")
+	require.Len(t, client.idle[address], 1, "and one stream carries consecutive calls")
 }
 
-// TestStreamThatRestedIsNotUsed checks that a call is not lost on a stream that its
-// other end has closed meanwhile.
+// TestStreamThatRestedIsNotUsed checks that a call is not lost on an idle stream that the
+// other end has closed.
 func TestStreamThatRestedIsNotUsed(t *testing.T) {
 	_, address := serve(t, echo)
 	client, _ := serve(t, echo)
 	require.NoError(t, call(t, client, address))
 	first := client.idle[address][0]
-	first.idleSince = first.idleSince.Add(-idleFor)
+	first.idleSince = first.idleSince.Add(-clientIdleTimeout)
 	require.NoError(t, call(t, client, address))
 	require.NotSame(t, first, client.idle[address][0])
 	client.idle[address][0].session.Close()
-	require.NoError(t, call(t, client, address), "one whose session has ended is not used either")
+	require.NoError(t, call(t, client, address), "a stream whose session has ended is not used either")
 }
 
-// TestCallsAtTheSameTimeGetTheirOwnAnswers checks that calls do not share a stream
-// while they are in hand.
+// TestCallsAtTheSameTimeGetTheirOwnAnswers checks that concurrent calls do not share a
+// stream.
 func TestCallsAtTheSameTimeGetTheirOwnAnswers(t *testing.T) {
 	_, address := serve(t, echo)
 	client, _ := serve(t, echo)
@@ -85,13 +85,13 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			resp, err := client.Call(context.Background(), address, beat(int64(n)))
+			resp, err := client.Call(context.Background(), address, heartbeat(int64(n)))
 			assert.NoError(t, err)
 			assert.EqualValues(t, n, resp.GetHeartbeat().GetConfigRevision())
 		}()
 	}
 	wg.Wait()
-	require.LessOrEqual(t, len(client.idle[address]), maxIdle)
+	require.LessOrEqual(t, len(client.idle[address]), maxIdleStreams)
 }
 
 func TestGarbageOnlyEndsItsOwnSession(t *testing.T) {
@@ -121,7 +121,7 @@
 	client, _ := serve(t, echo)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
-	_, err := client.Call(ctx, address, beat(1))
+	_, err := client.Call(ctx, address, heartbeat(1))
 	require.True(t, fault.Is(err, fault.Unknown), "%v", err)
 	close(release)
 }
@@ -131,21 +131,21 @@
 	dead, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	dead.Close()
-	_, err = client.Call(context.Background(), dead.Addr().String(), beat(1))
+	_, err = client.Call(context.Background(), dead.Addr().String(), heartbeat(1))
 	require.True(t, fault.Is(err, fault.Unavailable))
 	client.Close()
-	_, err = client.Call(context.Background(), address, beat(1))
+	_, err = client.Call(context.Background(), address, heartbeat(1))
 	require.True(t, fault.Is(err, fault.Unavailable))
 }
 
 func FuzzRequest(f *testing.F) {
-	seed, _ := proto.Marshal(beat(7))
+	seed, _ := proto.Marshal(heartbeat(7))
 	f.Add(seed)
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0x0f})
 	tr := NewTransport(&peerpb.Identity{Name: "x"}, handler(echo), metrics.NewRegistry(), log.NewNopLogger())
 	f.Fuzz(func(t *testing.T, data []byte) {
 		req := &peerpb.Request{}
-		if tr.read(strings.NewReader(string(data)), req) != nil {
+		if tr.readMessage(strings.NewReader(string(data)), req) != nil {
 			return
 		}
 		var b strings.Builder
--- a/internal/peer/silence.go
+++ b/internal/peer/silence.go
@@ -8,54 +8,53 @@
 )
 
 const (
-	// silenceFirst and silenceMost bound the pause before a peer that did not answer is
-	// called again.
-	silenceFirst = 250 * time.Millisecond
-	silenceMost  = 4 * time.Second
+	// minBackoff and maxBackoff limit the delay before an unresponsive peer is called again.
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 4 * time.Second
 )
 
-// Silences remembers which peers do not answer. It is safe for concurrent use.
+// Silences tracks the backoff of unresponsive peers. It is safe for concurrent use.
 type Silences struct {
 	mu    sync.Mutex
-	peers map[string]*silence
+	peers map[string]*peerBackoff
 }
 
-// silence is a peer that does not answer.
-type silence struct {
+// peerBackoff is the backoff of an unresponsive peer.
+type peerBackoff struct {
 	until time.Time
-	pause *backoff.ExponentialBackOff
+	delay *backoff.ExponentialBackOff
 }
 
-// NewSilences returns the memory of a process that has called nobody.
-func NewSilences() *Silences { return &Silences{peers: map[string]*silence{}} }
+// NewSilences returns an empty set of backoffs.
+func NewSilences() *Silences { return &Silences{peers: map[string]*peerBackoff{}} }
 
-// Failed records that a peer did not answer, and reports whether that is news.
+// Failed records that a peer did not respond. It returns true for the first failure since its last response.
 func (s *Silences) Failed(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	q, known := s.peers[name]
+	p, known := s.peers[name]
 	if !known {
-		q = &silence{pause: backoff.NewExponentialBackOff()}
-		q.pause.InitialInterval, q.pause.MaxInterval = silenceFirst, silenceMost
-		s.peers[name] = q
+		p = &peerBackoff{delay: backoff.NewExponentialBackOff()}
+		p.delay.InitialInterval, p.delay.MaxInterval = minBackoff, maxBackoff
+		s.peers[name] = p
 	}
-	if now := time.Now(); now.After(q.until) { // calls that fail together count once
-		q.until = now.Add(q.pause.NextBackOff())
+	if now := time.Now(); now.After(p.until) { // concurrent failures count once
+		p.until = now.Add(p.delay.NextBackOff())
 	}
 	return !known
 }
 
-// Answered records that a peer answered.
+// Answered records that a peer responded.
 func (s *Silences) Answered(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.peers, name)
 }
 
-// Resting reports whether a peer is not to be called now.
+// Resting reports whether a peer is in backoff and should not be called.
 func (s *Silences) Resting(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	q := s.peers[name]
-	return q != nil && time.Now().Before(q.until)
+	p := s.peers[name]
+	return p != nil && time.Now().Before(p.until)
 }
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -9,33 +9,33 @@
 )
 
 const (
-	// idleFor is how long a caller keeps a stream without a call. The process that
-	// answers keeps it for serveIdle, so that a call does not meet a stream that has
-	// just been closed there.
-	idleFor   = 5 * time.Second
-	serveIdle = 6 * idleFor
-	// maxIdle bounds the kept streams to one process.
-	maxIdle = 4
+	// clientIdleTimeout is how long a caller keeps an idle stream. The serving process keeps
+	// it for the longer serverIdleTimeout, so that a call does not use a stream that has just
+	// been closed there.
+	clientIdleTimeout = 5 * time.Second
+	serverIdleTimeout = 6 * clientIdleTimeout
+	// maxIdleStreams limits the idle streams to one process.
+	maxIdleStreams = 4
 )
 
-// stream carries one call after another.
+// stream is a yamux stream that carries one call after another.
 type stream struct {
 	*yamux.Stream
 	session *yamux.Session
-	in      *bufio.Reader
+	reader  *bufio.Reader
 	// idleSince is when the last call ended.
 	idleSince time.Time
 }
 
 func newStream(s *yamux.Session, st *yamux.Stream) *stream {
-	return &stream{Stream: st, session: s, in: bufio.NewReader(st)}
+	return &stream{Stream: st, session: s, reader: bufio.NewReader(st)}
 }
 
 func (s *stream) usable(now time.Time) bool {
-	return !s.session.IsClosed() && now.Sub(s.idleSince) < idleFor
+	return !s.session.IsClosed() && now.Sub(s.idleSince) < clientIdleTimeout
 }
 
-// openStream opens a stream of a session, bounded by ctx.
+// openStream opens a stream of a session, limited by ctx.
 func openStream(ctx context.Context, session *yamux.Session) (*stream, error) {
 	type result struct {
 		stream *yamux.Stream
@@ -53,13 +53,13 @@
 		}
 		return newStream(session, r.stream), nil
 	case <-ctx.Done():
-		session.Close() // its backlog is full, so nothing answers there
+		session.Close() // its accept backlog is full, so nothing is served there
 		return nil, ctx.Err()
 	}
 }
 
-// idleStream returns a kept stream to a process, nil if there is none. Streams that
-// have rested for too long are closed.
+// idleStream returns an idle stream to a process, or nil if there is none. It closes streams
+// that have been idle for too long.
 func (t *Transport) idleStream(address string) *stream {
 	now := time.Now()
 	t.mu.Lock()
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// keep makes a stream carry the next call to a process.
-func (t *Transport) keep(address string, s *stream) {
+// keepIdle keeps a stream for the next call to a process.
+func (t *Transport) keepIdle(address string, s *stream) {
 	if s.SetDeadline(time.Time{}) != nil {
 		s.Close()
 		return
@@ -85,7 +85,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	all := t.idle[address]
-	if t.closed || len(all) >= maxIdle {
+	if t.closed || len(all) >= maxIdleStreams {
 		s.Close()
 		return
 	}
