--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -132,7 +132,7 @@
 		ticket.Cancel()
 		time.Sleep(3 * unlistedGrace)
 	}
-	t.Fatal("no scheduler responds")
+	t.Fatal("no scheduler answers")
 	return placement.Plan{}, nil
 }
 
