--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -74,7 +74,7 @@
 	logger log.Logger
 	// recheck has an entry if this process may have lost its registration.
 	recheck chan struct{}
-	// restored has an entry if the store was restored from a backup that may lack the registration.
+	// restored has an entry if the store was restored from an older snapshot that may lack the registration.
 	restored chan struct{}
 	// staleListTime is the constant of that name, except in tests.
 	staleListTime time.Duration
@@ -276,8 +276,8 @@
 	}
 }
 
-// RegisterAnew makes this process register again after the store was restored from a backup that may lack its
-// registration.
+// RegisterAnew makes this process register again after the store was restored from an older snapshot that may
+// lack its registration.
 func (s *Sharer) RegisterAnew() {
 	select {
 	case s.restored <- struct{}{}:
--- a/internal/ratelimit/sharer.go
+++ b/internal/ratelimit/sharer.go
@@ -202,8 +202,8 @@
 }
 
 // contactEarlierDeciders calls the deciders with a lower name while this process is the coordinator. A process that
-// has just become a decider may not be known to those that are in contact with each other. Without these calls it
-// would grant requests in addition to the coordinator of the others.
+// has taken the place of another decider may not be known to those that are in contact with each other. Without these
+// calls it would grant requests in addition to the coordinator of the others.
 func (s *Sharer) contactEarlierDeciders(ctx context.Context) {
 	coordinator, _, _ := s.coordination()
 	if coordinator.Name != s.o.Self {
--- a/internal/scheduler/client.go
+++ b/internal/scheduler/client.go
@@ -88,7 +88,7 @@
 func NewClient(o Options) *Client {
 	o.setDefaults()
 	c := &Client{o: o, logger: log.With(o.Logger, "component", "scheduler"), local: Local(o.Placer)}
-	c.ranking = &ranking{self: o.Self, silences: peer.NewSilences(), logger: c.logger}
+	c.ranking = &ranking{self: o.Self, backoffs: peer.NewSilences(), logger: c.logger}
 	c.reports = newReporter(c)
 	return c
 }
--- a/internal/scheduler/directory.go
+++ b/internal/scheduler/directory.go
@@ -15,7 +15,7 @@
 // ranking determines the order in which a process calls the schedulers.
 type ranking struct {
 	self     members.Member
-	silences *peer.Silences
+	backoffs *peer.Silences
 	logger   log.Logger
 }
 
@@ -28,7 +28,7 @@
 	for _, m := range all {
 		switch {
 		case m.Name == d.self.Name:
-		case d.silences.Resting(m.Name):
+		case d.backoffs.Resting(m.Name):
 			resting = append(resting, m)
 		case m.Domain == d.self.Domain:
 			near = append(near, m)
@@ -46,9 +46,9 @@
 }
 
 func (d *ranking) failed(m members.Member, err error) {
-	if d.silences.Failed(m.Name) {
+	if d.backoffs.Failed(m.Name) {
 		level.Info(d.logger).Log("msg", "scheduler does not respond", "scheduler", m.Name, "address", m.Peer, "err", err)
 	}
 }
 
-func (d *ranking) answered(m members.Member) { d.silences.Answered(m.Name) }
+func (d *ranking) answered(m members.Member) { d.backoffs.Answered(m.Name) }
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -76,7 +76,7 @@
 func (s *Sharer) Run(ctx context.Context) error {
 	tick := time.NewTicker(startupPollInterval)
 	defer tick.Stop()
-	begun, first := bootclock.Now(), true
+	begun, startup := bootclock.Now(), true
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
@@ -84,8 +84,8 @@
 			time.Sleep(batchDelay)
 			s.exchangeAll(ctx, s.o.Peers())
 		case <-tick.C:
-			if first && (s.synced.Load() || bootclock.Since(begun) > startupPeriod) {
-				first = false
+			if startup && (s.synced.Load() || bootclock.Since(begun) > startupPeriod) {
+				startup = false
 				tick.Reset(pollInterval)
 			}
 			if peers := s.o.Peers(); len(peers) > 0 {
@@ -127,9 +127,9 @@
 	s.mu.Lock()
 	t := s.peerStates[peer]
 	s.mu.Unlock()
-	news, last := s.o.Table.After(t.acked, maxObservations)
+	observations, last := s.o.Table.After(t.acked, maxObservations)
 	m := &peerpb.Crashes{Run: s.o.Run, After: t.acked, Last: last, SeenRun: t.run, Seen: t.received}
-	for _, o := range news {
+	for _, o := range observations {
 		age := max(bootclock.Since(o.At), 0)
 		m.News = append(m.News, &peerpb.Crash{Request: o.Request[:], Instance: o.Instance, RanMs: uint32(o.Ran.Milliseconds()), AgeMs: uint32(age.Milliseconds())})
 	}
@@ -155,9 +155,9 @@
 	s.peerStates[peer] = t
 }
 
-func decode(news []*peerpb.Crash) []quarantine.Observation {
+func decode(crashes []*peerpb.Crash) []quarantine.Observation {
 	var out []quarantine.Observation
-	for _, c := range news {
+	for _, c := range crashes {
 		if len(c.GetRequest()) != len(quarantine.Fingerprint{}) {
 			continue // sent by a version with different fingerprints
 		}
