--- a/internal/loadshare/digest.go
+++ b/internal/loadshare/digest.go
@@ -27,21 +27,21 @@
 }
 
 // newDigest returns a digest of the work of this process for a peer.
-func (s *Sharer) newDigest(peer string) *peerpb.LoadDigest {
+func (s *Syncer) newDigest(peer string) *peerpb.LoadDigest {
 	s.mu.Lock()
 	t := s.peerStates[peer]
 	s.mu.Unlock()
-	d := &peerpb.LoadDigest{SeenRead: t.received, ClockUs: s.o.Clock.Own().UnixMicro()}
-	for id, role := range s.o.Changing() {
+	d := &peerpb.LoadDigest{SeenRead: t.received, ClockUs: s.o.Clock.HostTime().UnixMicro()}
+	for id, role := range s.o.RoleChanges() {
 		d.Changing = append(d.Changing, &peerpb.RoleChange{Instance: id, Role: string(role)})
 	}
-	for id, l := range s.o.Placer.Own() {
+	for id, l := range s.o.Placer.LocalLoads() {
 		d.Instances = append(d.Instances, &peerpb.InstanceLoad{
-			Instance: id, Requests: uint32(l.Requests), Unread: encodeUnread(l.Unread), Starting: uint32(l.Starting), Long: uint32(l.Long),
+			Instance: id, Requests: uint32(l.Requests), Unread: encodeUnread(l.Pending), Starting: uint32(l.Starting), Long: uint32(l.LongResponses),
 		})
 	}
-	var reads []placement.Read
-	reads, d.LastRead = s.o.Placer.ReadsAfter(t.acked)
+	var reads []placement.Prefill
+	reads, d.LastRead = s.o.Placer.PrefillsAfter(t.acked)
 	for _, r := range reads {
 		d.Reads = append(d.Reads, encodeRead(r))
 	}
@@ -51,7 +51,7 @@
 // pairsPerUnit is the number of token pairs in one unit of Backlog.Kilopairs.
 const pairsPerUnit = 1000
 
-func encodeUnread(u placement.Unread) []*peerpb.Backlog {
+func encodeUnread(u placement.PendingByRank) []*peerpb.Backlog {
 	var out []*peerpb.Backlog
 	for rank, b := range u {
 		if b != (placement.Backlog{}) {
@@ -62,8 +62,8 @@
 }
 
 // decodeUnread decodes the backlog sent by a peer. Unknown ranks are treated as the last one.
-func decodeUnread(list []*peerpb.Backlog) placement.Unread {
-	var out placement.Unread
+func decodeUnread(list []*peerpb.Backlog) placement.PendingByRank {
+	var out placement.PendingByRank
 	for _, b := range list {
 		rank := min(int(b.GetRank()), len(out)-1)
 		out[rank] = out[rank].Add(placement.Backlog{
@@ -73,8 +73,8 @@
 	return out
 }
 
-func encodeRead(r placement.Read) *peerpb.PromptRead {
-	out := &peerpb.PromptRead{Instance: r.Instance, OwnTokens: uint32(r.Own)}
+func encodeRead(r placement.Prefill) *peerpb.PromptRead {
+	out := &peerpb.PromptRead{Instance: r.Instance, OwnTokens: uint32(r.UnsharedTokens)}
 	for _, p := range r.Parts {
 		out.Parts = append(out.Parts, p.ID)
 		out.Tokens = append(out.Tokens, uint32(p.Tokens))
@@ -83,8 +83,8 @@
 }
 
 // decodeRead decodes a prefill sent by a peer. Parts without a number of tokens are left out.
-func decodeRead(m *peerpb.PromptRead) placement.Read {
-	out := placement.Read{Instance: m.GetInstance(), Own: int(m.GetOwnTokens())}
+func decodeRead(m *peerpb.PromptRead) placement.Prefill {
+	out := placement.Prefill{Instance: m.GetInstance(), UnsharedTokens: int(m.GetOwnTokens())}
 	tokens := m.GetTokens()
 	for n, id := range m.GetParts() {
 		if n < len(tokens) {
@@ -95,12 +95,12 @@
 }
 
 // applyDigest applies a digest received from a peer.
-func (s *Sharer) applyDigest(from *peerpb.Identity, d *peerpb.LoadDigest) {
+func (s *Syncer) applyDigest(from *peerpb.Identity, d *peerpb.LoadDigest) {
 	if d.GetClockUs() != 0 {
-		s.o.Clock.HearPeer(from.GetName(), time.UnixMicro(d.GetClockUs()))
+		s.o.Clock.ObservePeer(from.GetName(), time.UnixMicro(d.GetClockUs()))
 	}
 	for _, r := range s.newReads(from, d) {
-		s.o.Placer.Learn(decodeRead(r))
+		s.o.Placer.ApplyRemotePrefill(decodeRead(r))
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +120,7 @@
 	out := make(map[string]placement.Load, len(list))
 	for _, l := range list {
 		out[l.GetInstance()] = placement.Load{
-			Requests: int(l.GetRequests()), Unread: decodeUnread(l.GetUnread()), Starting: int(l.GetStarting()), Long: int(l.GetLong()),
+			Requests: int(l.GetRequests()), Pending: decodeUnread(l.GetUnread()), Starting: int(l.GetStarting()), LongResponses: int(l.GetLong()),
 		}
 	}
 	return out
@@ -128,7 +128,7 @@
 
 // newReads returns the prefills of a digest that were not received before. Digests may arrive
 // out of order.
-func (s *Sharer) newReads(from *peerpb.Identity, d *peerpb.LoadDigest) []*peerpb.PromptRead {
+func (s *Syncer) newReads(from *peerpb.Identity, d *peerpb.LoadDigest) []*peerpb.PromptRead {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.peerStates[from.GetName()]
@@ -148,7 +148,7 @@
 
 // updateTotals replaces a peer's old digest by its new one in the totals. The cost does not
 // depend on the number of peers. The caller holds the lock.
-func (s *Sharer) updateTotals(old, next digest) {
+func (s *Syncer) updateTotals(old, next digest) {
 	for id, l := range old.loads {
 		if s.totals[id] = s.totals[id].Sub(l); s.totals[id] == (placement.Load{}) {
 			delete(s.totals, id)
@@ -160,7 +160,7 @@
 }
 
 // mergeRoleChanges merges the role changes of all digests. The caller holds the lock.
-func (s *Sharer) mergeRoleChanges() {
+func (s *Syncer) mergeRoleChanges() {
 	changing := map[string]engine.Role{}
 	for _, d := range s.digests {
 		for _, c := range d.roleChanges {
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -59,8 +59,8 @@
 	Transport *peer.Transport
 	// Placer provides the load of this process and learns of prompts prefilled for other processes.
 	Placer *placement.Placer
-	// Changing returns the engines whose role this process is changing, and their new roles.
-	Changing func() map[string]engine.Role
+	// RoleChanges returns the engines whose role this process is changing, and their new roles.
+	RoleChanges func() map[string]engine.Role
 	// Members returns the gateways that exchange digests, or none if this process is not among them.
 	Members func() []members.Member
 	// Clock receives the clock readings of the other gateways' hosts.
@@ -68,8 +68,8 @@
 	Logger log.Logger
 }
 
-// Sharer exchanges load digests with the other gateways.
-type Sharer struct {
+// Syncer exchanges load digests with the other gateways.
+type Syncer struct {
 	o      Options
 	logger log.Logger
 	// recheck has an entry if this process may have lost its registration.
@@ -88,7 +88,7 @@
 	lastContact map[string]time.Time
 	// exchanging is true while this process is one of those that exchange digests.
 	exchanging bool
-	backoffs   *peer.Silences
+	backoffs   *peer.Backoffs
 	// pendingCalls has the peers whose response is pending.
 	pendingCalls map[string]bool
 	totals       map[string]placement.Load
@@ -97,45 +97,45 @@
 }
 
 // New returns a sharer. The caller must call Run.
-func New(o Options) *Sharer {
+func New(o Options) *Syncer {
 	if o.Clock == nil {
 		o.Clock = truetime.New()
 	}
-	return &Sharer{
+	return &Syncer{
 		o: o, logger: log.With(o.Logger, "component", "loadshare"), recheck: make(chan struct{}, 1), restored: make(chan struct{}, 1), staleListTime: staleListTime,
-		digests: map[string]digest{}, peerStates: map[string]peerState{}, lastContact: map[string]time.Time{}, backoffs: peer.NewSilences(), pendingCalls: map[string]bool{}, totals: map[string]placement.Load{},
+		digests: map[string]digest{}, peerStates: map[string]peerState{}, lastContact: map[string]time.Time{}, backoffs: peer.NewBackoffs(), pendingCalls: map[string]bool{}, totals: map[string]placement.Load{},
 	}
 }
 
 // Load returns the work of the other gateways at an instance.
-func (s *Sharer) Load(instance string) placement.Load {
+func (s *Syncer) Load(instance string) placement.Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.totals[instance]
 }
 
-// Changing reports whether another gateway is changing the role of an engine. The role in the
+// IsChangingRole reports whether another gateway is changing the role of an engine. The role in the
 // engine's registration takes precedence over that gateway's digest: the gateway may have lost
 // contact with the store and not see that the change is complete.
-func (s *Sharer) Changing(i *fleet.Instance) bool {
+func (s *Syncer) IsChangingRole(i *fleet.Instance) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	to := s.roleChanges[i.ID]
 	return to != "" && to != i.Role
 }
 
-// Heard returns the names of the other gateways that have sent a digest recently.
-func (s *Sharer) Heard() []string {
+// Reachable returns the names of the other gateways that have sent a digest recently.
+func (s *Syncer) Reachable() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Collect(maps.Keys(s.digests))
 }
 
-// Silent reports whether a peer has been unresponsive for so long that another process takes its
+// Unresponsive reports whether a peer has been unresponsive for so long that another process takes its
 // place. It returns false for all peers if this process no longer receives digests, which happens
 // when it stops working for others. Otherwise it would consider all schedulers unresponsive and
 // place requests in parallel with them for seconds.
-func (s *Sharer) Silent(name string) bool {
+func (s *Syncer) Unresponsive(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at, expected := s.lastContact[name]
@@ -143,7 +143,7 @@
 }
 
 // hasAnyContact reports whether any peer has been in contact recently. The caller holds the lock.
-func (s *Sharer) hasAnyContact() bool {
+func (s *Syncer) hasAnyContact() bool {
 	for _, at := range s.lastContact {
 		if time.Since(at) <= unresponsiveAfter {
 			return true
@@ -154,7 +154,7 @@
 
 // setExchanging records whether this process exchanges digests now. If it starts after having had no contact for a
 // while, the earlier lack of contact is discarded, since it says nothing about the peers. The caller holds the lock.
-func (s *Sharer) setExchanging(exchanging bool) {
+func (s *Syncer) setExchanging(exchanging bool) {
 	if exchanging && !s.exchanging && !s.hasAnyContact() {
 		clear(s.lastContact)
 	}
@@ -162,7 +162,7 @@
 }
 
 // Run registers this process and exchanges digests until ctx ends.
-func (s *Sharer) Run(ctx context.Context) error {
+func (s *Syncer) Run(ctx context.Context) error {
 	go s.stayRegistered(ctx)
 	for {
 		peers := s.peersToCall()
@@ -182,7 +182,7 @@
 // peersToCall returns the members that this process calls now. Of each pair of processes the one
 // with the lower name calls, and the response has the other's digest. A peer whose response is
 // still pending is not called again.
-func (s *Sharer) peersToCall() []members.Member {
+func (s *Syncer) peersToCall() []members.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []members.Member
@@ -192,7 +192,7 @@
 		if _, expected := s.lastContact[m.Name]; !expected {
 			s.lastContact[m.Name] = time.Now()
 		}
-		if m.Name <= s.o.Self.Name || s.pendingCalls[m.Name] || s.backoffs.Resting(m.Name) {
+		if m.Name <= s.o.Self.Name || s.pendingCalls[m.Name] || s.backoffs.InBackoff(m.Name) {
 			continue
 		}
 		s.pendingCalls[m.Name] = true
@@ -201,7 +201,7 @@
 	return out
 }
 
-func (s *Sharer) exchange(ctx context.Context, p members.Member) {
+func (s *Syncer) exchange(ctx context.Context, p members.Member) {
 	defer s.callEnded(p.Name)
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -215,14 +215,14 @@
 }
 
 // callEnded records that a call to a peer has ended.
-func (s *Sharer) callEnded(name string) {
+func (s *Syncer) callEnded(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.pendingCalls, name)
 }
 
 // HandlePeer implements peer.Handler.
-func (s *Sharer) HandlePeer(_ context.Context, req *peerpb.Request) *peerpb.Response {
+func (s *Syncer) HandlePeer(_ context.Context, req *peerpb.Request) *peerpb.Response {
 	loads := req.GetLoads()
 	if loads == nil {
 		return &peerpb.Response{Error: "call is not known"}
@@ -232,18 +232,18 @@
 }
 
 // interval returns the time to wait before the next exchange.
-func (s *Sharer) interval() time.Duration {
+func (s *Syncer) interval() time.Duration {
 	minimum := max(minInterval, time.Duration(len(s.o.Members()))*intervalPerPeer)
-	return max(minimum, idleInterval/time.Duration(1+s.o.Placer.Prompts()))
+	return max(minimum, idleInterval/time.Duration(1+s.o.Placer.PendingPrompts()))
 }
 
 // longestInterval returns the longest interval between two exchanges.
-func (s *Sharer) longestInterval() time.Duration {
+func (s *Syncer) longestInterval() time.Duration {
 	return max(idleInterval, time.Duration(len(s.o.Members()))*intervalPerPeer)
 }
 
 // expireDigests removes the digests of peers that have not been heard from for a while.
-func (s *Sharer) expireDigests(after time.Duration) {
+func (s *Syncer) expireDigests(after time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	dropped := false
@@ -262,23 +262,23 @@
 }
 
 // recordFailure delays the next call to a peer that failed to respond.
-func (s *Sharer) recordFailure(p members.Member, err error) {
+func (s *Syncer) recordFailure(p members.Member, err error) {
 	if s.backoffs.Failed(p.Name) {
 		level.Info(s.logger).Log("msg", "peer does not respond", "peer", p.Name, "address", p.Peer, "err", err)
 	}
 }
 
 // CheckRegistration makes this process register again, unless it has registered within staleListTime.
-func (s *Sharer) CheckRegistration() {
+func (s *Syncer) CheckRegistration() {
 	select {
 	case s.recheck <- struct{}{}:
 	default: // a check is already pending
 	}
 }
 
-// RegisterAnew makes this process register again after the store was restored from an older snapshot that may
+// RegisterAfterRestore makes this process register again after the store was restored from an older snapshot that may
 // lack its registration.
-func (s *Sharer) RegisterAnew() {
+func (s *Syncer) RegisterAfterRestore() {
 	select {
 	case s.restored <- struct{}{}:
 	default: // a registration is already pending
@@ -286,7 +286,7 @@
 }
 
 // stayRegistered registers this process, and again whenever its registration may be missing.
-func (s *Sharer) stayRegistered(ctx context.Context) {
+func (s *Syncer) stayRegistered(ctx context.Context) {
 	s.register(ctx)
 	registered := time.Now()
 	for {
@@ -309,7 +309,7 @@
 }
 
 // register registers this process and retries until it succeeds.
-func (s *Sharer) register(ctx context.Context) {
+func (s *Syncer) register(ctx context.Context) {
 	for {
 		rctx, cancel := context.WithTimeout(ctx, registerTimeout)
 		err := members.Register(rctx, s.o.Store, s.o.Prefix, s.o.Self)
@@ -327,7 +327,7 @@
 }
 
 // Leave removes the registration of this process.
-func (s *Sharer) Leave(ctx context.Context) {
+func (s *Syncer) Leave(ctx context.Context) {
 	s.leaving.Store(true)
 	if err := members.Unregister(ctx, s.o.Store, s.o.Prefix, s.o.Self); err != nil {
 		level.Warn(s.logger).Log("msg", "registration not removed", "err", err)
--- a/internal/peer/silence.go
+++ b/internal/peer/silence.go
@@ -13,8 +13,8 @@
 	maxBackoff = 4 * time.Second
 )
 
-// Silences tracks the backoff of unresponsive peers. It is safe for concurrent use.
-type Silences struct {
+// Backoffs tracks the backoff of unresponsive peers. It is safe for concurrent use.
+type Backoffs struct {
 	mu    sync.Mutex
 	peers map[string]*peerBackoff
 }
@@ -25,11 +25,11 @@
 	delay *backoff.ExponentialBackOff
 }
 
-// NewSilences returns an empty set of backoffs.
-func NewSilences() *Silences { return &Silences{peers: map[string]*peerBackoff{}} }
+// NewBackoffs returns an empty set of backoffs.
+func NewBackoffs() *Backoffs { return &Backoffs{peers: map[string]*peerBackoff{}} }
 
 // Failed records that a peer did not respond. It returns true for the first failure since its last response.
-func (s *Silences) Failed(name string) bool {
+func (s *Backoffs) Failed(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p, known := s.peers[name]
@@ -45,14 +45,14 @@
 }
 
 // Answered records that a peer responded.
-func (s *Silences) Answered(name string) {
+func (s *Backoffs) Answered(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.peers, name)
 }
 
-// Resting reports whether a peer is in backoff and should not be called.
-func (s *Silences) Resting(name string) bool {
+// InBackoff reports whether a peer is in backoff and should not be called.
+func (s *Backoffs) InBackoff(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.peers[name]
--- a/internal/ratelimit/grants.go
+++ b/internal/ratelimit/grants.go
@@ -10,7 +10,7 @@
 type Demand struct {
 	Run string
 	// Known is what the process knows about the limit.
-	Known Statement
+	Known RateReport
 	// Requested is the number of requests it asks for, Expired the number granted earlier that expired unsent.
 	Requested, Expired int
 }
@@ -21,12 +21,12 @@
 	expiresAt bootclock.Instant
 }
 
-// Any reports whether any run of an instance limits its rate.
-func (t *Table) Any() bool { return t.activeLimits.Load() > 0 }
+// AnyLimited reports whether any run of an instance limits its rate.
+func (t *Table) AnyLimited() bool { return t.activeLimits.Load() > 0 }
 
-// Allows reports whether a request may be sent to a run of an instance. The request counts as demand
+// CheckGrant reports whether a request may be sent to a run of an instance. The request counts as demand
 // unless counted says that it has been counted before.
-func (t *Table) Allows(run string, counted bool) bool {
+func (t *Table) CheckGrant(run string, counted bool) bool {
 	if t.activeLimits.Load() == 0 {
 		return true
 	}
@@ -67,9 +67,9 @@
 	}
 }
 
-// Take consumes a grant for a request that is about to be sent to a run of an instance. Granted is true
+// UseGrant consumes a grant for a request that is about to be sent to a run of an instance. Granted is true
 // if the run limits its rate; ok is false if the request may not be sent.
-func (t *Table) Take(run string) (granted, ok bool) {
+func (t *Table) UseGrant(run string) (granted, ok bool) {
 	if t.activeLimits.Load() == 0 {
 		return false, true
 	}
@@ -99,20 +99,20 @@
 	return true
 }
 
-// Request counts a request as demand and consumes a grant for it. It is for requests that are sent without placement.
-func (t *Table) Request(run string) (ok bool) {
-	if !t.Allows(run, false) {
+// TryAcquire counts a request as demand and consumes a grant for it. It is for requests that are sent without placement.
+func (t *Table) TryAcquire(run string) (ok bool) {
+	if !t.CheckGrant(run, false) {
 		return false
 	}
-	_, ok = t.Take(run)
+	_, ok = t.UseGrant(run)
 	return ok
 }
 
-// Withholds reports whether a request that was placed without a grant must not be sent, because its
+// BlocksUngranted reports whether a request that was placed without a grant must not be sent, because its
 // instance limits its rate. The process that placed it does not know the limit, for example because it
 // has just started, or knows that the limit has ended. It is sent the limit known here and responds with
 // what it knows.
-func (t *Table) Withholds(run string) bool {
+func (t *Table) BlocksUngranted(run string) bool {
 	if t.activeLimits.Load() == 0 {
 		return false
 	}
@@ -138,12 +138,12 @@
 	if e == nil {
 		return 0
 	}
-	seconds := (1 + e.demand) / (max(e.PerSecond, minGrantRate) * t.fleet.Part())
+	seconds := (1 + e.demand) / (max(e.PerSecond, minGrantRate) * t.fleet.Share())
 	return time.Duration(min(max(seconds, minRetry.Seconds()), maxRetry.Seconds()) * float64(time.Second))
 }
 
-// Wanted returns the demand of this process for a run, in requests per second.
-func (t *Table) Wanted(run string) float64 {
+// DemandRate returns the demand of this process for a run, in requests per second.
+func (t *Table) DemandRate(run string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.limitedEntry(run)
@@ -156,20 +156,20 @@
 // bucketOf returns the refilled bucket of a limit, or nil if another process is the coordinator. The
 // caller holds the lock.
 func (t *Table) bucketOf(e *entry, now bootclock.Instant) *bucket {
-	if t.fleet.Keeper() != t.self {
+	if t.fleet.Coordinator() != t.self {
 		e.bucket = nil
 		return nil
 	}
 	if e.bucket == nil {
 		opensAt := now
-		if now.Sub(e.Began) > minGrantLifetime { // requests granted by an earlier coordinator may still be sent
+		if now.Sub(e.LimitedSince) > minGrantLifetime { // requests granted by an earlier coordinator may still be sent
 			opensAt = now.Add(e.grantLifetime())
 		}
 		e.bucket = newBucket(opensAt)
 		e.grants, e.expired = nil, 0
 	}
-	rate := max(e.PerSecond, minGrantRate) * t.fleet.Part()
-	if now.Sub(e.Began) < rampUpTime {
+	rate := max(e.PerSecond, minGrantRate) * t.fleet.Share()
+	if now.Sub(e.LimitedSince) < rampUpTime {
 		rate *= rampUpShare
 	}
 	e.bucket.fill(now, rate, e.grantLifetime())
@@ -199,7 +199,7 @@
 		if e.usableGrants(t.now()); e.requested == 0 && e.expired == 0 {
 			continue
 		}
-		out = append(out, Demand{run, e.Statement, e.requested, e.expired})
+		out = append(out, Demand{run, e.RateReport, e.requested, e.expired})
 		e.requested, e.expired = 0, 0
 	}
 	return out
--- a/internal/ratelimit/sharer.go
+++ b/internal/ratelimit/sharer.go
@@ -47,8 +47,8 @@
 type Deciders struct {
 	// All has all deciders of the fleet, including this process if it is one.
 	All []members.Member
-	// Heard has the names of the other deciders that this process receives messages from.
-	Heard []string
+	// Reachable has the names of the other deciders that this process receives messages from.
+	Reachable []string
 	// Processes is the number of all processes, including those that do not place requests.
 	Processes int
 }
@@ -59,14 +59,14 @@
 	Table     *Table
 	Transport *peer.Transport
 	Deciders  func() Deciders
-	// Tell returns the processes to send rate reports to, without this process.
-	Tell   func() []members.Member
+	// Peers returns the processes to send rate reports to, without this process.
+	Peers  func() []members.Member
 	Logger log.Logger
 }
 
-// Sharer exchanges rate reports with other processes and requests grants from the coordinator. It
+// Syncer exchanges rate reports with other processes and requests grants from the coordinator. It
 // implements Fleet.
-type Sharer struct {
+type Syncer struct {
 	o      Options
 	logger log.Logger
 	// synced is true once another process has responded.
@@ -82,26 +82,26 @@
 	lastResponse map[string]bootclock.Instant
 }
 
-// NewSharer returns a sharer. The caller must call Run.
-func NewSharer(o Options) *Sharer {
-	s := &Sharer{o: o, logger: log.With(o.Logger, "component", "ratelimit"), lastResponse: map[string]bootclock.Instant{}}
+// NewSyncer returns a sharer. The caller must call Run.
+func NewSyncer(o Options) *Syncer {
+	s := &Syncer{o: o, logger: log.With(o.Logger, "component", "ratelimit"), lastResponse: map[string]bootclock.Instant{}}
 	o.Table.Join(s)
 	return s
 }
 
-// Keeper implements Fleet. The coordinator is the reachable decider with the lowest name.
-func (s *Sharer) Keeper() string {
+// Coordinator implements Fleet. The coordinator is the reachable decider with the lowest name.
+func (s *Syncer) Coordinator() string {
 	coordinator, _, _ := s.coordination()
 	return coordinator.Name
 }
 
-// Part implements Fleet. If the deciders are partitioned, each side grants only its share.
-func (s *Sharer) Part() float64 {
+// Share implements Fleet. If the deciders are partitioned, each side grants only its share.
+func (s *Syncer) Share() float64 {
 	_, share, _ := s.coordination()
 	return share
 }
 
-func (s *Sharer) coordination() (coordinator members.Member, share float64, deciders int) {
+func (s *Syncer) coordination() (coordinator members.Member, share float64, deciders int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.coordinatorAt == 0 || bootclock.Since(s.coordinatorAt) > coordinatorCacheTime {
@@ -111,18 +111,18 @@
 }
 
 // updateCoordinator determines the coordinator and the share. The caller holds the lock.
-func (s *Sharer) updateCoordinator(d Deciders) {
+func (s *Syncer) updateCoordinator(d Deciders) {
 	before := s.coordinator.Name
 	s.coordinatorAt = bootclock.Now()
 	s.deciders = len(d.All)
 	s.coordinator = members.Member{Name: s.o.Self}
-	if !members.Contain(d.All, s.o.Self) {
+	if !members.Contains(d.All, s.o.Self) {
 		s.share = isolatedShare / float64(max(d.Processes, 1))
 		return
 	}
 	reachable := 0
 	for _, m := range d.All {
-		if m.Name != s.o.Self && !slices.Contains(d.Heard, m.Name) && !s.respondedRecently(m.Name) {
+		if m.Name != s.o.Self && !slices.Contains(d.Reachable, m.Name) && !s.respondedRecently(m.Name) {
 			continue
 		}
 		reachable++
@@ -137,13 +137,13 @@
 }
 
 // respondedRecently reports whether a process has responded to a call recently. The caller holds the lock.
-func (s *Sharer) respondedRecently(name string) bool {
+func (s *Syncer) respondedRecently(name string) bool {
 	at, ok := s.lastResponse[name]
 	return ok && bootclock.Since(at) < contactTimeout
 }
 
 // recordResponse records whether a process has responded to a call.
-func (s *Sharer) recordResponse(name string, responded bool) {
+func (s *Syncer) recordResponse(name string, responded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.coordinatorAt = 0; !responded {
@@ -155,7 +155,7 @@
 
 // Run sends updates to other processes immediately and requests grants from the coordinator while there
 // is demand, until ctx ends.
-func (s *Sharer) Run(ctx context.Context) error {
+func (s *Syncer) Run(ctx context.Context) error {
 	go s.fetchAll(ctx)
 	resend := time.NewTicker(resendInterval)
 	defer resend.Stop()
@@ -174,37 +174,37 @@
 		}
 		time.Sleep(max(batchDelay, s.requestInterval()-bootclock.Since(requestedAt)))
 		requestedAt = bootclock.Now()
-		s.send(ctx, s.o.Table.TakeUpdates(), s.o.Tell())
+		s.send(ctx, s.o.Table.TakeUpdates(), s.o.Peers())
 		s.requestGrants(ctx)
 	}
 }
 
 // requestInterval returns the minimum interval between requests to the coordinator.
-func (s *Sharer) requestInterval() time.Duration {
+func (s *Syncer) requestInterval() time.Duration {
 	_, _, deciders := s.coordination()
 	return min(max(minRequestInterval, time.Duration(deciders)*intervalPerDecider), maxRequestInterval)
 }
 
 // fetchAll requests all limits from other processes after a start.
-func (s *Sharer) fetchAll(ctx context.Context) {
+func (s *Syncer) fetchAll(ctx context.Context) {
 	for begun := bootclock.Now(); ctx.Err() == nil && !s.synced.Load() && bootclock.Since(begun) < startupPeriod; time.Sleep(startupPollInterval) {
-		if m, ok := pickRandom(s.o.Tell()); ok {
+		if m, ok := pickRandom(s.o.Peers()); ok {
 			s.call(ctx, m, &peerpb.RateLimits{All: true})
 		}
 	}
 }
 
 // resend sends all limits to one random process.
-func (s *Sharer) resend(ctx context.Context) {
-	if m, ok := pickRandom(s.o.Tell()); ok {
-		s.send(ctx, s.o.Table.Limits(), []members.Member{m})
+func (s *Syncer) resend(ctx context.Context) {
+	if m, ok := pickRandom(s.o.Peers()); ok {
+		s.send(ctx, s.o.Table.AllLimits(), []members.Member{m})
 	}
 }
 
 // contactEarlierDeciders calls the deciders with a lower name while this process is the coordinator. A process that
 // has taken the place of another decider may not be known to those that are in contact with each other. Without these
 // calls it would grant requests in addition to the coordinator of the others.
-func (s *Sharer) contactEarlierDeciders(ctx context.Context) {
+func (s *Syncer) contactEarlierDeciders(ctx context.Context) {
 	coordinator, _, _ := s.coordination()
 	if coordinator.Name != s.o.Self {
 		return
@@ -224,7 +224,7 @@
 }
 
 // send sends reports to some processes. It does not wait for them.
-func (s *Sharer) send(ctx context.Context, reports map[string]Statement, to []members.Member) {
+func (s *Syncer) send(ctx context.Context, reports map[string]RateReport, to []members.Member) {
 	if len(reports) == 0 {
 		return
 	}
@@ -235,7 +235,7 @@
 }
 
 // requestGrants sends the current demand to the coordinator.
-func (s *Sharer) requestGrants(ctx context.Context) {
+func (s *Syncer) requestGrants(ctx context.Context) {
 	coordinator, _, _ := s.coordination()
 	demand := s.o.Table.TakeDemand()
 	if len(demand) == 0 || coordinator.Name == s.o.Self {
@@ -250,7 +250,7 @@
 }
 
 // call makes one call and applies the response.
-func (s *Sharer) call(ctx context.Context, to members.Member, message *peerpb.RateLimits) {
+func (s *Syncer) call(ctx context.Context, to members.Member, message *peerpb.RateLimits) {
 	begun := bootclock.Now()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -269,12 +269,12 @@
 }
 
 // HandlePeer implements peer.Handler.
-func (s *Sharer) HandlePeer(_ context.Context, req *peerpb.Request) *peerpb.Response {
+func (s *Syncer) HandlePeer(_ context.Context, req *peerpb.Request) *peerpb.Response {
 	from, message := req.GetFrom().GetName(), req.GetRateLimits()
 	s.learn(message.GetLimits(), from)
 	answer := &peerpb.RateLimits{}
 	if message.GetAll() {
-		answer.Limits = encodeAll(s.o.Table.Limits())
+		answer.Limits = encodeAll(s.o.Table.AllLimits())
 	} else {
 		answer.Limits = encodeAll(s.o.Table.reportsFor(message.GetLimits()))
 	}
@@ -286,7 +286,7 @@
 	return &peerpb.Response{Body: &peerpb.Response_RateLimits{RateLimits: answer}}
 }
 
-func (s *Sharer) learn(limits []*peerpb.RateLimit, from string) {
+func (s *Syncer) learn(limits []*peerpb.RateLimit, from string) {
 	now := bootclock.Now()
 	for _, l := range limits {
 		s.o.Table.Learn(l.GetInstance(), from, decode(l, now))
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -51,44 +51,44 @@
 )
 
 const (
-	// GrantWait is the maximum time that a request waits for a grant. A requested grant usually arrives in
+	// MaxGrantWait is the maximum time that a request waits for a grant. A requested grant usually arrives in
 	// that time, and it is better to reject a request immediately than to wait longer.
-	GrantWait = 25 * time.Millisecond
-	// GrantPoll is the interval at which a waiting request checks for a grant.
-	GrantPoll = 4 * time.Millisecond
+	MaxGrantWait = 25 * time.Millisecond
+	// GrantPollInterval is the interval at which a waiting request checks for a grant.
+	GrantPollInterval = 4 * time.Millisecond
 )
 
 // Fleet provides a table with information about the other processes.
 type Fleet interface {
-	// Keeper returns the name of the coordinator, which may be this process.
-	Keeper() string
-	// Part returns the share of each limit that this process may grant while it is the coordinator.
-	Part() float64
+	// Coordinator returns the name of the coordinator, which may be this process.
+	Coordinator() string
+	// Share returns the share of each limit that this process may grant while it is the coordinator.
+	Share() float64
 }
 
-// Statement is the rate limit that one run of an instance last reported.
-type Statement struct {
+// RateReport is the rate limit that one run of an instance last reported.
+type RateReport struct {
 	engine.RateLimit
-	// Sent is when the request was sent whose response had the report, Heard when the response arrived.
-	Sent, Heard bootclock.Instant
-	// Began is when a limit was first reported after there was none.
-	Began bootclock.Instant
+	// SentAt is when the request was sent whose response had the report, Heard when the response arrived.
+	SentAt, ReceivedAt bootclock.Instant
+	// LimitedSince is when a limit was first reported after there was none.
+	LimitedSince bootclock.Instant
 }
 
 // supersededBy reports whether another report replaces this one. Responses may arrive out of order, so
 // the end of a limit is accepted only if its request was sent after the limit was last reported, or if
 // the end was reported some time ago and the limit not again since. Without the second case, a process
 // that is not allowed to send would never learn of the end.
-func (s Statement) supersededBy(next Statement, now bootclock.Instant) bool {
-	if s.Limited && !next.Limited && now.Sub(next.Heard) < overlapWindow {
-		return next.Sent > s.Heard
+func (s RateReport) supersededBy(next RateReport, now bootclock.Instant) bool {
+	if s.Limited && !next.Limited && now.Sub(next.ReceivedAt) < overlapWindow {
+		return next.SentAt > s.ReceivedAt
 	}
-	return next.Heard > s.Heard
+	return next.ReceivedAt > s.ReceivedAt
 }
 
 // entry is the state of one run of an instance.
 type entry struct {
-	Statement
+	RateReport
 	loggedAt bootclock.Instant
 	// changedPosition is the table's position at the last change sent to followers, publishedRate the rate then.
 	changedPosition uint64
@@ -144,7 +144,7 @@
 }
 
 // grantLifetime returns how long granted requests may be sent under a limit.
-func (s Statement) grantLifetime() time.Duration {
+func (s RateReport) grantLifetime() time.Duration {
 	needed := time.Duration(minRequestsPerLifetime / max(s.PerSecond, minGrantRate) * float64(time.Second))
 	return min(max(minGrantLifetime, needed), maxGrantLifetime)
 }
@@ -152,11 +152,11 @@
 // alone is a fleet of one process.
 type alone struct{ self string }
 
-// Keeper implements Fleet.
-func (a alone) Keeper() string { return a.self }
+// Coordinator implements Fleet.
+func (a alone) Coordinator() string { return a.self }
 
-// Part implements Fleet.
-func (a alone) Part() float64 { return 1 }
+// Share implements Fleet.
+func (a alone) Share() float64 { return 1 }
 
 func runAfter(d time.Duration, f func()) { time.AfterFunc(d, f) }
 
@@ -167,8 +167,8 @@
 	t.fleet = f
 }
 
-// Heard applies the rate limit in a response from a run of an instance. The request was sent at sent.
-func (t *Table) Heard(run, request string, l engine.RateLimit, sent bootclock.Instant) {
+// RecordResponse applies the rate limit in a response from a run of an instance. The request was sent at sent.
+func (t *Table) RecordResponse(run, request string, l engine.RateLimit, sent bootclock.Instant) {
 	if l == (engine.RateLimit{}) && t.activeLimits.Load() == 0 {
 		return
 	}
@@ -182,7 +182,7 @@
 		}
 		return
 	}
-	t.learn(run, Statement{l, sent, now, now}, "request", request)
+	t.learn(run, RateReport{l, sent, now, now}, "request", request)
 }
 
 // signal wakes up the goroutine that sends updates and requests grants.
@@ -195,7 +195,7 @@
 
 // learn applies a report if it supersedes the known one, and marks it for sending if the limit changed.
 // It returns whether the report was applied. The caller holds the lock.
-func (t *Table) learn(run string, s Statement, from ...any) bool {
+func (t *Table) learn(run string, s RateReport, from ...any) bool {
 	e := t.all[run]
 	if e == nil {
 		if !s.Limited {
@@ -207,17 +207,17 @@
 	if !e.supersededBy(s, t.now()) {
 		return false
 	}
-	before := e.Statement
+	before := e.RateReport
 	switch {
 	case before.Limited && s.Limited:
-		s.Began = min(s.Began, before.Began)
+		s.LimitedSince = min(s.LimitedSince, before.LimitedSince)
 	case s.Limited:
 		t.activeLimits.Add(1)
 	case before.Limited:
 		e.grants, e.bucket, e.requested, e.expired, e.demand = nil, nil, 0, 0, 0
 		t.activeLimits.Add(-1)
 	}
-	e.Statement = s
+	e.RateReport = s
 	if before.RateLimit == s.RateLimit {
 		return true
 	}
@@ -232,7 +232,7 @@
 }
 
 // log logs a change of the limit of an instance.
-func (t *Table) log(e *entry, run string, before Statement, from []any) {
+func (t *Table) log(e *entry, run string, before RateReport, from []any) {
 	limitedChanged := e.Limited != before.Limited
 	if !limitedChanged && t.now().Sub(e.loggedAt) < logInterval {
 		return
@@ -250,16 +250,16 @@
 }
 
 // Limit returns the last report of a run of an instance.
-func (t *Table) Limit(run string) Statement {
+func (t *Table) Limit(run string) RateReport {
 	if t.activeLimits.Load() == 0 {
-		return Statement{}
+		return RateReport{}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.all[run]; e != nil {
-		return e.Statement
+		return e.RateReport
 	}
-	return Statement{}
+	return RateReport{}
 }
 
 // limitedEntry returns the entry of a run that limits its rate, or nil if it does not. The caller holds
@@ -275,7 +275,7 @@
 func (t *Table) Limited(run string) bool { return t.Limit(run).Limited }
 
 // Learn applies a report from another process.
-func (t *Table) Learn(run, process string, s Statement) {
+func (t *Table) Learn(run, process string, s RateReport) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.learnFrom(process, run, s)
@@ -283,9 +283,9 @@
 
 // learnFrom applies a report from another process and returns whether it superseded the known one. The
 // caller holds the lock.
-func (t *Table) learnFrom(process, run string, s Statement) bool {
+func (t *Table) learnFrom(process, run string, s RateReport) bool {
 	if e := t.limitedEntry(run); e != nil {
-		s.Sent, s.Heard = s.Sent.Add(-maxTransitTime), s.Heard.Add(-maxTransitTime)
+		s.SentAt, s.ReceivedAt = s.SentAt.Add(-maxTransitTime), s.ReceivedAt.Add(-maxTransitTime)
 	}
 	return t.learn(run, s, "from", process)
 }
@@ -300,16 +300,16 @@
 	var out []*peerpb.RateLimit
 	for run, e := range t.all {
 		if e.changedPosition > position && (e.Limited || position > 0) {
-			out = append(out, encode(run, e.Statement))
+			out = append(out, encode(run, e.RateReport))
 		}
 	}
 	return out, t.position
 }
 
-// Follow applies reports from the scheduler that this process follows. If the process loses its schedulers
+// ApplyUpdate applies reports from the scheduler that this process follows. If the process loses its schedulers
 // and places requests itself, it would otherwise send to each limited instance before it knows the limit.
 // The reports are not sent on, since the processes they would be sent to already have them.
-func (t *Table) Follow(scheduler string, reports []*peerpb.RateLimit) {
+func (t *Table) ApplyUpdate(scheduler string, reports []*peerpb.RateLimit) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
@@ -321,40 +321,40 @@
 }
 
 // TakeUpdates returns the reports that changed since the last call.
-func (t *Table) TakeUpdates() map[string]Statement {
+func (t *Table) TakeUpdates() map[string]RateReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := map[string]Statement{}
+	out := map[string]RateReport{}
 	for run := range t.updated {
 		if e := t.all[run]; e != nil {
-			out[run] = e.Statement
+			out[run] = e.RateReport
 		}
 	}
 	clear(t.updated)
 	return out
 }
 
-// Limits returns the reports of all instances that limit their rates, by run.
-func (t *Table) Limits() map[string]Statement {
+// AllLimits returns the reports of all instances that limit their rates, by run.
+func (t *Table) AllLimits() map[string]RateReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := map[string]Statement{}
+	out := map[string]RateReport{}
 	for run, e := range t.all {
 		if e.Limited {
-			out[run] = e.Statement
+			out[run] = e.RateReport
 		}
 	}
 	return out
 }
 
 // reportsFor returns the known reports for the runs named in a message.
-func (t *Table) reportsFor(queried []*peerpb.RateLimit) map[string]Statement {
+func (t *Table) reportsFor(queried []*peerpb.RateLimit) map[string]RateReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := map[string]Statement{}
+	out := map[string]RateReport{}
 	for _, l := range queried {
 		if e := t.all[l.GetInstance()]; e != nil {
-			out[l.GetInstance()] = e.Statement
+			out[l.GetInstance()] = e.RateReport
 		}
 	}
 	return out
@@ -365,7 +365,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for run, e := range t.all {
-		if keep(run) || t.now().Sub(e.Heard) <= minRetention {
+		if keep(run) || t.now().Sub(e.ReceivedAt) <= minRetention {
 			continue
 		}
 		if e.Limited {
--- a/internal/scheduler/client.go
+++ b/internal/scheduler/client.go
@@ -41,13 +41,13 @@
 	Limits *ratelimit.Table
 	// Quarantine holds the requests that crash the instances running them; nil if there are none.
 	Quarantine *quarantine.Table
-	// Hears reports whether this process receives messages from another process by means
+	// HasContact reports whether this process receives messages from another process by means
 	// other than the other process following this scheduler; nil means never.
-	Hears func(name string) bool
+	HasContact func(name string) bool
 	// InstancePrefix is the key prefix of instance registrations in the store.
 	InstancePrefix string
-	// Within is the time limit for a change in the store to reach all processes.
-	Within time.Duration
+	// PropagationLimit is the time limit for a change in the store to reach all processes.
+	PropagationLimit time.Duration
 	// Clock is the wall clock on which the schedulers agree.
 	Clock   *truetime.Clock
 	Metrics metrics.Registry
@@ -64,8 +64,8 @@
 	if o.Clock == nil {
 		o.Clock = truetime.New()
 	}
-	if o.Hears == nil {
-		o.Hears = func(string) bool { return false }
+	if o.HasContact == nil {
+		o.HasContact = func(string) bool { return false }
 	}
 }
 
@@ -88,7 +88,7 @@
 func NewClient(o Options) *Client {
 	o.setDefaults()
 	c := &Client{o: o, logger: log.With(o.Logger, "component", "scheduler"), local: Local(o.Placer)}
-	c.ranking = &ranking{self: o.Self, backoffs: peer.NewSilences(), logger: c.logger}
+	c.ranking = &ranking{self: o.Self, backoffs: peer.NewBackoffs(), logger: c.logger}
 	c.reports = newReporter(c)
 	return c
 }
@@ -114,12 +114,12 @@
 	}
 	c.count("placed_alone")
 	plan, t := c.local.Place(ctx, j)
-	plan.By = c.o.Self.Name
+	plan.DecidedBy = c.o.Self.Name
 	return plan, t
 }
 
-// Others returns the schedulers other than this process, in order of preference.
-func (c *Client) Others() []members.Member {
+// OtherSchedulers returns the schedulers other than this process, in order of preference.
+func (c *Client) OtherSchedulers() []members.Member {
 	all := c.o.View().Schedulers
 	return c.ranking.order(all, len(all))
 }
@@ -133,7 +133,7 @@
 	}
 	placed := resp.GetPlaced()
 	plan, err := decodePlan(placed, j, c.o.View())
-	plan.By = s.Name
+	plan.DecidedBy = s.Name
 	if placed.GetTicket() == 0 {
 		return plan, nil, err
 	}
--- a/internal/scheduler/directory.go
+++ b/internal/scheduler/directory.go
@@ -15,7 +15,7 @@
 // ranking determines the order in which a process calls the schedulers.
 type ranking struct {
 	self     members.Member
-	backoffs *peer.Silences
+	backoffs *peer.Backoffs
 	logger   log.Logger
 }
 
@@ -28,7 +28,7 @@
 	for _, m := range all {
 		switch {
 		case m.Name == d.self.Name:
-		case d.backoffs.Resting(m.Name):
+		case d.backoffs.InBackoff(m.Name):
 			resting = append(resting, m)
 		case m.Domain == d.self.Domain:
 			near = append(near, m)
--- a/internal/scheduler/follow.go
+++ b/internal/scheduler/follow.go
@@ -46,7 +46,7 @@
 )
 
 func (o *Options) longPollWait() time.Duration {
-	return time.Duration(longPollShare * float64(o.Within))
+	return time.Duration(longPollShare * float64(o.PropagationLimit))
 }
 
 // staleAge returns the age from which a snapshot is stale and a fresher one is looked for.
@@ -55,11 +55,11 @@
 	if o.View().Scheduling {
 		share = schedulerStaleShare
 	}
-	return time.Duration(share * float64(o.Within))
+	return time.Duration(share * float64(o.PropagationLimit))
 }
 
 // Follow implements discovery.Relay.
-func (c *Client) Follow(ctx context.Context, after feed.Position) (discovery.Followed, error) {
+func (c *Client) Follow(ctx context.Context, after feed.Position) (discovery.RelayUpdate, error) {
 	var lastErr error = fault.New(fault.Unavailable, "no scheduler is known", "the process reads the store itself")
 	order, maxAttempts := c.followOrder(), maxFollowAttempts
 	if c.needsPartialSnapshot() {
@@ -79,7 +79,7 @@
 		}
 		return f, nil
 	}
-	return discovery.Followed{}, lastErr
+	return discovery.RelayUpdate{}, lastErr
 }
 
 // followOrder returns the processes to follow, in order: schedulers, or for a scheduler, watchers.
@@ -102,7 +102,7 @@
 
 // switchToFresher returns the snapshot of another scheduler if it is fresher than current, which
 // was received from the scheduler from. It then prefers that other scheduler.
-func (c *Client) switchToFresher(ctx context.Context, from members.Member, current discovery.Followed, others []members.Member) discovery.Followed {
+func (c *Client) switchToFresher(ctx context.Context, from members.Member, current discovery.RelayUpdate, others []members.Member) discovery.RelayUpdate {
 	fresher, s, err := c.fetchFirstFresher(ctx, current.Age, others[:min(maxFollowAttempts, len(others))])
 	if err != nil {
 		return current
@@ -112,10 +112,10 @@
 	return fresher
 }
 
-// Newer implements discovery.Relay. A scheduler has followers of its own and asks all other
+// FetchFresher implements discovery.Relay. A scheduler has followers of its own and asks all other
 // schedulers, since the store may respond to only one of them. Another process asks a few at random.
-func (c *Client) Newer(ctx context.Context, age time.Duration) (discovery.Followed, error) {
-	others := c.Others()
+func (c *Client) FetchFresher(ctx context.Context, age time.Duration) (discovery.RelayUpdate, error) {
+	others := c.OtherSchedulers()
 	rand.Shuffle(len(others), func(i, k int) { others[i], others[k] = others[k], others[i] })
 	if !c.o.View().Scheduling {
 		others = others[:min(maxFollowAttempts, len(others))]
@@ -127,11 +127,11 @@
 // fetchFirstFresher returns the whole snapshot of the first candidate whose snapshot is fresher
 // than age, and that candidate. A candidate without a fresher snapshot sends a message without
 // objects. The error is of kind NotFound if all candidates responded and none has a fresher one.
-func (c *Client) fetchFirstFresher(ctx context.Context, age time.Duration, candidates []members.Member) (discovery.Followed, members.Member, error) {
+func (c *Client) fetchFirstFresher(ctx context.Context, age time.Duration, candidates []members.Member) (discovery.RelayUpdate, members.Member, error) {
 	var lastErr error = fault.New(fault.NotFound, "no other scheduler has a fresher copy", "the store is asked again")
 	maxAge := age - minFreshnessGain
 	if maxAge <= 0 {
-		return discovery.Followed{}, members.Member{}, lastErr
+		return discovery.RelayUpdate{}, members.Member{}, lastErr
 	}
 	for _, s := range candidates {
 		f, err := c.followScheduler(ctx, s, feed.Position{}, 0, maxAge)
@@ -142,17 +142,17 @@
 			return f, s, nil
 		}
 	}
-	return discovery.Followed{}, members.Member{}, lastErr
+	return discovery.RelayUpdate{}, members.Member{}, lastErr
 }
 
 // followScheduler requests the changes since a position from one scheduler. If maxAge is not 0
 // and the scheduler's snapshot is older, the response has no objects.
-func (c *Client) followScheduler(ctx context.Context, s members.Member, after feed.Position, wait, maxAge time.Duration) (discovery.Followed, error) {
+func (c *Client) followScheduler(ctx context.Context, s members.Member, after feed.Position, wait, maxAge time.Duration) (discovery.RelayUpdate, error) {
 	fctx, cancel := context.WithTimeout(ctx, wait+max(c.o.longPollWait(), minSlack))
 	defer cancel()
 	asked := bootclock.Now()
 	resp, err := c.o.Transport.Call(fctx, s.Peer, &peerpb.Request{Body: &peerpb.Request_Follow{Follow: &peerpb.Follow{
-		Run: after.Run, Position: after.At, LimitsPosition: c.limitsPositionIn(after.Run), Head: maxAge == 0 && c.needsPartialSnapshot(), WaitMs: uint32(wait.Milliseconds()), Unpacks: true, MaxAgeMs: uint32(min(maxAge.Milliseconds(), math.MaxUint32)),
+		Run: after.RunID, Position: after.Sequence, LimitsPosition: c.limitsPositionIn(after.RunID), Head: maxAge == 0 && c.needsPartialSnapshot(), WaitMs: uint32(wait.Milliseconds()), Unpacks: true, MaxAgeMs: uint32(min(maxAge.Milliseconds(), math.MaxUint32)),
 	}}})
 	if err != nil {
 		if ctx.Err() == nil && !fault.Is(err, fault.Denied) {
@@ -161,40 +161,40 @@
 		if fresh := c.preferred.Load(); fresh != nil && *fresh == s.Name {
 			c.preferred.CompareAndSwap(fresh, nil)
 		}
-		return discovery.Followed{}, err
+		return discovery.RelayUpdate{}, err
 	}
 	c.ranking.answered(s)
 	f, err := decodeUpdate(resp.GetUpdate())
 	if err != nil {
 		return f, err
 	}
-	if maxAge == 0 && !f.Head {
-		c.o.Limits.Follow(s.Name, resp.GetUpdate().GetLimits())
-		c.limitsPosition.Store(&feed.Position{Run: f.Position.Run, At: resp.GetUpdate().GetLimitsPosition()})
+	if maxAge == 0 && !f.Partial {
+		c.o.Limits.ApplyUpdate(s.Name, resp.GetUpdate().GetLimits())
+		c.limitsPosition.Store(&feed.Position{RunID: f.Position.RunID, Sequence: resp.GetUpdate().GetLimitsPosition()})
 	}
 	if us := resp.GetUpdate().GetTimeUs(); us != 0 {
-		c.o.Clock.HearSource(time.UnixMicro(us))
+		c.o.Clock.ObserveSource(time.UnixMicro(us))
 	}
 	// The age in the response is valid at some time after the call was sent and within the
 	// wait. Any time beyond the wait, such as a pause of this process, adds to the age.
 	f.Age += max(0, bootclock.Since(asked)-wait)
-	f.ProvenAt = asked.Add(-time.Duration(resp.GetUpdate().GetProofAgeMs()) * time.Millisecond)
+	f.ConfigFreshAt = asked.Add(-time.Duration(resp.GetUpdate().GetProofAgeMs()) * time.Millisecond)
 	return f, nil
 }
 
 // limitsPositionIn returns the position up to which the rate limits sent by a run of a scheduler are known.
 func (c *Client) limitsPositionIn(run string) uint64 {
-	if p := c.limitsPosition.Load(); p != nil && p.Run == run {
-		return p.At
+	if p := c.limitsPosition.Load(); p != nil && p.RunID == run {
+		return p.Sequence
 	}
 	return 0
 }
 
-func decodeUpdate(m *peerpb.FollowUpdate) (discovery.Followed, error) {
-	f := discovery.Followed{
-		Update: feed.Update{Position: feed.Position{Run: m.GetRun(), At: m.GetPosition()}, Full: m.GetFull()},
-		Age:    time.Duration(m.GetAgeMs()) * time.Millisecond,
-		Head:   m.GetHead(), StoreUp: m.GetStoreUp(), Processes: int(m.GetProcesses()), InstancesRevision: objstore.Revision(m.GetInstancesRevision()),
+func decodeUpdate(m *peerpb.FollowUpdate) (discovery.RelayUpdate, error) {
+	f := discovery.RelayUpdate{
+		Update:  feed.Update{Position: feed.Position{RunID: m.GetRun(), Sequence: m.GetPosition()}, Full: m.GetFull()},
+		Age:     time.Duration(m.GetAgeMs()) * time.Millisecond,
+		Partial: m.GetHead(), StoreUp: m.GetStoreUp(), Processes: int(m.GetProcesses()), InstancesRevision: objstore.Revision(m.GetInstancesRevision()),
 	}
 	objects := m.GetObjects()
 	if len(m.GetPacked()) > 0 {
@@ -231,10 +231,10 @@
 	if m.GetHead() {
 		return s.sendPartialSnapshot(m)
 	}
-	after := feed.Position{Run: m.GetRun(), At: m.GetPosition()}
+	after := feed.Position{RunID: m.GetRun(), Sequence: m.GetPosition()}
 	u, v := s.awaitUpdate(ctx, after, max(wait-time.Since(begun), 0))
 	out := s.updateFromView(v)
-	out.Run, out.Position, out.Full = u.Position.Run, u.Position.At, u.Full
+	out.Run, out.Position, out.Full = u.Position.RunID, u.Position.Sequence, u.Full
 	if maxAge := int64(m.GetMaxAgeMs()); maxAge > 0 && out.AgeMs > maxAge {
 		u.Events = nil
 	}
@@ -248,13 +248,13 @@
 func (s *Server) updateFromView(v *fleet.View) *peerpb.FollowUpdate {
 	out := &peerpb.FollowUpdate{
 		AgeMs: v.Age().Milliseconds(), StoreUp: v.StoreUp,
-		ProofAgeMs: v.ProofAge().Milliseconds() + 1, // rounded up
+		ProofAgeMs: v.ConfigStaleness().Milliseconds() + 1, // rounded up
 		TimeUs:     s.o.Clock.Now().UnixMicro(), InstancesRevision: int64(v.InstancesRevision),
 		Processes: uint32(v.Processes),
 	}
-	for _, m := range v.Mesh {
+	for _, m := range v.GossipPeers {
 		out.Schedulers = append(out.Schedulers, &peerpb.SchedulerAddress{
-			Name: m.Name, Domain: m.Domain, Peer: m.Peer, Watcher: members.Contain(v.Watchers, m.Name), Replaced: !members.Contain(v.Schedulers, m.Name),
+			Name: m.Name, Domain: m.Domain, Peer: m.Peer, Watcher: members.Contains(v.Watchers, m.Name), Replaced: !members.Contains(v.Schedulers, m.Name),
 		})
 	}
 	return out
--- a/internal/scheduler/head.go
+++ b/internal/scheduler/head.go
@@ -19,21 +19,21 @@
 // needsPartialSnapshot reports whether this process requests a partial snapshot.
 func (c *Client) needsPartialSnapshot() bool {
 	v := c.o.View()
-	return !v.Scheduling && !v.Listed && (v.Config == nil || bootclock.Now() < v.CopyAt)
+	return !v.Scheduling && !v.InstancesKnown && (v.Config == nil || bootclock.Now() < v.FullSnapshotAt)
 }
 
 // partialSnapshotOrder returns the processes to ask for a partial snapshot, in order. Those that watch the store
 // come first, since they become ready first after a failure of all processes.
 func (c *Client) partialSnapshotOrder() []members.Member {
 	v := c.o.View()
-	others := slices.DeleteFunc(slices.Clone(v.Schedulers), func(m members.Member) bool { return members.Contain(v.Watchers, m.Name) })
+	others := slices.DeleteFunc(slices.Clone(v.Schedulers), func(m members.Member) bool { return members.Contains(v.Watchers, m.Name) })
 	return append(c.ranking.order(v.Watchers, len(v.Watchers)), c.ranking.order(others, len(others))...)
 }
 
 // placeAttempts returns how many schedulers to try. A process that cannot place requests itself yet tries all of
 // them: after a restart of all processes, the schedulers of its own failure domain may become ready last.
 func (c *Client) placeAttempts() int {
-	if v := c.o.View(); !v.Listed {
+	if v := c.o.View(); !v.InstancesKnown {
 		return len(v.Schedulers)
 	}
 	return maxPlaceAttempts
@@ -56,7 +56,7 @@
 func (h *partialSnapshotCache) get(f *feed.Feed, instancePrefix string) feed.Update {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.cached.Position == (feed.Position{Run: f.Run(), At: f.At()}) {
+	if h.cached.Position == (feed.Position{RunID: f.RunID(), Sequence: f.Sequence()}) {
 		return h.cached
 	}
 	whole, _ := f.Since(feed.Position{})
--- a/internal/scheduler/head_test.go
+++ b/internal/scheduler/head_test.go
@@ -20,7 +20,7 @@
 // clearInstances gives a node the view of a process that has not received the registrations yet.
 func clearInstances(n *node, rules *fleet.Rules) {
 	v := *n.view.Load()
-	v.Instances, v.Listed, v.Headed, v.Rules = map[string]*fleet.Instance{}, false, true, rules
+	v.Instances, v.InstancesKnown, v.Partial, v.Rules = map[string]*fleet.Instance{}, false, true, rules
 	v.Index()
 	n.view.Store(&v)
 }
@@ -34,10 +34,10 @@
 	require.True(t, n.view.Load().Ready())
 	plan, ticket := n.Place(context.Background(), jobFor(n, "x"))
 	require.NotNil(t, ticket)
-	require.Equal(t, s.self.Name, plan.By)
-	require.Equal(t, s.view.Load().Instances["ap-1"], plan.Reader)
-	require.Equal(t, ticket, ticket.PlaceRead(context.Background(), jobFor(n, "x"), &plan))
-	require.Equal(t, s.view.Load().Instances["ad-1"], plan.Runner)
+	require.Equal(t, s.self.Name, plan.DecidedBy)
+	require.Equal(t, s.view.Load().Instances["ap-1"], plan.PrefillEngine)
+	require.Equal(t, ticket, ticket.PlaceDecode(context.Background(), jobFor(n, "x"), &plan))
+	require.Equal(t, s.view.Load().Instances["ad-1"], plan.Target)
 }
 
 // TestSchedulersThatAreNotReadyArePassedOver covers schedulers that become ready after those of another failure domain.
@@ -54,12 +54,12 @@
 	begun := time.Now()
 	head, err := n.Follow(context.Background(), feed.Position{})
 	require.NoError(t, err)
-	require.True(t, head.Head)
+	require.True(t, head.Partial)
 	require.Less(t, time.Since(begun), n.Client.o.longPollWait(), "schedulers that are not ready are not waited for")
 	n.view.Store(placing)
 	plan, ticket := n.Place(context.Background(), jobFor(n, "x"))
 	require.NotNil(t, ticket)
-	require.Equal(t, other.self.Name, plan.By)
+	require.Equal(t, other.self.Name, plan.DecidedBy)
 }
 
 // TestAPlacedInstanceMustBePermitted covers a scheduler that does not know of a rule yet. A process that knows the
@@ -72,8 +72,8 @@
 	clearInstances(n, elsewhere)
 	plan, ticket := n.Place(context.Background(), jobFor(n, "x"))
 	require.Nil(t, ticket)
-	require.Nil(t, plan.Runner)
-	require.Nil(t, plan.Reader)
+	require.Nil(t, plan.Target)
+	require.Nil(t, plan.PrefillEngine)
 }
 
 // TestTheHeadOfACopyIsOfTheSameSize checks that the size of a partial snapshot does not depend on the number of instances.
@@ -89,11 +89,11 @@
 		config := objstore.Object{Key: "config/main", Value: []byte("{}"), Version: 7}
 		s.feed.Apply(append(events, objstore.Event{Object: config}))
 		first := *n.view.Load()
-		first.Config, first.Listed = nil, false
+		first.Config, first.InstancesKnown = nil, false
 		n.view.Store(&first)
 		head, err := n.Follow(context.Background(), feed.Position{})
 		require.NoError(t, err)
-		require.True(t, head.Head)
+		require.True(t, head.Partial)
 		require.False(t, head.Full)
 		require.Equal(t, feed.Position{}, head.Position)
 		require.Equal(t, []objstore.Event{{Object: config}}, head.Events)
--- a/internal/scheduler/heard.go
+++ b/internal/scheduler/heard.go
@@ -7,10 +7,10 @@
 	"github.com/rockdoor/rockdoor/members"
 )
 
-// Hears reports whether this process receives messages from another process: as a scheduler from
+// HasContact reports whether this process receives messages from another process: as a scheduler from
 // its clients, which call at least twice a second, or by the other means in Options.
-func (s *Server) Hears(name string) bool {
-	if s.o.Hears(name) {
+func (s *Server) HasContact(name string) bool {
+	if s.o.HasContact(name) {
 		return true
 	}
 	s.mu.Lock()
@@ -22,15 +22,15 @@
 func (s *Server) confirmNoContact(m *peerpb.Heartbeat) *peerpb.Response {
 	out := &peerpb.Heartbeat{}
 	for _, p := range m.GetSilent() {
-		if !s.Hears(p.GetName()) {
+		if !s.HasContact(p.GetName()) {
 			out.Silent = append(out.Silent, p)
 		}
 	}
 	return &peerpb.Response{Body: &peerpb.Response_Heartbeat{Heartbeat: out}}
 }
 
-// Unheard asks a scheduler which of the named processes it has no contact with either.
-func (c *Client) Unheard(ctx context.Context, scheduler members.Member, names []string) ([]string, error) {
+// WithoutContact asks a scheduler which of the named processes it has no contact with either.
+func (c *Client) WithoutContact(ctx context.Context, scheduler members.Member, names []string) ([]string, error) {
 	req := &peerpb.Heartbeat{}
 	for _, n := range names {
 		req.Silent = append(req.Silent, &peerpb.Silent{Name: n})
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -46,8 +46,8 @@
 	Serving int `json:"serving"`
 	// Behind is how many of them have lacked a change for more than a quarter of Options.Within,
 	// MostMs is the maximum lag in ms.
-	Behind int   `json:"behind"`
-	MostMs int64 `json:"mostMs"`
+	Behind   int   `json:"behind"`
+	MaxLagMs int64 `json:"mostMs"`
 }
 
 // maxLagShare is the part of Options.Within above which the lag of a follower counts as being behind.
@@ -63,7 +63,7 @@
 // followers implements Followers. The caller holds the lock.
 func (s *Server) followers(now time.Time) Followers {
 	var out Followers
-	threshold := time.Duration(maxLagShare * float64(s.o.Within))
+	threshold := time.Duration(maxLagShare * float64(s.o.PropagationLimit))
 	for _, c := range s.clients {
 		if !c.follower {
 			continue
@@ -73,16 +73,16 @@
 		if lag > threshold {
 			out.Behind++
 		}
-		out.MostMs = max(out.MostMs, lag.Milliseconds())
+		out.MaxLagMs = max(out.MaxLagMs, lag.Milliseconds())
 	}
 	return out
 }
 
 // updateFollowerMetrics updates the metrics about followers. The caller holds the lock.
 func (s *Server) updateFollowerMetrics(now time.Time) {
-	s.positions.record(s.feed.At(), now)
+	s.positions.record(s.feed.Sequence(), now)
 	f := s.followers(now)
 	metrics.GetOrRegisterGauge("scheduler.followers", s.o.Metrics).Update(int64(f.Serving))
 	metrics.GetOrRegisterGauge("scheduler.followers_behind", s.o.Metrics).Update(int64(f.Behind))
-	metrics.GetOrRegisterGauge("scheduler.followers_behind_ms", s.o.Metrics).Update(f.MostMs)
+	metrics.GetOrRegisterGauge("scheduler.followers_behind_ms", s.o.Metrics).Update(f.MaxLagMs)
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -25,16 +25,16 @@
 // Ticket represents a placed job, like placement.Ticket. Only the goroutine of the request may
 // use it.
 type Ticket interface {
-	// Read records the outcome of a separate prefill. After a successful one, PlaceRead must follow.
-	Read(read bool, o placement.Outcome)
-	// PlaceRead decides where a prefilled job is decoded. It returns the ticket to continue
+	// PrefillEnded records the outcome of a separate prefill. After a successful one, PlaceRead must follow.
+	PrefillEnded(read bool, o placement.Outcome)
+	// PlaceDecode decides where a prefilled job is decoded. It returns the ticket to continue
 	// with, or nil if there is no decode engine; the plan then has the reason.
-	PlaceRead(ctx context.Context, j *placement.Job, plan *placement.Plan) Ticket
+	PlaceDecode(ctx context.Context, j *placement.Job, plan *placement.Plan) Ticket
 	// FirstEvent records the first event of the response, and Event records each event.
 	FirstEvent()
 	Event()
-	// Run records the outcome of the attempt at the decode engine.
-	Run(o placement.Outcome)
+	// RunEnded records the outcome of the attempt at the decode engine.
+	RunEnded(o placement.Outcome)
 	// Cancel withdraws the job if it has not ended. It does not affect the health of the instances.
 	Cancel()
 }
@@ -58,8 +58,8 @@
 	placer *placement.Placer
 }
 
-// PlaceRead implements Ticket.
-func (t localTicket) PlaceRead(ctx context.Context, j *placement.Job, plan *placement.Plan) Ticket {
+// PlaceDecode implements Ticket.
+func (t localTicket) PlaceDecode(ctx context.Context, j *placement.Job, plan *placement.Plan) Ticket {
 	if !placeDecodeWithWait(ctx, t.placer, j, plan, t.Ticket) {
 		return nil
 	}
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -47,8 +47,8 @@
 	Logger log.Logger
 }
 
-// Sharer exchanges observations with other processes.
-type Sharer struct {
+// Syncer exchanges observations with other processes.
+type Syncer struct {
 	o      Options
 	logger log.Logger
 	// synced is true once another process has responded.
@@ -68,19 +68,19 @@
 }
 
 // New returns a sharer. The caller must call Run.
-func New(o Options) *Sharer {
-	return &Sharer{o: o, logger: log.With(o.Logger, "component", "suspects"), peerStates: map[string]peerState{}}
+func New(o Options) *Syncer {
+	return &Syncer{o: o, logger: log.With(o.Logger, "component", "suspects"), peerStates: map[string]peerState{}}
 }
 
 // Run sends new observations immediately and exchanges with one random process each second, until ctx ends.
-func (s *Sharer) Run(ctx context.Context) error {
+func (s *Syncer) Run(ctx context.Context) error {
 	tick := time.NewTicker(startupPollInterval)
 	defer tick.Stop()
 	begun, startup := bootclock.Now(), true
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-s.o.Table.News():
+		case <-s.o.Table.Updates():
 			time.Sleep(batchDelay)
 			s.exchangeAll(ctx, s.o.Peers())
 		case <-tick.C:
@@ -97,13 +97,13 @@
 }
 
 // exchangeAll exchanges observations with the given processes. It does not wait for the responses.
-func (s *Sharer) exchangeAll(ctx context.Context, peers []members.Member) {
+func (s *Syncer) exchangeAll(ctx context.Context, peers []members.Member) {
 	for _, p := range peers {
 		go s.exchange(ctx, p)
 	}
 }
 
-func (s *Sharer) exchange(ctx context.Context, p members.Member) {
+func (s *Syncer) exchange(ctx context.Context, p members.Member) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	resp, err := s.o.Transport.Call(ctx, p.Peer, &peerpb.Request{Body: &peerpb.Request_Crashes{Crashes: s.newMessage(p.Name)}})
@@ -116,29 +116,29 @@
 }
 
 // HandlePeer implements peer.Handler.
-func (s *Sharer) HandlePeer(_ context.Context, req *peerpb.Request) *peerpb.Response {
+func (s *Syncer) HandlePeer(_ context.Context, req *peerpb.Request) *peerpb.Response {
 	name := req.GetFrom().GetName()
 	s.applyMessage(name, req.GetCrashes())
 	return &peerpb.Response{Body: &peerpb.Response_Crashes{Crashes: s.newMessage(name)}}
 }
 
 // newMessage returns a message with the observations that a peer is not known to have.
-func (s *Sharer) newMessage(peer string) *peerpb.Crashes {
+func (s *Syncer) newMessage(peer string) *peerpb.Crashes {
 	s.mu.Lock()
 	t := s.peerStates[peer]
 	s.mu.Unlock()
-	observations, last := s.o.Table.After(t.acked, maxObservations)
+	observations, last := s.o.Table.ObservationsAfter(t.acked, maxObservations)
 	m := &peerpb.Crashes{Run: s.o.Run, After: t.acked, Last: last, SeenRun: t.run, Seen: t.received}
 	for _, o := range observations {
 		age := max(bootclock.Since(o.At), 0)
-		m.News = append(m.News, &peerpb.Crash{Request: o.Request[:], Instance: o.Instance, RanMs: uint32(o.Ran.Milliseconds()), AgeMs: uint32(age.Milliseconds())})
+		m.News = append(m.News, &peerpb.Crash{Request: o.Request[:], Instance: o.Instance, RanMs: uint32(o.RunTime.Milliseconds()), AgeMs: uint32(age.Milliseconds())})
 	}
 	return m
 }
 
 // applyMessage applies the observations of a peer and records which of this process's observations the peer has.
-func (s *Sharer) applyMessage(peer string, m *peerpb.Crashes) {
-	s.o.Table.Learn(decode(m.GetNews()))
+func (s *Syncer) applyMessage(peer string, m *peerpb.Crashes) {
+	s.o.Table.Merge(decode(m.GetNews()))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.peerStates[peer]
@@ -162,7 +162,7 @@
 			continue // sent by a version with different fingerprints
 		}
 		at := bootclock.Now().Add(-time.Duration(c.GetAgeMs()) * time.Millisecond)
-		out = append(out, quarantine.Observation{Request: quarantine.Fingerprint(c.GetRequest()), Instance: c.GetInstance(), Ran: time.Duration(c.GetRanMs()) * time.Millisecond, At: at})
+		out = append(out, quarantine.Observation{Request: quarantine.Fingerprint(c.GetRequest()), Instance: c.GetInstance(), RunTime: time.Duration(c.GetRanMs()) * time.Millisecond, At: at})
 	}
 	return out
 }
--- a/internal/suspects/suspects_test.go
+++ b/internal/suspects/suspects_test.go
@@ -15,15 +15,15 @@
 const transitTime = 3 * time.Millisecond
 
 // deliver sends a message from one process to another and reports whether it had observations.
-func deliver(from, to *Sharer) bool {
+func deliver(from, to *Syncer) bool {
 	m := from.newMessage(to.o.Run)
 	time.Sleep(transitTime)
 	to.applyMessage(from.o.Run, m)
 	return len(m.GetNews()) > 0
 }
 
-func newSharers(n int) []*Sharer {
-	var out []*Sharer
+func newSharers(n int) []*Syncer {
+	var out []*Syncer
 	for i := range n {
 		out = append(out, New(Options{Run: fmt.Sprint("p-", i), Table: quarantine.NewTable(), Logger: nopLogger{}}))
 	}
@@ -42,7 +42,7 @@
 	all := newSharers(3)
 	f := quarantine.FingerprintOf("w", "POST", "h", "/", nil)
 	for n := range 20 {
-		all[n%3].o.Table.Ended(f, fmt.Sprint("i-", n), 0)
+		all[n%3].o.Table.RecordCrash(f, fmt.Sprint("i-", n), 0)
 	}
 	settled := func() bool {
 		sent := false
@@ -57,12 +57,12 @@
 	}
 	require.Eventually(t, settled, time.Second, time.Millisecond)
 	for _, s := range all {
-		require.True(t, s.o.Table.Look(f).Refused)
+		require.True(t, s.o.Table.Verdict(f).Refused)
 	}
-	all[1].o.Table.Sound(f)
+	all[1].o.Table.RecordSuccess(f)
 	require.Eventually(t, settled, time.Second, time.Millisecond)
 	for _, s := range all {
-		require.False(t, s.o.Table.Look(f).Refused)
+		require.False(t, s.o.Table.Verdict(f).Refused)
 	}
 }
 
@@ -71,7 +71,7 @@
 	all := newSharers(2)
 	f := quarantine.FingerprintOf("w", "POST", "h", "/", nil)
 	for n := range 3 {
-		all[0].o.Table.Ended(f, fmt.Sprint("i-", n), 0)
+		all[0].o.Table.RecordCrash(f, fmt.Sprint("i-", n), 0)
 	}
 	deliver(all[0], all[1])
 	deliver(all[1], all[0])
@@ -82,7 +82,7 @@
 	restarted.applyMessage("p-0", m)
 	all[0].applyMessage("p-1", restarted.newMessage("p-0"))
 	restarted.applyMessage("p-0", all[0].newMessage("p-1"))
-	require.True(t, restarted.o.Table.Look(f).Refused)
+	require.True(t, restarted.o.Table.Verdict(f).Refused)
 	restarted.applyMessage("p-0", &peerpb.Crashes{Run: "p-0", News: []*peerpb.Crash{{Request: []byte("short"), Instance: "i"}}})
 	require.Len(t, restarted.o.Table.Suspects(), 1, "fingerprints of another version are ignored")
 }
--- a/internal/suspects/watch.go
+++ b/internal/suspects/watch.go
@@ -20,41 +20,41 @@
 	crashCheckTimeout = time.Second
 )
 
-// Watch finds out whether an instance crashed while running a request.
-type Watch struct {
+// CrashDetector finds out whether an instance crashed while running a request.
+type CrashDetector struct {
 	Table *quarantine.Table
-	// Refuses reports whether an address refuses connections.
-	Refuses func(ctx context.Context, address string) bool
-	Logger  log.Logger
+	// RefusesConnections reports whether an address refuses connections.
+	RefusesConnections func(ctx context.Context, address string) bool
+	Logger             log.Logger
 }
 
-// Broken describes a request whose connection to an instance broke.
-type Broken struct {
+// BrokenConnection describes a request whose connection to an instance broke.
+type BrokenConnection struct {
 	// Request is the ID of the request in logs.
 	Request     string
 	Fingerprint quarantine.Fingerprint
 	// Instance names the run of the instance, Address is its address.
 	Instance string
 	Address  string
-	// Ran is how long the request had been running.
-	Ran time.Duration
+	// RunTime is how long the request had been running.
+	RunTime time.Duration
 }
 
-// Broke handles a connection that broke while an instance may have been running a request. The instance
+// ReportBroken handles a connection that broke while an instance may have been running a request. The instance
 // counts as crashed only if its port refuses connections. A connection may also break by a network failure
 // or a reset, which this process is just as likely to have caused.
-func (w *Watch) Broke(b Broken) {
+func (w *CrashDetector) ReportBroken(b BrokenConnection) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		ctx, cancel := context.WithTimeout(context.Background(), crashCheckTimeout)
 		defer cancel()
-		if !w.Refuses(ctx, b.Address) {
+		if !w.RefusesConnections(ctx, b.Address) {
 			return
 		}
-		v := w.Table.Ended(b.Fingerprint, b.Instance, b.Ran)
+		v := w.Table.RecordCrash(b.Fingerprint, b.Instance, b.RunTime)
 		level.Warn(w.Logger).Log("msg", "instance ended under a request", "request", b.Request, "fingerprint", b.Fingerprint, "instance", b.Instance,
-			"ran", b.Ran.Round(time.Millisecond), "ended", strings.Join(v.Ended, ","), "refused", v.Refused, "refused_for", v.RetryAfter.Round(time.Second))
+			"ran", b.RunTime.Round(time.Millisecond), "ended", strings.Join(v.CrashedInstances, ","), "refused", v.Refused, "refused_for", v.RetryAfter.Round(time.Second))
 	}()
 	select {
 	case <-done:
@@ -62,8 +62,8 @@
 	}
 }
 
-// Refusal returns the error for a quarantined request, where by says how that is known.
-func Refusal(by string) error {
+// QuarantinedError returns the error for a quarantined request, where by says how that is known.
+func QuarantinedError(by string) error {
 	return fault.Newf(fault.Denied, "check the request; it is tried again after the time in Retry-After",
 		"instances ended while they ran this request: %s", by)
 }
