--- a/internal/loadshare/digest.go
+++ b/internal/loadshare/digest.go
@@ -37,13 +37,13 @@
 	}
 	for id, l := range s.o.Placer.LocalLoads() {
 		d.Instances = append(d.Instances, &peerpb.InstanceLoad{
-			Instance: id, Requests: uint32(l.Requests), Unread: encodeUnread(l.Pending), Starting: uint32(l.Starting), Long: uint32(l.LongResponses),
+			Instance: id, Requests: uint32(l.Requests), Unread: encodePending(l.Pending), Starting: uint32(l.Starting), Long: uint32(l.LongResponses),
 		})
 	}
-	var reads []placement.Prefill
-	reads, d.LastRead = s.o.Placer.PrefillsAfter(t.acked)
-	for _, r := range reads {
-		d.Reads = append(d.Reads, encodeRead(r))
+	var prefills []placement.Prefill
+	prefills, d.LastRead = s.o.Placer.PrefillsAfter(t.acked)
+	for _, p := range prefills {
+		d.Reads = append(d.Reads, encodePrefill(p))
 	}
 	return d
 }
@@ -51,7 +51,7 @@
 // pairsPerUnit is the number of token pairs in one unit of Backlog.Kilopairs.
 const pairsPerUnit = 1000
 
-func encodeUnread(u placement.PendingByRank) []*peerpb.Backlog {
+func encodePending(u placement.PendingByRank) []*peerpb.Backlog {
 	var out []*peerpb.Backlog
 	for rank, b := range u {
 		if b != (placement.Backlog{}) {
@@ -61,8 +61,8 @@
 	return out
 }
 
-// decodeUnread decodes the backlog sent by a peer. Unknown ranks are treated as the last one.
-func decodeUnread(list []*peerpb.Backlog) placement.PendingByRank {
+// decodePending decodes the backlog sent by a peer. Unknown ranks are treated as the last one.
+func decodePending(list []*peerpb.Backlog) placement.PendingByRank {
 	var out placement.PendingByRank
 	for _, b := range list {
 		rank := min(int(b.GetRank()), len(out)-1)
@@ -73,7 +73,7 @@
 	return out
 }
 
-func encodeRead(r placement.Prefill) *peerpb.PromptRead {
+func encodePrefill(r placement.Prefill) *peerpb.PromptRead {
 	out := &peerpb.PromptRead{Instance: r.Instance, OwnTokens: uint32(r.UnsharedTokens)}
 	for _, p := range r.Parts {
 		out.Parts = append(out.Parts, p.ID)
@@ -82,8 +82,8 @@
 	return out
 }
 
-// decodeRead decodes a prefill sent by a peer. Parts without a number of tokens are left out.
-func decodeRead(m *peerpb.PromptRead) placement.Prefill {
+// decodePrefill decodes a prefill sent by a peer. Parts without a number of tokens are left out.
+func decodePrefill(m *peerpb.PromptRead) placement.Prefill {
 	out := placement.Prefill{Instance: m.GetInstance(), UnsharedTokens: int(m.GetOwnTokens())}
 	tokens := m.GetTokens()
 	for n, id := range m.GetParts() {
@@ -99,8 +99,8 @@
 	if d.GetClockUs() != 0 {
 		s.o.Clock.ObservePeer(from.GetName(), time.UnixMicro(d.GetClockUs()))
 	}
-	for _, r := range s.newReads(from, d) {
-		s.o.Placer.ApplyRemotePrefill(decodeRead(r))
+	for _, r := range s.newPrefills(from, d) {
+		s.o.Placer.ApplyRemotePrefill(decodePrefill(r))
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,7 +112,7 @@
 	s.updateTotals(s.digests[name], next)
 	s.digests[name] = next
 	s.lastContact[name] = next.receivedAt
-	s.backoffs.Answered(name)
+	s.backoffs.Responded(name)
 	s.mergeRoleChanges()
 }
 
@@ -120,30 +120,30 @@
 	out := make(map[string]placement.Load, len(list))
 	for _, l := range list {
 		out[l.GetInstance()] = placement.Load{
-			Requests: int(l.GetRequests()), Pending: decodeUnread(l.GetUnread()), Starting: int(l.GetStarting()), LongResponses: int(l.GetLong()),
+			Requests: int(l.GetRequests()), Pending: decodePending(l.GetUnread()), Starting: int(l.GetStarting()), LongResponses: int(l.GetLong()),
 		}
 	}
 	return out
 }
 
-// newReads returns the prefills of a digest that were not received before. Digests may arrive
+// newPrefills returns the prefills of a digest that were not received before. Digests may arrive
 // out of order.
-func (s *Syncer) newReads(from *peerpb.Identity, d *peerpb.LoadDigest) []*peerpb.PromptRead {
+func (s *Syncer) newPrefills(from *peerpb.Identity, d *peerpb.LoadDigest) []*peerpb.PromptRead {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.peerStates[from.GetName()]
 	if t.incarnation != from.GetIncarnation() {
 		t = peerState{incarnation: from.GetIncarnation()}
 	}
-	reads, last := d.GetReads(), d.GetLastRead()
+	prefills, last := d.GetReads(), d.GetLastRead()
 	missing := uint64(0)
 	if last > t.received {
-		missing = min(last-t.received, uint64(len(reads)))
+		missing = min(last-t.received, uint64(len(prefills)))
 		t.received = last
 	}
 	t.acked = d.GetSeenRead()
 	s.peerStates[from.GetName()] = t
-	return reads[uint64(len(reads))-missing:]
+	return prefills[uint64(len(prefills))-missing:]
 }
 
 // updateTotals replaces a peer's old digest by its new one in the totals. The cost does not
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -50,7 +50,7 @@
 	staleListTime = 10 * time.Second
 )
 
-// Options of a Sharer.
+// Options of a Syncer.
 type Options struct {
 	Self  members.Member
 	Store objstore.Store
@@ -96,7 +96,7 @@
 	roleChanges map[string]engine.Role
 }
 
-// New returns a sharer. The caller must call Run.
+// New returns a syncer. The caller must call Run.
 func New(o Options) *Syncer {
 	if o.Clock == nil {
 		o.Clock = truetime.New()
--- a/internal/peer/silence.go
+++ b/internal/peer/silence.go
@@ -44,8 +44,8 @@
 	return !known
 }
 
-// Answered records that a peer responded.
-func (s *Backoffs) Answered(name string) {
+// Responded records that a peer responded.
+func (s *Backoffs) Responded(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.peers, name)
--- a/internal/ratelimit/history_test.go
+++ b/internal/ratelimit/history_test.go
@@ -193,12 +193,12 @@
 		}
 	}
 	demand := n.table.TakeDemand()
-	keeper := n.Coordinator()
-	if len(demand) == 0 || keeper == n.name {
+	coordinator := n.Coordinator()
+	if len(demand) == 0 || coordinator == n.name {
 		return
 	}
 	d := demand[0]
-	at := slices.IndexFunc(h.nodes, func(o *node) bool { return o.name == keeper })
+	at := slices.IndexFunc(h.nodes, func(o *node) bool { return o.name == coordinator })
 	begun := h.clock.at
 	h.send(n, h.nodes[at], func(to *node) {
 		to.table.Learn("i", n.name, d.Known)
--- a/internal/ratelimit/sharer.go
+++ b/internal/ratelimit/sharer.go
@@ -53,7 +53,7 @@
 	Processes int
 }
 
-// Options of a Sharer.
+// Options of a Syncer.
 type Options struct {
 	Self      string
 	Table     *Table
@@ -82,7 +82,7 @@
 	lastResponse map[string]bootclock.Instant
 }
 
-// NewSyncer returns a sharer. The caller must call Run.
+// NewSyncer returns a syncer. The caller must call Run.
 func NewSyncer(o Options) *Syncer {
 	s := &Syncer{o: o, logger: log.With(o.Logger, "component", "ratelimit"), lastResponse: map[string]bootclock.Instant{}}
 	o.Table.Join(s)
--- a/internal/ratelimit/sharer_test.go
+++ b/internal/ratelimit/sharer_test.go
@@ -19,7 +19,7 @@
 // maxPropagationTime is how long it may take until all processes that place requests know a limit.
 const maxPropagationTime = 300 * time.Millisecond
 
-// process is a sharer with its transport.
+// process is a syncer with its transport.
 type process struct {
 	*Syncer
 	member members.Member
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -69,7 +69,7 @@
 // RateReport is the rate limit that one run of an instance last reported.
 type RateReport struct {
 	engine.RateLimit
-	// SentAt is when the request was sent whose response had the report, Heard when the response arrived.
+	// SentAt is when the request was sent whose response had the report, ReceivedAt when the response arrived.
 	SentAt, ReceivedAt bootclock.Instant
 	// LimitedSince is when a limit was first reported after there was none.
 	LimitedSince bootclock.Instant
@@ -138,7 +138,7 @@
 		all: map[string]*entry{}, updated: map[string]bool{},
 		taken: metrics.GetOrRegisterCounter("ratelimit.taken", reg), denied: metrics.GetOrRegisterCounter("ratelimit.denied", reg),
 	}
-	t.fleet = alone{self}
+	t.fleet = singleProcess{self}
 	reg.GetOrRegister("ratelimit.instances", metrics.NewFunctionalGauge(t.activeLimits.Load))
 	return t
 }
@@ -149,14 +149,14 @@
 	return min(max(minGrantLifetime, needed), maxGrantLifetime)
 }
 
-// alone is a fleet of one process.
-type alone struct{ self string }
+// singleProcess is a fleet of one process.
+type singleProcess struct{ self string }
 
 // Coordinator implements Fleet.
-func (a alone) Coordinator() string { return a.self }
+func (a singleProcess) Coordinator() string { return a.self }
 
 // Share implements Fleet.
-func (a alone) Share() float64 { return 1 }
+func (a singleProcess) Share() float64 { return 1 }
 
 func runAfter(d time.Duration, f func()) { time.AfterFunc(d, f) }
 
--- a/internal/scheduler/client.go
+++ b/internal/scheduler/client.go
@@ -156,10 +156,10 @@
 	case err == nil && resp.GetPlaced() == nil:
 		return nil, fault.Newf(fault.Internal, "run the same version everywhere", "scheduler %s sent a response of the wrong type", s.Name)
 	case err == nil:
-		c.ranking.answered(s)
+		c.ranking.recordResponse(s)
 		metrics.GetOrRegisterTimer("scheduler.ask", c.o.Metrics).Update(time.Since(begun))
 	case ctx.Err() == nil && !fault.Is(err, fault.Denied):
-		c.ranking.failed(s, err)
+		c.ranking.recordFailure(s, err)
 	}
 	return resp, err
 }
--- a/internal/scheduler/codec.go
+++ b/internal/scheduler/codec.go
@@ -42,9 +42,9 @@
 		return nil, fault.Newf(fault.NotFound, "ask another scheduler", "route %s to %s is not known here", m.GetRoute(), m.GetService())
 	}
 	if rank := m.GetRank(); rank > 0 {
-		own := *route
-		own.Rank = int(rank) - 1
-		route = &own
+		ranked := *route
+		ranked.Rank = int(rank) - 1
+		route = &ranked
 	}
 	call := &engine.Call{ID: m.GetRequest(), PromptTokens: int(m.GetPromptTokens())}
 	for n, id := range m.GetParts() {
--- a/internal/scheduler/directory.go
+++ b/internal/scheduler/directory.go
@@ -45,10 +45,10 @@
 	return xxhash.Sum64String(d.self.Name + "\x00" + m.Name)
 }
 
-func (d *ranking) failed(m members.Member, err error) {
+func (d *ranking) recordFailure(m members.Member, err error) {
 	if d.backoffs.Failed(m.Name) {
 		level.Info(d.logger).Log("msg", "scheduler does not respond", "scheduler", m.Name, "address", m.Peer, "err", err)
 	}
 }
 
-func (d *ranking) answered(m members.Member) { d.backoffs.Answered(m.Name) }
+func (d *ranking) recordResponse(m members.Member) { d.backoffs.Responded(m.Name) }
--- a/internal/scheduler/follow.go
+++ b/internal/scheduler/follow.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	// longPollShare is the part of Options.Within for which a scheduler holds a follow call
+	// longPollShare is the part of Options.PropagationLimit for which a scheduler holds a follow call
 	// while nothing changes. A follower allows the same time again before it treats the
 	// scheduler as unresponsive.
 	longPollShare = 0.1
-	// staleShare is the part of Options.Within above which a snapshot is stale, because its
+	// staleShare is the part of Options.PropagationLimit above which a snapshot is stale, because its
 	// sender is probably partitioned from the store. Normal staleness is up to 0.45: 0.25
 	// between two responses of the store and 0.1 for each of two hops. A follower leaves a
 	// stale snapshot by 0.7.
@@ -156,14 +156,14 @@
 	}}})
 	if err != nil {
 		if ctx.Err() == nil && !fault.Is(err, fault.Denied) {
-			c.ranking.failed(s, err)
+			c.ranking.recordFailure(s, err)
 		}
 		if fresh := c.preferred.Load(); fresh != nil && *fresh == s.Name {
 			c.preferred.CompareAndSwap(fresh, nil)
 		}
 		return discovery.RelayUpdate{}, err
 	}
-	c.ranking.answered(s)
+	c.ranking.recordResponse(s)
 	f, err := decodeUpdate(resp.GetUpdate())
 	if err != nil {
 		return f, err
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -44,13 +44,13 @@
 type Followers struct {
 	// Serving is the number of followers that called recently.
 	Serving int `json:"serving"`
-	// Behind is how many of them have lacked a change for more than a quarter of Options.Within,
-	// MostMs is the maximum lag in ms.
+	// Behind is how many of them have lacked a change for more than a quarter of Options.PropagationLimit,
+	// MaxLagMs is the maximum lag in ms.
 	Behind   int   `json:"behind"`
 	MaxLagMs int64 `json:"mostMs"`
 }
 
-// maxLagShare is the part of Options.Within above which the lag of a follower counts as being behind.
+// maxLagShare is the part of Options.PropagationLimit above which the lag of a follower counts as being behind.
 const maxLagShare = 0.25
 
 // Followers returns how up to date the followers of this process are.
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -25,15 +25,16 @@
 // Ticket represents a placed job, like placement.Ticket. Only the goroutine of the request may
 // use it.
 type Ticket interface {
-	// PrefillEnded records the outcome of a separate prefill. After a successful one, PlaceRead must follow.
-	PrefillEnded(read bool, o placement.Outcome)
+	// PrefillEnded records the outcome of a prefill on a separate engine. done is true if the prompt was
+	// prefilled; PlaceDecode must follow then.
+	PrefillEnded(done bool, o placement.Outcome)
 	// PlaceDecode decides where a prefilled job is decoded. It returns the ticket to continue
-	// with, or nil if there is no decode engine; the plan then has the reason.
+	// with, or nil if no target was found; the plan then has the reason.
 	PlaceDecode(ctx context.Context, j *placement.Job, plan *placement.Plan) Ticket
 	// FirstEvent records the first event of the response, and Event records each event.
 	FirstEvent()
 	Event()
-	// RunEnded records the outcome of the attempt at the decode engine.
+	// RunEnded records the outcome of the attempt at the target of the plan.
 	RunEnded(o placement.Outcome)
 	// Cancel withdraws the job if it has not ended. It does not affect the health of the instances.
 	Cancel()
--- a/internal/scheduler/ticket.go
+++ b/internal/scheduler/ticket.go
@@ -26,8 +26,8 @@
 }
 
 // PrefillEnded implements Ticket.
-func (t *remoteTicket) PrefillEnded(read bool, o placement.Outcome) {
-	if !read {
+func (t *remoteTicket) PrefillEnded(done bool, o placement.Outcome) {
+	if !done {
 		t.report(&peerpb.TicketReport{Event: peerpb.TicketEvent_TICKET_EVENT_NOT_READ, Outcome: uint32(o)})
 	}
 }
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -36,7 +36,7 @@
 	maxObservations = 2000
 )
 
-// Options of a Sharer.
+// Options of a Syncer.
 type Options struct {
 	// Run names this run of the process.
 	Run       string
@@ -67,7 +67,7 @@
 	acked, received uint64
 }
 
-// New returns a sharer. The caller must call Run.
+// New returns a syncer. The caller must call Run.
 func New(o Options) *Syncer {
 	return &Syncer{o: o, logger: log.With(o.Logger, "component", "suspects"), peerStates: map[string]peerState{}}
 }
--- a/internal/suspects/suspects_test.go
+++ b/internal/suspects/suspects_test.go
@@ -22,7 +22,7 @@
 	return len(m.GetNews()) > 0
 }
 
-func newSharers(n int) []*Syncer {
+func newSyncers(n int) []*Syncer {
 	var out []*Syncer
 	for i := range n {
 		out = append(out, New(Options{Run: fmt.Sprint("p-", i), Table: quarantine.NewTable(), Logger: nopLogger{}}))
@@ -39,7 +39,7 @@
 // its own, sent them on, and received them again. The processes of a small fleet exchanged them forever,
 // with a sixth of a core each.
 func TestWhatIsToldComesToRest(t *testing.T) {
-	all := newSharers(3)
+	all := newSyncers(3)
 	f := quarantine.FingerprintOf("w", "POST", "h", "/", nil)
 	for n := range 20 {
 		all[n%3].o.Table.RecordCrash(f, fmt.Sprint("i-", n), 0)
@@ -68,7 +68,7 @@
 
 // TestProcessThatStartsAgainIsToldAll covers a peer that lost its observations in a restart.
 func TestProcessThatStartsAgainIsToldAll(t *testing.T) {
-	all := newSharers(2)
+	all := newSyncers(2)
 	f := quarantine.FingerprintOf("w", "POST", "h", "/", nil)
 	for n := range 3 {
 		all[0].o.Table.RecordCrash(f, fmt.Sprint("i-", n), 0)
