--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,8 +1,7 @@
-// Package lifecycle takes a request from its admission to its one final state. It
-// makes attempts while that is safe, and moves the state chart of requests with each,
-// so that what is said of a request afterwards follows from what was done. How an
-// attempt is made, and when another one is worth it, is the business of the services
-// that use it.
+// Package lifecycle drives a request from its admission to its final state. It makes
+// attempts as long as that is safe and fires events in the request's state chart for
+// each one, so that the reported outcome always follows from the attempts made. How an
+// attempt is made, and whether a retry is worthwhile, is decided by the server that uses the package.
 package lifecycle
 
 import (
@@ -13,55 +12,55 @@
 	"github.com/rockdoor/rockdoor/statechart"
 )
 
-// Outcome is what became of one attempt.
+// Outcome is the result of one attempt.
 type Outcome int
 
 // Outcomes of attempts.
 const (
-	// Delivered: the caller has got the whole answer.
+	// Delivered means that the client received the complete response.
 	Delivered Outcome = iota
-	// NotRun: the target certainly did not run the request.
+	// NotRun means that the target certainly did not run the request.
 	NotRun
-	// Lost: the target may have run the request, and its answer is not whole.
+	// Lost means that the target may have run the request, but no complete response arrived.
 	Lost
-	// Failed: the target ran the request and answered that it failed.
+	// Failed means that the target ran the request and responded that it failed.
 	Failed
 )
 
-// Steps are made for one request by the service that took it. R is what it answers
-// itself when no target does.
+// Steps is implemented for each request by the server that handles it. R is the type of the
+// reply that the server generates itself if the request gets no complete response.
 type Steps[R any] interface {
-	// Rebase puts the next attempt under the newest configuration. A reply ends the
+	// Rebase applies the newest configuration to the next attempt. A non-nil reply ends the
 	// request.
 	Rebase() *R
-	// Choose finds where the next attempt is made. A reply ends the request.
+	// Choose selects the target of the next attempt. A non-nil reply ends the request.
 	Choose() *R
-	// Attempt makes the attempt that was chosen.
+	// Attempt makes the attempt at the selected target.
 	Attempt() (Outcome, error)
-	// Repeatable reports whether an attempt that may have run may be followed by
-	// another one now.
+	// Repeatable reports whether the request may be retried although the last attempt may have
+	// run.
 	Repeatable() bool
-	// Again prepares another attempt after one that ended with an error. A reply ends
-	// the request.
+	// Again prepares a retry after an attempt that ended with err. A non-nil reply ends the
+	// request.
 	Again(err error) *R
-	// Ended returns the reply that is owed after the last attempt, nil if there is none.
+	// Ended returns the reply to send after the last attempt, nil if the response was delivered.
 	Ended(o Outcome, err error) *R
 }
 
-// Life is one request in the chart of requests. It belongs to one goroutine.
+// Life holds one request's state in the state chart of requests. It is used by one goroutine.
 type Life struct {
 	chart  *statechart.Instance
 	id     string
 	logger log.Logger
 }
 
-// New returns the life of a request that has been received.
+// New returns the lifecycle of a request in the state received.
 func New(id string, logger log.Logger) *Life {
 	return &Life{chart: charts.Request.Start(), id: id, logger: logger}
 }
 
-// Fire moves the chart. The chart refuses nothing that its users fire; a refusal would
-// be a defect and is logged.
+// Fire applies an event to the state chart. The chart accepts every event that its users fire,
+// so an error would be a bug; it is logged.
 func (l *Life) Fire(e statechart.Event) {
 	if _, err := l.chart.Fire(e); err != nil {
 		level.Error(l.logger).Log("msg", "state chart", "request", l.id, "err", err)
@@ -71,7 +70,7 @@
 // State returns the state of the request.
 func (l *Life) State() statechart.State { return l.chart.State() }
 
-// MayHaveRun reports whether some target may have begun the request.
+// MayHaveRun reports whether any target may have started to run the request.
 func (l *Life) MayHaveRun() bool {
 	switch l.State() {
 	case charts.RequestReceived, charts.RequestRouting, charts.RequestNotRun, charts.RequestDuplicate:
@@ -80,18 +79,18 @@
 	return true
 }
 
-// Serve makes attempts until an admitted request has a final state, and returns the
-// reply that is owed to the caller, nil if the answer was passed on. The state says
-// what the reply may claim.
+// Serve makes attempts until an admitted request reaches a final state. It returns the reply to
+// send to the client, nil if the response was delivered. The final state determines whether the
+// reply may claim that the request has not run.
 func Serve[R any](l *Life, s Steps[R]) *R {
 	for {
-		if rep := next(s); rep != nil {
+		if rep := prepareAttempt(s); rep != nil {
 			l.Fire(charts.NoTarget)
 			return rep
 		}
 		l.Fire(charts.Chosen)
 		outcome, err := s.Attempt()
-		event, again := follows(outcome, s.Repeatable)
+		event, again := attemptEvent(outcome, s.Repeatable)
 		l.Fire(event)
 		if !again {
 			return s.Ended(outcome, err)
@@ -103,16 +102,16 @@
 	}
 }
 
-func next[R any](s Steps[R]) *R {
+func prepareAttempt[R any](s Steps[R]) *R {
 	if rep := s.Rebase(); rep != nil {
 		return rep
 	}
 	return s.Choose()
 }
 
-// follows returns the event that an attempt is for its request, and whether another
-// attempt may follow.
-func follows(o Outcome, repeatable func() bool) (statechart.Event, bool) {
+// attemptEvent returns the event to fire after an attempt with the outcome o, and whether
+// another attempt may follow.
+func attemptEvent(o Outcome, repeatable func() bool) (statechart.Event, bool) {
 	switch o {
 	case Delivered:
 		return charts.AttemptDone, false
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -11,13 +11,14 @@
 	"github.com/rockdoor/rockdoor/internal/charts"
 )
 
-// script is a service whose attempts end as they are told.
+// script implements Steps with attempts that have the given outcomes.
 type script struct {
 	outcomes   []Outcome
 	repeatable bool
-	// stopAt is the number of attempts after which no other is made.
+	// stopAt is the number of attempts after which Again ends the request.
 	stopAt int
-	// rebaseFails and chooseFails make the step before that attempt end the request.
+	// rebaseFails and chooseFails are the indexes of the attempts before which Rebase and
+	// Choose end the request.
 	rebaseFails, chooseFails int
 
 	attempts int
@@ -25,7 +26,7 @@
 	whole    bool
 }
 
-const never = 1 << 20
+const unlimited = 1 << 20
 
 var errAttempt = errors.New("attempt ended")
 
@@ -90,13 +91,13 @@
 		t.Run(name, func(t *testing.T) {
 			s := c.s
 			if s.stopAt == 0 {
-				s.stopAt = never
+				s.stopAt = unlimited
 			}
 			if c.reply != "no target" {
-				s.chooseFails = never
+				s.chooseFails = unlimited
 			}
 			if c.reply != "no configuration" {
-				s.rebaseFails = never
+				s.rebaseFails = unlimited
 			}
 			l := New("id", log.NewNopLogger())
 			l.Fire(charts.Admitted)
@@ -112,8 +113,9 @@
 	}
 }
 
-// TestServeNeverLies checks over random courses that "not run" is said only if no
-// attempt can have begun, and that a request without a reply was answered whole.
+// TestServeNeverLies checks with random outcomes that the final state is not_run exactly if no
+// attempt may have started to run, and that Serve returns no reply exactly if a complete
+// response was delivered.
 func TestServeNeverLies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := script{
@@ -136,5 +138,5 @@
 	l.Fire(charts.Admitted)
 	require.False(t, l.MayHaveRun())
 	l.Fire(charts.Chosen)
-	require.True(t, l.MayHaveRun(), "it may be under way")
+	require.True(t, l.MayHaveRun(), "the attempt may have started")
 }
