--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,6 +1,6 @@
-// Package limits decides which requests a process takes in: a bound on requests
-// in hand with a reserve for urgent ones, a rate and a concurrency for each
-// workspace, fair shares when targets are short, and a budget for retries.
+// Package limits implements admission control: a limit on the requests in flight with a
+// reserve for urgent ones, rate and concurrency limits for each workspace, fair shares
+// when targets are scarce, and a retry budget.
 package limits
 
 import (
@@ -17,15 +17,15 @@
 )
 
 const (
-	// maxWorkspaces bounds the workspaces whose limiters are kept.
+	// maxWorkspaces is the size of the LRU cache of workspace limiters.
 	maxWorkspaces = 16384
-	// batchShare is the share of the bound that batch requests may use.
+	// batchShare is the share of the limit that batch requests may use.
 	batchShare = 0.7
-	// minBurst lets a workspace with a low rate send two requests at once.
+	// minBurst allows a workspace with a low rate limit to send two requests at once.
 	minBurst = 2
 )
 
-// Refusal says why a request is not taken in and when to ask again.
+// Refusal is the error for a rejected request, with the time after which to retry.
 type Refusal struct {
 	Err        *fault.Error
 	RetryAfter time.Duration
@@ -34,71 +34,71 @@
 // Error implements error.
 func (r *Refusal) Error() string { return r.Err.Error() }
 
-// Unwrap returns the typed error.
+// Unwrap returns the fault.Error.
 func (r *Refusal) Unwrap() error { return r.Err }
 
-// NewRefusal returns a refusal whose time to ask again is spread over once to
-// twice the given wait, so that refused callers don't return together.
+// NewRefusal returns a rejection. Its RetryAfter is wait plus a random jitter of up to the
+// same length, so that rejected clients do not all retry at once.
 func NewRefusal(err *fault.Error, wait time.Duration) *Refusal {
 	return &Refusal{Err: err, RetryAfter: wait + rand.N(wait+1)}
 }
 
-// Gate admits requests. It is safe for concurrent use.
+// Gate admits or rejects requests. It is safe for concurrent use.
 type Gate struct {
-	bound   int
-	reserve float64
-
-	mu         sync.Mutex
-	inHand     int
-	workspaces *lru.Cache[string, *workspace]
-	served     ewma
-	// weights is the sum of the weights of the workspaces with requests in hand.
+	maxInFlight   int
+	urgentReserve float64
+
+	mu          sync.Mutex
+	inFlight    int
+	workspaces  *lru.Cache[string, *workspaceState]
+	completions ewma
+	// weights is the sum of the weights of the workspaces with requests in flight.
 	weights float64
 }
 
-type workspace struct {
-	inHand  int
-	weight  float64
-	limiter *rate.Limiter
+type workspaceState struct {
+	inFlight int
+	weight   float64
+	limiter  *rate.Limiter
 }
 
-// NewGate returns a gate for bound requests in hand, of which the share reserve
-// is kept for urgent ones.
-func NewGate(bound int, reserve float64) *Gate {
-	cache, err := lru.New[string, *workspace](maxWorkspaces)
+// NewGate returns a Gate that admits up to maxInFlight requests at a time. The share
+// urgentReserve of them is reserved for urgent requests.
+func NewGate(maxInFlight int, urgentReserve float64) *Gate {
+	cache, err := lru.New[string, *workspaceState](maxWorkspaces)
 	if err != nil {
-		panic(err) // only for a size that is not positive
+		panic(err) // fails only for a size that is not positive
 	}
-	return &Gate{bound: bound, reserve: reserve, workspaces: cache}
+	return &Gate{maxInFlight: maxInFlight, urgentReserve: urgentReserve, workspaces: cache}
 }
 
-// InHand returns the number of admitted requests that are not released.
+// InHand returns the number of admitted requests that have not been released.
 func (g *Gate) InHand() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.inHand
+	return g.inFlight
 }
 
-// Admit takes a request in or refuses it. The limits of a workspace hold for
-// the whole deployment; each of the serving processes enforces its share. The
-// caller releases an admitted request exactly once.
+// Admit admits a request or returns a *Refusal. The limits of a workspace apply to the whole
+// deployment: each of the serving processes enforces its share of them. The caller must call
+// release exactly once for an admitted request.
 func (g *Gate) Admit(w *config.Workspace, p config.Priority, serving int) (release func(), err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.inHand >= g.boundFor(p) {
-		return nil, NewRefusal(fault.New(fault.Exhausted, "entry host is at its limit of requests", "ask again after the time in Retry-After"), g.served.wait(1))
+	if g.inFlight >= g.limitFor(p) {
+		return nil, NewRefusal(fault.New(fault.Exhausted, "entry host has reached its limit of requests in flight", "ask again after the time in Retry-After"), g.completions.expectedWait(1))
 	}
-	ws := g.workspace(w, serving)
-	if limit := share(w.Concurrency, serving); limit > 0 && ws.inHand >= limit {
-		return nil, NewRefusal(fault.New(fault.Exhausted, "workspace "+w.Name+" is at its limit of concurrent requests", "wait for earlier requests, or raise workspaces.concurrency"), g.served.wait(1))
+	ws := g.stateOf(w, serving)
+	if limit := processShare(w.Concurrency, serving); limit > 0 && ws.inFlight >= limit {
+		return nil, NewRefusal(fault.New(fault.Exhausted, "workspace "+w.Name+" has reached its limit of concurrent requests", "wait for earlier requests, or raise workspaces.concurrency"), g.completions.expectedWait(1))
 	}
 	if r := ws.limiter.Reserve(); r.Delay() > 0 {
 		wait := r.Delay()
 		r.Cancel()
-		return nil, NewRefusal(fault.New(fault.Exhausted, "workspace "+w.Name+" is over its rate of requests", "slow down, or raise workspaces.requestsPerSecond"), wait)
+		return nil, NewRefusal(fault.New(fault.Exhausted, "workspace "+w.Name+" has exceeded its request rate limit", "slow down, or raise workspaces.requestsPerSecond"), wait)
 	}
-	g.inHand++
-	if ws.inHand++; ws.inHand == 1 {
+	g.inFlight++
+	if ws.inFlight++; ws.inFlight == 1 {
 		ws.weight = weightOf(w)
 		g.weights += ws.weight
 	}
@@ -106,38 +106,39 @@
 	return func() { g.release(ws, time.Since(start)) }, nil
 }
 
-func (g *Gate) release(ws *workspace, took time.Duration) {
+func (g *Gate) release(ws *workspaceState, took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.inHand--
-	if ws.inHand--; ws.inHand == 0 {
+	g.inFlight--
+	if ws.inFlight--; ws.inFlight == 0 {
 		g.weights -= ws.weight
 	}
-	g.served.add(took, g.inHand+1)
+	g.completions.add(took, g.inFlight+1)
 }
 
 const (
-	// shareSlack is how far over its share a workspace may go when targets are
-	// short, and freeRequests how many requests it may have in any case.
-	shareSlack   = 1.2
-	freeRequests = 4
+	// shareTolerance is the factor by which a workspace may exceed its share while targets
+	// are scarce, and guaranteedRequests the number of requests in flight that is always
+	// within its share.
+	shareTolerance     = 1.2
+	guaranteedRequests = 4
 )
 
-// OverShare returns a refusal if a workspace has more than its weighted share of
-// the requests in hand. It is asked only when targets are short, so that a
-// workspace that floods them cannot starve the others. One more workspace than
-// there are is counted, so that there is room for whoever comes next.
+// OverShare returns a *Refusal if a workspace has more than its weighted share of the requests
+// in flight, nil otherwise. It is called only while targets are scarce, so that a workspace that
+// floods them cannot starve the others. The shares are computed as if one more workspace of
+// weight 1 were active, which leaves room for the next one to arrive.
 func (g *Gate) OverShare(w *config.Workspace) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	ws, ok := g.workspaces.Peek(w.Name)
-	if !ok || ws.inHand <= freeRequests {
+	if !ok || ws.inFlight <= guaranteedRequests {
 		return nil
 	}
-	if fair := float64(g.inHand) * ws.weight / (g.weights + 1); float64(ws.inHand) <= fair*shareSlack {
+	if fair := float64(g.inFlight) * ws.weight / (g.weights + 1); float64(ws.inFlight) <= fair*shareTolerance {
 		return nil
 	}
-	return NewRefusal(fault.New(fault.Exhausted, "workspace "+w.Name+" is over its share while targets are short", "wait for earlier requests, or raise workspaces.weight"), g.served.wait(1))
+	return NewRefusal(fault.New(fault.Exhausted, "workspace "+w.Name+" is over its fair share while targets are scarce", "wait for earlier requests, or raise workspaces.weight"), g.completions.expectedWait(1))
 }
 
 func weightOf(w *config.Workspace) float64 {
@@ -147,18 +148,18 @@
 	return 1
 }
 
-func (g *Gate) boundFor(p config.Priority) int {
+func (g *Gate) limitFor(p config.Priority) int {
 	switch p {
 	case config.Urgent:
-		return g.bound
+		return g.maxInFlight
 	case config.Batch:
-		return int(float64(g.bound) * batchShare)
+		return int(float64(g.maxInFlight) * batchShare)
 	}
-	return int(float64(g.bound) * (1 - g.reserve))
+	return int(float64(g.maxInFlight) * (1 - g.urgentReserve))
 }
 
-// workspace returns the limiter of w, adjusted to the configuration in force.
-func (g *Gate) workspace(w *config.Workspace, serving int) *workspace {
+// stateOf returns the state of w, with its rate limiter adjusted to the current configuration.
+func (g *Gate) stateOf(w *config.Workspace, serving int) *workspaceState {
 	limit := rate.Inf
 	if w.RequestsPerSecond > 0 {
 		limit = rate.Limit(w.RequestsPerSecond / float64(max(serving, 1)))
@@ -169,7 +170,7 @@
 	}
 	ws, ok := g.workspaces.Get(w.Name)
 	if !ok {
-		ws = &workspace{limiter: rate.NewLimiter(limit, burst)}
+		ws = &workspaceState{limiter: rate.NewLimiter(limit, burst)}
 		g.workspaces.Add(w.Name, ws)
 		return ws
 	}
@@ -180,8 +181,9 @@
 	return ws
 }
 
-// share returns this process's part of a limit, at least 1; 0 stays no limit.
-func share(limit, serving int) int {
+// processShare returns this process's share of a limit, at least 1. A limit of 0 means none and
+// stays 0.
+func processShare(limit, serving int) int {
 	if limit == 0 {
 		return 0
 	}
@@ -189,57 +191,58 @@
 	return (limit + n - 1) / n
 }
 
-// ewma averages how often requests end.
-type ewma struct{ interval float64 } // seconds between two ends
+// ewma is the exponentially weighted moving average of the interval at which requests complete.
+type ewma struct{ interval float64 } // in seconds
 
 const (
-	ewmaWeight = 0.1
-	minWait    = 100 * time.Millisecond
-	maxWait    = 30 * time.Second
+	ewmaWeight   = 0.1
+	minRetryWait = 100 * time.Millisecond
+	maxRetryWait = 30 * time.Second
 )
 
-// add records a request that took that long while n were in hand, which ends
-// requests at intervals of took/n.
+// add records a completed request. With n requests in flight that take this long each, one
+// completes every took/n.
 func (e *ewma) add(took time.Duration, n int) {
 	sample := took.Seconds() / float64(max(n, 1))
 	e.interval += ewmaWeight * (sample - e.interval)
 }
 
-// wait returns when n requests will have ended.
-func (e *ewma) wait(n int) time.Duration {
-	return min(max(time.Duration(float64(n)*e.interval*float64(time.Second)), minWait), maxWait)
+// expectedWait returns the time in which n requests are expected to complete, within
+// minRetryWait and maxRetryWait.
+func (e *ewma) expectedWait(n int) time.Duration {
+	return min(max(time.Duration(float64(n)*e.interval*float64(time.Second)), minRetryWait), maxRetryWait)
 }
 
-// RetryBudget bounds retries to a share of the requests, so that retries cannot
-// multiply an overload. It is safe for concurrent use.
+// RetryBudget limits retries to a share of the requests with a token bucket, so that retries
+// cannot amplify an overload. It is safe for concurrent use.
 type RetryBudget struct {
 	mu     sync.Mutex
 	tokens float64
 }
 
 const (
-	retryShare  = 0.2
-	retryBurst  = 20
-	retryTokens = 1
+	retriesPerRequest = 0.2
+	maxRetryTokens    = 20
+	tokensPerRetry    = 1
 )
 
-// NewRetryBudget returns a full budget.
-func NewRetryBudget() *RetryBudget { return &RetryBudget{tokens: retryBurst} }
+// NewRetryBudget returns a budget with all its tokens.
+func NewRetryBudget() *RetryBudget { return &RetryBudget{tokens: maxRetryTokens} }
 
-// Request records a request, which earns a share of a retry.
+// Request records a request, which adds retriesPerRequest tokens to the budget.
 func (b *RetryBudget) Request() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+retryShare, retryBurst)
+	b.tokens = min(b.tokens+retriesPerRequest, maxRetryTokens)
 }
 
-// Retry reports whether a retry may be made now, and pays for it.
+// Retry reports whether a retry is allowed now, and charges it to the budget if so.
 func (b *RetryBudget) Retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.tokens < retryTokens {
+	if b.tokens < tokensPerRetry {
 		return false
 	}
-	b.tokens -= retryTokens
+	b.tokens -= tokensPerRetry
 	return true
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -10,11 +10,11 @@
 	"github.com/rockdoor/rockdoor/config"
 )
 
-func refusalOf(t *testing.T, err error) *Refusal {
+func requireRejection(t *testing.T, err error) *Refusal {
 	var r *Refusal
 	require.True(t, errors.As(err, &r), "%v", err)
 	require.Positive(t, r.RetryAfter)
-	require.LessOrEqual(t, r.RetryAfter, 2*maxWait)
+	require.LessOrEqual(t, r.RetryAfter, 2*maxRetryWait)
 	return r
 }
 
@@ -26,7 +26,7 @@
 		require.NoError(t, err)
 	}
 	_, err := g.Admit(w, config.Normal, 1)
-	refusalOf(t, err)
+	requireRejection(t, err)
 	release, err := g.Admit(w, config.Urgent, 1)
 	require.NoError(t, err)
 	release()
@@ -41,9 +41,9 @@
 		require.NoError(t, err)
 	}
 	_, err := g.Admit(w, config.Normal, 4)
-	require.Contains(t, refusalOf(t, err).Error(), "concurrent")
+	require.Contains(t, requireRejection(t, err).Error(), "concurrent")
 	_, err = g.Admit(&config.Workspace{Name: "other"}, config.Normal, 4)
-	require.NoError(t, err, "another workspace is not concerned")
+	require.NoError(t, err, "another workspace is not affected")
 }
 
 func TestRateIsRefusedWithTheTimeToComeBack(t *testing.T) {
@@ -55,7 +55,7 @@
 		release()
 	}
 	_, err := g.Admit(w, config.Normal, 1)
-	require.Greater(t, refusalOf(t, err).RetryAfter, time.Second)
+	require.Greater(t, requireRejection(t, err).RetryAfter, time.Second)
 	require.Zero(t, g.InHand())
 }
 
@@ -68,7 +68,7 @@
 			retries++
 		}
 	}
-	require.LessOrEqual(t, retries, retryBurst+1000/5)
+	require.LessOrEqual(t, retries, maxRetryTokens+1000/5)
 }
 
 func TestFloodingWorkspaceIsHeldToItsShare(t *testing.T) {
@@ -78,10 +78,10 @@
 		_, err := g.Admit(flood, config.Normal, 1)
 		require.NoError(t, err)
 	}
-	refusalOf(t, g.OverShare(flood)) // also alone, so that there is room for the next
+	requireRejection(t, g.OverShare(flood)) // even if it is the only one, to leave room for the next workspace
 	release, err := g.Admit(small, config.Normal, 1)
 	require.NoError(t, err)
-	refusalOf(t, g.OverShare(flood))
+	requireRejection(t, g.OverShare(flood))
 	require.NoError(t, g.OverShare(small))
 	release()
 }
