--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// dialTimeout bounds a new connection. Instances are a few milliseconds
-	// away; a lost opening packet is sent again only after a second, by which
-	// time another instance is the better choice.
+	// dialTimeout bounds the setup of a connection. Instances are a few milliseconds away.
+	// A lost SYN packet is retransmitted only after one second, and by then it is better to
+	// use another instance.
 	dialTimeout = 400 * time.Millisecond
-	// userTimeout is how long sent bytes may stay unacknowledged before the
-	// kernel gives a connection up, so that a dark host is noticed.
+	// userTimeout is the TCP_USER_TIMEOUT: the kernel closes a connection whose sent bytes
+	// are not acknowledged for this long, which detects an unreachable host.
 	userTimeout = 1200 * time.Millisecond
-	// keepAliveIdle, keepAliveInterval and keepAliveCount find a host that went
-	// dark while its answer was awaited, within about two and a half seconds.
+	// keepAliveIdle, keepAliveInterval and keepAliveCount detect within about 2.5 seconds
+	// that a host became unreachable while a response from it was pending.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = 500 * time.Millisecond
 	keepAliveCount    = 3
@@ -33,14 +33,14 @@
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// wrote is true once a byte of the present request may have left.
+	// wrote is true once a byte of the current request may have been sent.
 	wrote atomic.Bool
-	// idleSince and idleFor bound how long the connection may be reused.
-	idleSince time.Time
-	idleFor   time.Duration
+	// idleSince is when the connection became idle. It may be reused until idleTimeout later.
+	idleSince   time.Time
+	idleTimeout time.Duration
 }
 
-// Write marks the request as begun before its first byte is handed over.
+// Write sets wrote before the first byte of a request is passed to the kernel.
 func (c *conn) Write(p []byte) (int, error) {
 	c.wrote.Store(true)
 	return c.Conn.Write(p)
@@ -71,10 +71,10 @@
 	return errors.CombineErrors(err, serr)
 }
 
-// usable reports whether an idle connection can carry another request: it has
-// not rested too long, was not closed, and nothing arrived that nobody asked for.
+// usable reports whether an idle connection can be used for another request: its idle timeout
+// has not passed, it was not closed, and no unexpected data has arrived on it.
 func (c *conn) usable(now time.Time) bool {
-	if now.Sub(c.idleSince) > c.idleFor || c.reader.Buffered() > 0 {
+	if now.Sub(c.idleSince) > c.idleTimeout || c.reader.Buffered() > 0 {
 		return false
 	}
 	sc, ok := c.Conn.(syscall.Conn)
@@ -95,17 +95,17 @@
 	return err == nil && n <= 0 && (errors.Is(rerr, unix.EAGAIN) || errors.Is(rerr, unix.EWOULDBLOCK))
 }
 
-// skip reads and drops at most limit bytes of a body that is not wanted.
-func skip(body io.Reader, limit int64) error {
+// discardBody reads a body and discards it. It fails if the body has limit bytes or more.
+func discardBody(body io.Reader, limit int64) error {
 	n, err := io.Copy(io.Discard, io.LimitReader(body, limit))
 	if err == nil && n == limit {
-		return errors.New("body is too long to be skipped")
+		return errors.New("body is too long to be discarded")
 	}
 	return err
 }
 
-// Refuses reports whether a new connection to an address is refused: its host lives, and
-// nothing listens there.
+// Refuses reports whether the address refuses new connections, which means that its host is
+// reachable but no process listens there.
 func (c *Client) Refuses(ctx context.Context, address string) bool {
 	cn, err := dial(ctx, address)
 	if err == nil {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,8 +1,7 @@
-// Package upstream sends one request to one instance over HTTP/1.1 and tells
-// exactly what is known of it afterwards: that no byte of it left, or that the
-// instance may have begun. Answers are matched to requests by id, so that an
-// answer that arrives late or twice on a kept connection is never taken for
-// another request's.
+// Package upstream sends a request to an instance over HTTP/1.1 and reports exactly what is
+// known after a failure: that no byte of the request was sent, or that the instance may
+// have started to run it. Responses are matched to requests by ID, so that a late or
+// duplicate response on a reused connection is never taken for that of another request.
 package upstream
 
 import (
@@ -25,29 +24,31 @@
 )
 
 const (
-	// idleDefault is how long a connection is reused if the instance does not say
-	// how long it keeps it. The platform rounds to whole seconds, so an instance
-	// that says nothing may keep it for less than one.
-	idleDefault = 700 * time.Millisecond
-	// idleMargin is kept from the time that an instance states.
-	idleMargin = 400 * time.Millisecond
-	// maxStrayAnswers bounds how many answers to other requests are skipped.
-	maxStrayAnswers = 4
-	maxStrayBytes   = 1 << 20
-	// skipLimit bounds the body that CloseUnread reads to keep the connection.
-	skipLimit = 64 << 10
-	// strayWait is how long the right answer is waited for after one to another
-	// request: an instance that mixed the two up sends no other.
-	strayWait = time.Second
-	// inlineBody is the largest body that is written before the answer is read.
-	// A larger one is written beside it, as an instance may answer early.
-	inlineBody = 2 << 10
-	// maxIdle bounds the kept connections to one instance if the request states no
-	// bound.
-	maxIdle = 64
+	// defaultIdleTimeout applies if the instance does not announce a keep-alive timeout.
+	// The platform rounds the announced timeout to whole seconds, so an instance that
+	// announces none may close idle connections in less than one second.
+	defaultIdleTimeout = 700 * time.Millisecond
+	// idleTimeoutMargin is subtracted from the keep-alive timeout that an instance announces.
+	idleTimeoutMargin = 400 * time.Millisecond
+	// maxStrayResponses bounds how many responses to other requests are skipped, and
+	// maxStrayBytes the body of each.
+	maxStrayResponses = 4
+	maxStrayBytes     = 1 << 20
+	// maxDiscardBytes bounds the body that CloseUnread reads in order to reuse the connection.
+	maxDiscardBytes = 64 << 10
+	// strayTimeout bounds the wait for the right response after a response to another
+	// request: an instance that has confused the two will not send another.
+	strayTimeout = time.Second
+	// maxInlineBody is the largest body that is written before the response is read. A
+	// larger one is written concurrently, as an instance may respond before it has read
+	// the body.
+	maxInlineBody = 2 << 10
+	// defaultMaxIdle bounds the idle connections to one instance if the request sets no
+	// limit.
+	defaultMaxIdle = 64
 )
 
-// Request is what is sent.
+// Request is a request to an instance.
 type Request struct {
 	Address string
 	Method  string
@@ -55,19 +56,20 @@
 	Host    string
 	Header  http.Header
 	Body    []byte
-	// Matches reports whether the head of an answer belongs to this request.
+	// Matches reports whether the headers of a response belong to this request. If it is nil,
+	// every response does.
 	Matches func(http.Header) bool
-	// Check is called as the last step before the request is written. The request
-	// is not sent if it fails.
+	// Check is called just before the request is written. If it returns an error, the
+	// request is not sent. It may be nil.
 	Check func() error
-	// Fresh asks for a new connection.
+	// Fresh forces a new connection.
 	Fresh bool
-	// MaxIdle bounds the connections to the address that are kept unused after this
-	// request; 0 leaves it to the client.
+	// MaxIdle bounds the idle connections to the address that are kept after this request.
+	// 0 means the default.
 	MaxIdle int
 }
 
-// Client keeps connections to instances. It is safe for concurrent use.
+// Client sends requests to instances and pools connections. It is safe for concurrent use.
 type Client struct {
 	reg metrics.Registry
 
@@ -76,25 +78,25 @@
 	open map[string]int
 }
 
-// New returns a client that counts in reg.
+// New returns a client that registers its metrics in reg.
 func New(reg metrics.Registry) *Client {
 	return &Client{reg: reg, idle: map[string][]*conn{}, open: map[string]int{}}
 }
 
-// Open returns the number of connections to an address.
+// Open returns the number of open connections to an address, idle ones included.
 func (c *Client) Open(address string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.open[address]
 }
 
-// Answer is the head of an answer with its body to be read. It has to be closed.
+// Answer is a response whose headers have been read. The caller must close it.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Body ends with io.EOF only if it arrived whole.
+	// Body returns io.EOF only after the complete body has been read.
 	Body io.Reader
-	// Length is the body's length in bytes, -1 if it is not known beforehand.
+	// Length is the Content-Length of the body, -1 if it is unknown.
 	Length int64
 
 	client  *Client
@@ -102,24 +104,26 @@
 	maxIdle int
 	conn    *conn
 	resp    *http.Response
-	// written is closed once the request has been written or given up.
-	written chan struct{}
-	werr    error
-	stop    func() bool
-	tainted bool
-	// ended is true once the body has been read to its end. Until then bytes of it
-	// may still be on their way, in the place of the next answer.
-	ended bool
-	once  sync.Once
+	// writeDone is closed once the request has been written or its writing has failed.
+	writeDone chan struct{}
+	writeErr  error
+	// stop ends the watch for the end of the context.
+	stop func() bool
+	// mismatched is true once a response to another request has been received.
+	mismatched bool
+	// bodyRead is true once the body has been read to its end. Until then, remaining bytes of
+	// it could be taken for the next response on the connection.
+	bodyRead bool
+	once     sync.Once
 }
 
-// endReader notes the end of a body.
-type endReader struct {
+// eofReader records that a body has been read to its end.
+type eofReader struct {
 	io.Reader
 	ended *bool
 }
 
-func (r endReader) Read(p []byte) (int, error) {
+func (r eofReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if errors.Is(err, io.EOF) {
 		*r.ended = true
@@ -127,30 +131,29 @@
 	return n, err
 }
 
-// Do sends a request and waits for the head of its answer. An error is of kind
-// Unavailable if no byte left, and of kind Unknown if the instance may have
-// begun. When ctx ends the connection is closed, which tells the instance to
-// stop.
+// Do sends a request and waits for the headers of its response. An error is of kind
+// Unavailable if no byte was sent, and of kind Unknown if the instance may have started to
+// run the request. When ctx ends, the connection is closed, which tells the instance to stop.
 func (c *Client) Do(ctx context.Context, r Request) (*Answer, error) {
 	cn, err := c.get(ctx, r.Address, r.Fresh)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Unavailable, "instance cannot be reached", "another instance is tried")
+		return nil, fault.Wrap(err, fault.Unavailable, "cannot connect to the instance", "another instance is tried")
 	}
-	if err := r.mayBeSent(ctx); err != nil {
+	if err := r.checkBeforeSend(ctx); err != nil {
 		c.drop(r.Address, cn)
 		return nil, err
 	}
-	a := &Answer{client: c, address: r.Address, maxIdle: cmp.Or(r.MaxIdle, maxIdle), conn: cn, written: make(chan struct{})}
+	a := &Answer{client: c, address: r.Address, maxIdle: cmp.Or(r.MaxIdle, defaultMaxIdle), conn: cn, writeDone: make(chan struct{})}
 	a.stop = context.AfterFunc(ctx, func() { _ = cn.SetDeadline(time.Unix(1, 0)) })
-	req := r.build()
-	if len(r.Body) <= inlineBody {
+	req := r.httpRequest()
+	if len(r.Body) <= maxInlineBody {
 		a.write(req)
 	} else {
 		go a.write(req)
 	}
-	if err := a.readHead(req, r.Matches); err != nil {
+	if err := a.readHeaders(req, r.Matches); err != nil {
 		a.discard()
-		<-a.written // nothing is written any more, so what follows is a fact
+		<-a.writeDone // from here on nothing is written, so conn.wrote is final
 		if !cn.wrote.Load() {
 			return nil, fault.Wrap(err, fault.Unavailable, "request was not sent", "another instance is tried")
 		}
@@ -159,20 +162,20 @@
 	return a, nil
 }
 
-// mayBeSent is the last look before the request is written. A process that was held up goes on before
-// its timers have run, so the deadline is compared with the clock.
-func (r *Request) mayBeSent(ctx context.Context) error {
-	deadline, timed := ctx.Deadline()
+// checkBeforeSend decides just before the request is written whether to send it. When a paused process
+// resumes, the timer of ctx may not have fired yet, so the deadline is also compared with the clock.
+func (r *Request) checkBeforeSend(ctx context.Context) error {
+	deadline, hasDeadline := ctx.Deadline()
 	switch {
-	case ctx.Err() != nil || timed && !time.Now().Before(deadline):
-		return fault.New(fault.Unavailable, "time is up, or the caller has left", "nothing was sent")
+	case ctx.Err() != nil || hasDeadline && !time.Now().Before(deadline):
+		return fault.New(fault.Unavailable, "deadline has passed or the client has disconnected", "nothing was sent")
 	case r.Check == nil:
 		return nil
 	}
 	return r.Check()
 }
 
-func (r *Request) build() *http.Request {
+func (r *Request) httpRequest() *http.Request {
 	req := &http.Request{
 		Method: r.Method, URL: &url.URL{Opaque: r.URI}, Host: r.Host, Header: r.Header,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, ContentLength: int64(len(r.Body)),
@@ -181,29 +184,29 @@
 		req.Body = io.NopCloser(bytes.NewReader(r.Body))
 	}
 	if _, ok := req.Header["User-Agent"]; !ok {
-		req.Header["User-Agent"] = nil // keeps the library from adding its own
+		req.Header["User-Agent"] = nil // prevents net/http from adding its own
 	}
 	return req
 }
 
-// writers are kept for later requests: the library allocates one for each request that is not
-// written to one.
-var writers = sync.Pool{New: func() any { return bufio.NewWriter(nil) }}
+// writerPool reuses buffered writers. Without one, http.Request.Write allocates a new one for each
+// request.
+var writerPool = sync.Pool{New: func() any { return bufio.NewWriter(nil) }}
 
 func (a *Answer) write(req *http.Request) {
-	w, _ := writers.Get().(*bufio.Writer)
+	w, _ := writerPool.Get().(*bufio.Writer)
 	w.Reset(a.conn)
-	if a.werr = req.Write(w); a.werr == nil {
-		a.werr = w.Flush()
+	if a.writeErr = req.Write(w); a.writeErr == nil {
+		a.writeErr = w.Flush()
 	}
 	w.Reset(nil)
-	writers.Put(w)
-	close(a.written)
+	writerPool.Put(w)
+	close(a.writeDone)
 }
 
-// readHead reads answers until one belongs to the request.
-func (a *Answer) readHead(req *http.Request, matches func(http.Header) bool) error {
-	for range maxStrayAnswers {
+// readHeaders reads responses until one matches the request.
+func (a *Answer) readHeaders(req *http.Request, matches func(http.Header) bool) error {
+	for range maxStrayResponses {
 		resp, err := http.ReadResponse(a.conn.reader, req)
 		if err != nil {
 			return err
@@ -213,42 +216,42 @@
 		}
 		if matches == nil || matches(resp.Header) {
 			a.resp, a.Status, a.Header, a.Length = resp, resp.StatusCode, resp.Header, resp.ContentLength
-			a.Body = endReader{resp.Body, &a.ended}
+			a.Body = eofReader{resp.Body, &a.bodyRead}
 			return nil
 		}
-		if !a.tainted {
-			a.tainted = true
-			giveUp := time.AfterFunc(strayWait, func() { _ = a.conn.SetDeadline(time.Unix(1, 0)) })
-			defer giveUp.Stop()
+		if !a.mismatched {
+			a.mismatched = true
+			timer := time.AfterFunc(strayTimeout, func() { _ = a.conn.SetDeadline(time.Unix(1, 0)) })
+			defer timer.Stop()
 		}
 		a.client.count("stray_answers")
 		if resp.Close {
-			return errors.New("answer belongs to another request")
+			return errors.New("response belongs to another request")
 		}
-		if err := skip(resp.Body, maxStrayBytes); err != nil {
+		if err := discardBody(resp.Body, maxStrayBytes); err != nil {
 			return err
 		}
 	}
-	return errors.New("answers belong to other requests")
+	return errors.New("responses belong to other requests")
 }
 
-// Close ends the exchange. The connection is kept if the whole answer has been
-// read, to the end of its body, and nothing is wrong with it; otherwise it is
-// closed, which tells the instance to stop.
-func (a *Answer) Close(whole bool) {
+// Close ends the exchange. If complete is true and the body has been read to its end, the
+// connection is returned to the pool unless it cannot be reused. Otherwise it is closed, which
+// tells the instance to stop.
+func (a *Answer) Close(complete bool) {
 	a.once.Do(func() {
-		if !whole || !a.reusable() || !a.stop() {
+		if !complete || !a.reusable() || !a.stop() {
 			a.discardConn()
 			return
 		}
-		a.conn.idleFor = idleTime(a.Header)
+		a.conn.idleTimeout = idleTimeout(a.Header)
 		a.client.put(a.address, a.conn, a.maxIdle)
 	})
 }
 
-// CloseUnread ends the exchange of an answer whose body is not wanted. A short one
-// is read to its end, so that the connection can be kept.
-func (a *Answer) CloseUnread() { a.Close(skip(a.Body, skipLimit) == nil) }
+// CloseUnread ends the exchange without using the body. A short body is read and discarded, so
+// that the connection can be reused.
+func (a *Answer) CloseUnread() { a.Close(discardBody(a.Body, maxDiscardBytes) == nil) }
 
 func (a *Answer) discard() { a.once.Do(a.discardConn) }
 
@@ -259,28 +262,28 @@
 
 func (a *Answer) reusable() bool {
 	select {
-	case <-a.written:
+	case <-a.writeDone:
 	default:
-		return false // the answer came before the request was read
+		return false // the response arrived before the request was fully written
 	}
-	return a.werr == nil && a.ended && !a.tainted && !a.resp.Close && a.conn.reader.Buffered() == 0
+	return a.writeErr == nil && a.bodyRead && !a.mismatched && !a.resp.Close && a.conn.reader.Buffered() == 0
 }
 
-// idleTime returns how long a connection may be reused after an answer.
-func idleTime(h http.Header) time.Duration {
+// idleTimeout returns how long a connection may be idle after a response with these headers.
+func idleTimeout(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		text, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		if !ok {
 			continue
 		}
 		if s, err := strconv.Atoi(text); err == nil {
-			return max(time.Duration(s)*time.Second-idleMargin, 0)
+			return max(time.Duration(s)*time.Second-idleTimeoutMargin, 0)
 		}
 	}
-	return idleDefault
+	return defaultIdleTimeout
 }
 
-// get returns a kept connection, or a new one.
+// get returns an idle connection from the pool, or a new one.
 func (c *Client) get(ctx context.Context, address string, fresh bool) (*conn, error) {
 	for !fresh {
 		cn := c.pop(address)
@@ -304,8 +307,8 @@
 	return cn, nil
 }
 
-// pop returns the connection that was used last: the others get old and are
-// dropped when their time is up.
+// pop takes the most recently used connection from the pool, so that unneeded ones reach their
+// idle timeout. It returns nil if the pool is empty.
 func (c *Client) pop(address string) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -318,14 +321,14 @@
 	return cn
 }
 
-// put keeps a connection, and closes the oldest beyond most and those that rested too
-// long.
-func (c *Client) put(address string, cn *conn, most int) {
+// put returns a connection to the pool. It closes the connections whose idle timeout has passed
+// and the oldest ones beyond maxIdle.
+func (c *Client) put(address string, cn *conn, maxIdle int) {
 	cn.idleSince = time.Now()
 	c.mu.Lock()
 	var old []*conn
 	all := append(c.idle[address], cn)
-	for len(all) > 0 && (len(all) > most || cn.idleSince.Sub(all[0].idleSince) > all[0].idleFor) {
+	for len(all) > 0 && (len(all) > maxIdle || cn.idleSince.Sub(all[0].idleSince) > all[0].idleTimeout) {
 		old, all = append(old, all[0]), all[1:]
 	}
 	c.idle[address] = all
@@ -335,7 +338,7 @@
 	}
 }
 
-// Close closes all kept connections. Those that carry a request end with it.
+// Close closes all idle connections. A connection in use is not affected.
 func (c *Client) Close() {
 	c.mu.Lock()
 	var addresses []string
@@ -348,7 +351,7 @@
 	}
 }
 
-// Forget closes the kept connections to an address that is no longer used.
+// Forget closes the idle connections to an address that is no longer used.
 func (c *Client) Forget(address string) {
 	c.mu.Lock()
 	all := c.idle[address]
@@ -360,7 +363,7 @@
 }
 
 func (c *Client) drop(address string, cn *conn) {
-	_ = cn.Close() // the connection is given up; nothing is left to lose
+	_ = cn.Close() // the connection is discarded, so an error does not matter
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.open[address]--; c.open[address] <= 0 {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -19,7 +19,7 @@
 	"github.com/rockdoor/rockdoor/fault"
 )
 
-// serve answers each connection with f and returns the address.
+// serve runs f for each accepted connection and returns the listener's address.
 func serve(t *testing.T, f func(n int, c net.Conn, r *bufio.Reader)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -91,8 +91,8 @@
 	require.Zero(t, c.Open(address))
 }
 
-// TestUnusedConnectionsAreBounded checks that no more connections are kept than the
-// request allows, so that all processes together stay inside what an instance takes.
+// TestUnusedConnectionsAreBounded checks that no more idle connections are kept than MaxIdle
+// allows, so that all processes together stay within the connection limit of an instance.
 func TestUnusedConnectionsAreBounded(t *testing.T) {
 	address := serve(t, func(n int, c net.Conn, r *bufio.Reader) {
 		for {
@@ -121,8 +121,8 @@
 	require.Equal(t, 2, c.Open(address))
 }
 
-// TestLateAnswerOfAnEarlierRequest checks that an answer in excess is never
-// taken for the next request's, whether it is there before or comes after.
+// TestLateAnswerOfAnEarlierRequest checks that a duplicate response is never taken for the
+// response to the next request, whether it arrives before or after that request is sent.
 func TestLateAnswerOfAnEarlierRequest(t *testing.T) {
 	t.Run("before the next request", func(t *testing.T) {
 		address := serve(t, func(n int, c net.Conn, r *bufio.Reader) {
@@ -153,13 +153,11 @@
 	})
 }
 
-// TestMixedUpAnswer covers an instance that answers another request and sends no
-// more: the request is given up on long before its caller's time is up.
-// TestBodyThatWasNotReadToItsEnd covers a reader that knows by its content that an
-// answer is whole and leaves the last bytes unread: they arrive late, in the place
-// of the next answer.
+// TestBodyThatWasNotReadToItsEnd covers a caller that detects the end of a response by its content
+// and leaves the last bytes of the body unread. The connection must not be reused, because these
+// bytes would be taken for the start of the next response.
 func TestBodyThatWasNotReadToItsEnd(t *testing.T) {
-	left := make(chan struct{})
+	closed := make(chan struct{})
 	address := serve(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			id, _, err := readRequest(r)
@@ -167,7 +165,7 @@
 				return
 			}
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n", id)
-			<-left // sooner, and a slow reader has the end with the rest
+			<-closed // sent earlier, the end of the body could be read along with the rest
 			fmt.Fprint(c, "0\r\n\r\n")
 		}
 	})
@@ -180,10 +178,12 @@
 		require.NoError(t, err)
 		a.Close(true)
 		require.Zero(t, c.Open(address))
-		left <- struct{}{}
+		closed <- struct{}{}
 	}
 }
 
+// TestMixedUpAnswer covers an instance that sends the response to another request and nothing else.
+// The request must fail long before its deadline.
 func TestMixedUpAnswer(t *testing.T) {
 	address := serve(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		_, _, _ = readRequest(r)
@@ -208,7 +208,7 @@
 		c.Close()
 	})
 	_, err = c.Do(context.Background(), request(address, "a", ""))
-	require.True(t, fault.Is(err, fault.Unknown), "it may have begun")
+	require.True(t, fault.Is(err, fault.Unknown), "the instance may have started to run the request")
 
 	r := request(address, "a", "")
 	r.Check = func() error { return fault.New(fault.Unavailable, "too late", "none") }
@@ -217,15 +217,15 @@
 	require.Zero(t, c.Open(address))
 }
 
-// lateContext is one whose deadline has passed before its timer has run.
+// lateContext is a context whose deadline has passed but whose timer has not fired.
 type lateContext struct{ context.Context }
 
 // Deadline implements context.Context.
 func (lateContext) Deadline() (time.Time, bool) { return time.Now().Add(-time.Millisecond), true }
 
-// TestNothingIsSentForACallerThatHasLeft has a kept connection at hand for a request whose caller has left. A
-// process that was held up for seconds went on with its requests before it had noticed: eight were sent
-// 2.5 s after their callers' deadlines.
+// TestNothingIsSentForACallerThatHasLeft checks that a request is not sent over an idle connection if its
+// client has disconnected or its deadline has passed. A process that resumed after a pause of seconds
+// once sent eight requests 2.5 s after their deadlines, before their timers had fired.
 func TestNothingIsSentForACallerThatHasLeft(t *testing.T) {
 	var arrived atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -265,8 +265,8 @@
 	a.Close(false)
 }
 
-// TestAnswerBeforeTheBodyWasRead checks that a connection is not reused on which
-// an instance may still read the rest of a body.
+// TestAnswerBeforeTheBodyWasRead checks that a connection is not reused if the response arrived before
+// the request body was fully written.
 func TestAnswerBeforeTheBodyWasRead(t *testing.T) {
 	address := serve(t, func(n int, c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
@@ -282,13 +282,13 @@
 	require.Zero(t, c.Open(address))
 }
 
-// TestNothingIsWrittenAfterTheVerdict covers a connection that breaks while a large
-// request is being written beside the reading of its answer: if the client says
-// that nothing left, no byte may reach the instance afterwards.
+// TestNothingIsWrittenAfterTheVerdict covers a connection that breaks while a large request is written
+// and its response is read concurrently. If Do reports that nothing was sent, no byte may reach the
+// instance afterwards.
 func TestNothingIsWrittenAfterTheVerdict(t *testing.T) {
 	var got atomic.Int64
 	address := serve(t, func(_ int, c net.Conn, _ *bufio.Reader) {
-		_ = c.(*net.TCPConn).CloseWrite() // the answer ends before it began
+		_ = c.(*net.TCPConn).CloseWrite() // ends the response before its first byte
 		n, _ := io.Copy(io.Discard, c)
 		got.Add(n)
 	})
@@ -324,8 +324,8 @@
 
 func TestIdleTime(t *testing.T) {
 	for text, want := range map[string]time.Duration{
-		"": idleDefault, "timeout=5": 5*time.Second - idleMargin, "max=3, timeout=1": time.Second - idleMargin, "timeout=0": 0, "odd": idleDefault,
+		"": defaultIdleTimeout, "timeout=5": 5*time.Second - idleTimeoutMargin, "max=3, timeout=1": time.Second - idleTimeoutMargin, "timeout=0": 0, "odd": defaultIdleTimeout,
 	} {
-		require.Equal(t, want, idleTime(http.Header{"Keep-Alive": {text}}), text)
+		require.Equal(t, want, idleTimeout(http.Header{"Keep-Alive": {text}}), text)
 	}
 }
