--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -1,6 +1,6 @@
-// Package attempt sends one request to one engine or backend server and finds
-// out what became of it, as the states of a chart. The way to the target, and
-// whether a byte of the request left, is the business of package upstream.
+// Package attempt sends a request to an engine or a backend server and tracks the result in
+// a state chart. Connections, and whether a byte of the request was sent, are handled by
+// package upstream.
 package attempt
 
 import (
@@ -21,12 +21,12 @@
 	"github.com/rockdoor/rockdoor/statechart"
 )
 
-// MaxEventBytes bounds one event of a stream.
+// MaxEventBytes bounds the size of one event of a stream.
 const MaxEventBytes = 1 << 20
 
-// Spec is what is sent.
+// Spec is the request that an attempt sends.
 type Spec struct {
-	// ID identifies the attempt; the target repeats it in its answer.
+	// ID identifies the attempt. The target echoes it in its response.
 	ID      string
 	Address string
 	Method  string
@@ -36,15 +36,15 @@
 	Body   []byte
 }
 
-// Runner sends attempts over kept-alive connections.
+// Runner makes attempts over pooled connections.
 type Runner struct {
 	client *upstream.Client
 }
 
-// NewRunner returns a runner that counts in reg, with connections of its own.
+// NewRunner returns a Runner with its own connection pool, which registers its metrics in reg.
 func NewRunner(reg metrics.Registry) *Runner { return &Runner{client: upstream.New(reg)} }
 
-// Close drops idle connections.
+// Close closes the idle connections.
 func (r *Runner) Close() { r.client.Close() }
 
 // Refuses reports whether an address refuses connections.
@@ -52,21 +52,21 @@
 	return r.client.Refuses(ctx, address)
 }
 
-// Attempt is one try. It is used by one goroutine.
+// Attempt is one attempt to run a request at a target. It is used by one goroutine.
 type Attempt struct {
 	chart  *statechart.Instance
 	answer *upstream.Answer
 	err    error
 }
 
-// Start sends the request and waits for the head of the answer. The state of
-// the returned attempt is answering or final.
+// Start sends the request and waits for the response headers. The state of the returned
+// attempt is answering or a final one.
 func (r *Runner) Start(ctx context.Context, s Spec) *Attempt {
 	a := &Attempt{chart: charts.Attempt.Start()}
 	s.Header.Set(openai.AttemptHeader, s.ID)
 	answer, err := r.client.Do(ctx, upstream.Request{
 		Address: s.Address, Method: s.Method, URI: s.URI, Host: s.Address, Header: s.Header, Body: s.Body,
-		Matches: func(h http.Header) bool { return echoes(h, s.ID) },
+		Matches: func(h http.Header) bool { return matchesAttempt(h, s.ID) },
 	})
 	if fault.Is(err, fault.Unavailable) {
 		a.end(charts.Unsent, err)
@@ -78,30 +78,31 @@
 		return a
 	}
 	a.answer = answer
-	a.answered()
+	a.checkHeaders()
 	return a
 }
 
-// echoes reports whether an answer is one to the attempt. Targets that repeat no
-// id are believed.
-func echoes(h http.Header, id string) bool {
+// matchesAttempt reports whether a response belongs to the attempt. If the target does not echo
+// the ID, the response is assumed to belong to it.
+func matchesAttempt(h http.Header, id string) bool {
 	got := h.Get(openai.AttemptHeader)
 	return got == "" || got == id
 }
 
-// answered looks at the head of the answer.
-func (a *Attempt) answered() {
+// checkHeaders ends the attempt if the response headers say that the target rejected the request
+// without running it. Otherwise the attempt is answering.
+func (a *Attempt) checkHeaders() {
 	if a.Status() == http.StatusServiceUnavailable && a.Header().Get(openai.NotRunHeader) != "" {
-		a.end(charts.Rejected, fault.New(fault.Unavailable, "target takes no work", "another target is tried if one is permitted"))
+		a.end(charts.Rejected, fault.New(fault.Unavailable, "target rejected the request", "another target is tried if one is permitted"))
 		return
 	}
 	a.fire(charts.Answered)
 }
 
-// fire moves the chart; an event that the state ignores is harmless.
+// fire applies an event to the state chart. An event that the state ignores has no effect.
 func (a *Attempt) fire(e statechart.Event) { _, _ = a.chart.Fire(e) }
 
-// end moves the chart to a final state and closes the answer.
+// end moves the state chart to a final state and closes the response.
 func (a *Attempt) end(e statechart.Event, err error) {
 	a.fire(e)
 	a.err = err
@@ -111,16 +112,16 @@
 // State returns the state of the attempt.
 func (a *Attempt) State() statechart.State { return a.chart.State() }
 
-// Err returns why the attempt ended, if not with a whole answer.
+// Err returns the error that ended the attempt, nil if the response is complete.
 func (a *Attempt) Err() error { return a.err }
 
-// Status returns the status code of the answer.
+// Status returns the status code of the response.
 func (a *Attempt) Status() int { return a.answer.Status }
 
-// Header returns the header of the answer.
+// Header returns the headers of the response.
 func (a *Attempt) Header() http.Header { return a.answer.Header }
 
-// RestAsked returns for how long the target wants nothing more, 0 if it does not say.
+// RestAsked returns the backoff that the target asks for, 0 if there is none.
 func (a *Attempt) RestAsked() time.Duration {
 	if a.answer == nil {
 		return 0
@@ -128,8 +129,8 @@
 	return notice.RestAsked(a.Status(), a.Header())
 }
 
-// RateLimit returns what the target says of the rate of requests that it takes, false if it has not
-// answered.
+// RateLimit returns the rate limit that the target announces in its response. It returns false if
+// there is no response.
 func (a *Attempt) RateLimit() (engine.RateLimit, bool) {
 	if a.answer == nil {
 		return engine.RateLimit{}, false
@@ -137,25 +138,25 @@
 	return engine.ReadRateLimit(a.Header().Get(openai.RateLimitHeader)), true
 }
 
-// Length returns the length of the answer's body in bytes, -1 if unknown.
+// Length returns the Content-Length of the response, -1 if it is unknown.
 func (a *Attempt) Length() int64 { return a.answer.Length }
 
-// Close ends the attempt. If the answer is not whole, the connection is closed,
-// which tells the target to stop.
+// Close releases the connection of the attempt. If the response is not complete, it closes the
+// connection, which tells the target to stop.
 func (a *Attempt) Close() {
 	if a.answer != nil {
 		a.answer.Close(a.State() == charts.AttemptComplete)
 	}
 }
 
-// Fail ends the attempt because the target's answer says that it failed.
+// Fail ends the attempt because the target responded with a failure.
 func (a *Attempt) Fail(err error) { a.end(charts.Errored, err) }
 
-// Cut ends the attempt because its answer cannot be used or carried on.
+// Cut ends the attempt because the response is unusable or cannot be relayed any further.
 func (a *Attempt) Cut(err error) { a.end(charts.Cut, err) }
 
-// ReadAll reads the whole body, up to limit bytes. If check refuses it, the
-// answer counts as cut.
+// ReadAll reads the complete body of at most limit bytes. If check returns an error, the response
+// counts as truncated.
 func (a *Attempt) ReadAll(limit int64, check func(body []byte) error) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a.answer.Body, limit+1))
 	if err == nil && int64(len(body)) > limit {
@@ -173,7 +174,7 @@
 	return body, nil
 }
 
-// Copy passes the whole body on as it arrives.
+// Copy writes the complete body to w as it arrives.
 func (a *Attempt) Copy(w io.Writer) error {
 	if _, err := io.Copy(w, a.answer.Body); err != nil {
 		a.Cut(fault.Wrap(err, fault.Unknown, "answer was cut", "ask for the outcome before sending the request again"))
@@ -183,8 +184,8 @@
 	return nil
 }
 
-// Events passes on each event of a stream until the event that ends it. A
-// stream that ends otherwise was cut. An error of f ends the attempt.
+// Events calls f with the data of each event until the event that ends the stream. A stream that
+// ends without it counts as truncated. An error of f ends the attempt.
 func (a *Attempt) Events(f func(data string) error) error {
 	for ev, err := range sse.Read(a.answer.Body, &sse.ReadConfig{MaxEventSize: MaxEventBytes}) {
 		if err != nil {
