--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -1,6 +1,6 @@
-// Package notice keeps what instances have told this process in their answers: that they
-// leave, and for how long they want nothing. An instance says so before its registration does,
-// and also while nobody can read or write registrations.
+// Package notice records what instances announce in the headers of their responses: that they
+// are shutting down, and for how long they want no requests. These announcements arrive before
+// the registration of the instance is updated, and also while the store is unavailable.
 package notice
 
 import (
@@ -13,127 +13,130 @@
 	"github.com/rockdoor/rockdoor/bootclock"
 )
 
-// keptFor is for how long at the least what an instance has said is kept.
-const keptFor = 5 * time.Minute
+// retention is the min time for which the announcements of an instance are kept.
+const retention = 5 * time.Minute
 
-// Board holds what the instances have said. It is safe for concurrent use.
+// Board holds the announcements of all instances. It is safe for concurrent use.
 type Board struct {
 	logger log.Logger
 
-	mu  sync.Mutex
-	all map[string]*said // by run of an instance
+	mu        sync.Mutex
+	instances map[string]*instanceState // by instance run
 }
 
-// said is what one run of an instance has said.
-type said struct {
-	leaving bool
-	// heard is when it said something new last.
-	heard bootclock.Instant
-	// restUntil is when the instance wants requests again.
-	restUntil bootclock.Instant
+// instanceState holds the announcements of one run of an instance.
+type instanceState struct {
+	shuttingDown bool
+	// updatedAt is when the last new announcement arrived.
+	updatedAt bootclock.Instant
+	// backoffUntil is when the instance accepts requests again.
+	backoffUntil bootclock.Instant
 }
 
-// NewBoard returns a board that logs what is new.
+// NewBoard returns an empty Board that logs new announcements.
 func NewBoard(logger log.Logger) *Board {
-	return &Board{logger: logger, all: map[string]*said{}}
+	return &Board{logger: logger, instances: map[string]*instanceState{}}
 }
 
-// Leaves takes in that a run of an instance says that it leaves. It does not come back.
+// Leaves records that a run of an instance announced its shutdown. This is final for the run.
 func (b *Board) Leaves(instance, request string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.of(instance)
-	if s.leaving {
+	s := b.state(instance)
+	if s.shuttingDown {
 		return
 	}
-	s.leaving, s.heard = true, bootclock.Now()
-	level.Info(b.logger).Log("msg", "instance says that it leaves", "instance", instance, "request", request)
+	s.shuttingDown, s.updatedAt = true, bootclock.Now()
+	level.Info(b.logger).Log("msg", "instance announced its shutdown", "instance", instance, "request", request)
 }
 
-// Rests takes in that a run of an instance wants nothing for a while.
+// Rests records that a run of an instance asked for a backoff of d. A shorter backoff than the
+// current one has no effect.
 func (b *Board) Rests(instance, request string, d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.of(instance)
+	s := b.state(instance)
 	until := bootclock.Now().Add(d)
-	if until <= s.restUntil {
+	if until <= s.backoffUntil {
 		return
 	}
-	s.restUntil, s.heard = until, bootclock.Now()
-	level.Info(b.logger).Log("msg", "instance asks for rest", "instance", instance, "request", request, "for", d)
+	s.backoffUntil, s.updatedAt = until, bootclock.Now()
+	level.Info(b.logger).Log("msg", "instance asked for a backoff", "instance", instance, "request", request, "for", d)
 }
 
-func (b *Board) of(instance string) *said {
-	s := b.all[instance]
+func (b *Board) state(instance string) *instanceState {
+	s := b.instances[instance]
 	if s == nil {
-		s = &said{}
-		b.all[instance] = s
+		s = &instanceState{}
+		b.instances[instance] = s
 	}
 	return s
 }
 
-// Leaving reports whether a run of an instance has said that it leaves.
+// Leaving reports whether a run of an instance has announced its shutdown.
 func (b *Board) Leaving(instance string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.all[instance]
-	return s != nil && s.leaving
+	s := b.instances[instance]
+	return s != nil && s.shuttingDown
 }
 
-// Rest returns for how long a run of an instance still wants nothing.
+// Rest returns the remaining backoff of a run of an instance.
 func (b *Board) Rest(instance string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.all[instance]
+	s := b.instances[instance]
 	if s == nil {
 		return 0
 	}
-	return max(s.restUntil.Sub(bootclock.Now()), 0)
+	return max(s.backoffUntil.Sub(bootclock.Now()), 0)
 }
 
-// FirstRest returns for how long the one of some runs that rests the shortest still wants nothing, 0
-// if none rests.
+// FirstRest returns the shortest remaining backoff of the given runs, 0 if none of them has asked
+// for one.
 func (b *Board) FirstRest(instances []string) time.Duration {
-	first := time.Duration(0)
+	shortest := time.Duration(0)
 	for _, instance := range instances {
-		if rest := b.Rest(instance); rest > 0 && (first == 0 || rest < first) {
-			first = rest
+		if backoff := b.Rest(instance); backoff > 0 && (shortest == 0 || backoff < shortest) {
+			shortest = backoff
 		}
 	}
-	return first
+	return shortest
 }
 
-// AllUnwilling returns the runs of instances that want nothing now.
+// AllUnwilling returns the instance runs that must not be sent requests now.
 func (b *Board) AllUnwilling() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []string
-	for instance, s := range b.all {
-		if s.unwilling() {
+	for instance, s := range b.instances {
+		if s.refusesWork() {
 			out = append(out, instance)
 		}
 	}
 	return out
 }
 
-// Unwilling reports whether a run of an instance wants nothing now: it leaves or rests.
+// Unwilling reports whether a run of an instance must not be sent requests now, because it is
+// shutting down or has asked for a backoff.
 func (b *Board) Unwilling(instance string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.all[instance]
-	return s != nil && s.unwilling()
+	s := b.instances[instance]
+	return s != nil && s.refusesWork()
 }
 
-func (s *said) unwilling() bool { return s.leaving || s.restUntil > bootclock.Now() }
+func (s *instanceState) refusesWork() bool { return s.shuttingDown || s.backoffUntil > bootclock.Now() }
 
-// Retain forgets the runs that keep does not name, and that have said nothing for a while:
-// registrations lapse while the store is away, and come back.
+// Retain deletes the runs for which keep returns false, whose announcements are older than the
+// retention, and whose backoff has ended. It does not delete them at once, because registrations
+// expire while the store is unavailable and may come back.
 func (b *Board) Retain(keep func(instance string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for instance, s := range b.all {
-		if !keep(instance) && bootclock.Since(s.heard) > keptFor && s.restUntil < bootclock.Now() {
-			delete(b.all, instance)
+	for instance, s := range b.instances {
+		if !keep(instance) && bootclock.Since(s.updatedAt) > retention && s.backoffUntil < bootclock.Now() {
+			delete(b.instances, instance)
 		}
 	}
 }
--- a/internal/notice/notice_test.go
+++ b/internal/notice/notice_test.go
@@ -17,7 +17,7 @@
 	b.Rests("b", "r", time.Minute)
 	require.True(t, b.Unwilling("a@1"))
 	require.False(t, b.Unwilling("a@2"), "a later run has said nothing")
-	require.Greater(t, b.Rest("b"), 59*time.Minute, "the longer one holds")
+	require.Greater(t, b.Rest("b"), 59*time.Minute, "the longer backoff applies")
 	require.ElementsMatch(t, []string{"a@1", "b"}, b.AllUnwilling())
 	b.Retain(func(string) bool { return false })
 	require.True(t, b.Leaving("a@1"), "its registration may come back")
@@ -25,7 +25,7 @@
 
 func TestRestAsked(t *testing.T) {
 	for text, want := range map[string]time.Duration{
-		"3": 3 * time.Second, "0.5": 500 * time.Millisecond, "1e99": maxRest, "": 0, "-1": 0, "NaN": 0, "soon": 0,
+		"3": 3 * time.Second, "0.5": 500 * time.Millisecond, "1e99": maxBackoff, "": 0, "-1": 0, "NaN": 0, "soon": 0,
 	} {
 		require.Equal(t, want, RestAsked(http.StatusServiceUnavailable, http.Header{"Retry-After": {text}}), text)
 	}
--- a/internal/notice/rest.go
+++ b/internal/notice/rest.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// maxRest bounds the rest that an instance can ask for.
-const maxRest = time.Hour
+// maxBackoff bounds the backoff that an instance can ask for.
+const maxBackoff = time.Hour
 
-// RestAsked returns for how long an instance that turned a request away wants nothing more, by
-// the head of its answer; 0 if it does not say so in seconds.
+// RestAsked returns the backoff that an instance asks for by a response with status 503: its
+// Retry-After header in seconds, 0 if it is missing or not a positive number.
 func RestAsked(status int, h http.Header) time.Duration {
 	s, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
 	if status != http.StatusServiceUnavailable || err != nil || !(s > 0) {
 		return 0
 	}
-	return time.Duration(min(s, maxRest.Seconds()) * float64(time.Second))
+	return time.Duration(min(s, maxBackoff.Seconds()) * float64(time.Second))
 }
