--- a/internal/gateway/backup_test.go
+++ b/internal/gateway/backup_test.go
@@ -37,7 +37,7 @@
 				continue
 			}
 			require.Equal(t, c.wanted, a.body, c.name)
-			require.Equal(t, c.wanted != whole, a.cut, c.name)
+			require.Equal(t, c.wanted != whole, a.truncated, c.name)
 			if c.domains == nil {
 				require.Empty(t, cuts.Runs()[0].Header.Get("X-Kv-Backup"))
 				require.Len(t, other.Runs(), before)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -184,7 +184,7 @@
 		e.Events = 3
 		a := newHarness(t, harnessOptions{plain: []*fleetengine.Engine{e}}).send(http.MethodPost, pathStream, "s", "x", nil)
 		require.Equal(t, "id: 1\ndata: s-1\n\nid: 2\ndata: s-2\n\nid: 3\ndata: s-3\n\n", a.body)
-		require.False(t, a.cut)
+		require.False(t, a.truncated)
 	})
 	t.Run("a cut one that may not be repeated does not look whole", func(t *testing.T) {
 		e := fleetengine.New("i-1", "")
@@ -192,7 +192,7 @@
 		e.Fail(fleetengine.CutMidEvent, 1)
 		a := newHarness(t, harnessOptions{plain: []*fleetengine.Engine{e}}).send(http.MethodPost, pathStream, "s", "x", nil)
 		require.Equal(t, "id: 1\ndata: s-1\n\n", a.body)
-		require.True(t, a.cut)
+		require.True(t, a.truncated)
 		require.Len(t, e.Runs(), 1)
 	})
 	t.Run("a resumable one goes on elsewhere without a piece lost or doubled", func(t *testing.T) {
@@ -207,7 +207,7 @@
 		all[0].Fail(fleetengine.CutMidEvent, 1)
 		for range 6 { // enough for the engine that interrupts its stream to be chosen
 			a := r.send(http.MethodPost, pathModel, "s", "x", nil)
-			require.False(t, a.cut)
+			require.False(t, a.truncated)
 			require.Equal(t, "id: 1\ndata: s-1\n\nid: 2\ndata: s-2\n\nid: 3\ndata: s-3\n\nid: 4\ndata: s-4\n\n", a.body)
 		}
 	})
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -163,17 +163,17 @@
 	r.view.Store(&v)
 }
 
-// answer is what a client received.
-type answer struct {
+// response is what a client received.
+type response struct {
 	status int
 	header http.Header
 	body   string
-	// cut is true if the body was truncated.
-	cut bool
+	// truncated is true if reading the body failed before its end.
+	truncated bool
 }
 
 // send sends a request with the given ID and reads the response.
-func (r *harness) send(method, path, id, body string, more http.Header) answer {
+func (r *harness) send(method, path, id, body string, more http.Header) response {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -188,7 +188,7 @@
 	require.NoError(r.t, err)
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
-	return answer{resp.StatusCode, resp.Header, string(text), err != nil}
+	return response{resp.StatusCode, resp.Header, string(text), err != nil}
 }
 
 // prompt returns the headers of a request to a model with a long prompt.
--- a/internal/gateway/hold_test.go
+++ b/internal/gateway/hold_test.go
@@ -27,22 +27,22 @@
 		engines = append(engines, e)
 	}
 	r := newHarness(t, harnessOptions{plain: engines, memoryLimit: bound})
-	var asked, read sync.WaitGroup
-	goOn := make(chan struct{})
+	var headersReceived, bodiesRead sync.WaitGroup
+	startReading := make(chan struct{})
 	for n := range callers {
-		asked.Add(1)
-		read.Add(1)
+		headersReceived.Add(1)
+		bodiesRead.Add(1)
 		go func() {
-			defer read.Done()
+			defer bodiesRead.Done()
 			req, err := http.NewRequest(http.MethodGet, r.url+pathIdempotent, nil)
 			require.NoError(t, err)
 			req.Host = testHost
 			req.Header.Set("X-Request-Id", fmt.Sprint("r-", n))
 			resp, err := http.DefaultTransport.RoundTrip(req)
-			asked.Done()
+			headersReceived.Done()
 			require.NoError(t, err)
 			defer resp.Body.Close()
-			<-goOn
+			<-startReading
 			body, err := io.ReadAll(resp.Body)
 			require.NoError(t, err)
 			require.Len(t, body, size+len(fmt.Sprint("answer to r-", n)))
@@ -50,22 +50,22 @@
 	}
 	all := make(chan struct{})
 	go func() {
-		asked.Wait()
+		headersReceived.Wait()
 		close(all)
 	}()
-	most := int64(0)
-	for asking := true; asking; {
-		most = max(most, r.gateway.Held())
+	maxBuffered := int64(0)
+	for waiting := true; waiting; {
+		maxBuffered = max(maxBuffered, r.gateway.Held())
 		select {
 		case <-all:
-			asking = false
+			waiting = false
 		case <-time.After(100 * time.Microsecond):
 		}
 	}
-	require.Positive(t, most)
-	require.LessOrEqual(t, most, int64(bound))
-	close(goOn)
-	read.Wait()
+	require.Positive(t, maxBuffered)
+	require.LessOrEqual(t, maxBuffered, int64(bound))
+	close(startReading)
+	bodiesRead.Wait()
 	require.Positive(t, metrics.GetOrRegisterCounter("gateway.answers_passed_on", r.reg).Count())
 	require.Eventually(t, func() bool { return r.gateway.Held() == 0 }, time.Second, time.Millisecond)
 }
@@ -86,9 +86,9 @@
 // The client must be able to tell that the response is incomplete.
 func TestAnAnswerThatIsCutIsNotWhole(t *testing.T) {
 	for name, head := range map[string]string{"length": "Content-Length: 5000\r\n\r\n", "chunks": "Transfer-Encoding: chunked\r\n\r\n1388\r\n"} {
-		for _, hold := range []int64{0, 3000} {
+		for _, memoryLimit := range []int64{0, 3000} {
 			e := fleetengine.New("i-1", "")
-			r := newHarness(t, harnessOptions{plain: []*fleetengine.Engine{e}, memoryLimit: hold})
+			r := newHarness(t, harnessOptions{plain: []*fleetengine.Engine{e}, memoryLimit: memoryLimit})
 			r.servers["i-1"].Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 				conn, buf, err := http.NewResponseController(w).Hijack()
 				if err != nil {
@@ -99,7 +99,7 @@
 				_ = buf.Flush()
 			})
 			got := r.send(http.MethodGet, pathAtMostOnce, "r-1", "", nil)
-			require.True(t, got.cut || got.status >= http.StatusInternalServerError, "%s, held %d: %d with %d bytes", name, hold, got.status, len(got.body))
+			require.True(t, got.truncated || got.status >= http.StatusInternalServerError, "%s, memory limit %d: %d with %d bytes", name, memoryLimit, got.status, len(got.body))
 		}
 	}
 }
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -35,17 +35,17 @@
 		"a prompt":         {pathModel, prompt("bb"), nil, engines("prefill", "prefill", "decode"), reader},
 	} {
 		t.Run(name, func(t *testing.T) {
-			left := ""
+			draining := ""
 			r := newHarness(t, harnessOptions{plain: c.plain, model: c.model, onPlaced: func(r *harness, p placement.Plan) {
-				if left == "" {
-					left = c.chosen(p).ID
-					r.startDraining(left)
+				if draining == "" {
+					draining = c.chosen(p).ID
+					r.startDraining(draining)
 				}
 			}})
 			a := r.send(http.MethodPost, c.path, "r", "x", c.header)
 			require.Equal(t, http.StatusOK, a.status, a.body)
 			for _, e := range append(c.plain, c.model...) {
-				if e.ID == left {
+				if e.ID == draining {
 					require.Empty(t, e.Runs())
 					require.Empty(t, e.Reads())
 				}
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -74,29 +74,29 @@
 func TestInstanceThatAsksForRestGetsIt(t *testing.T) {
 	plain := []*fleetengine.Engine{fleetengine.New("a", ""), fleetengine.New("b", "")}
 	r := newHarness(t, harnessOptions{plain: plain})
-	rests := plain[0]
-	rests.Rest = requestedBackoff
-	rests.Fail(fleetengine.Shed, -1)
+	throttled := plain[0]
+	throttled.Rest = requestedBackoff
+	throttled.Fail(fleetengine.Shed, -1)
 	send := func(id string) { r.send(http.MethodPost, pathIdempotent, id, id, nil) }
-	for n := 0; requestsReceived(rests) == 0 && n < 100; n++ {
+	for n := 0; requestsReceived(throttled) == 0 && n < 100; n++ {
 		send(fmt.Sprint("a-", n))
 	}
-	asked := time.Now()
+	backoffStart := time.Now()
 	time.Sleep(maxTransitTime)
-	before := requestsReceived(rests)
+	before := requestsReceived(throttled)
 	plain[1].Work = 20 * time.Millisecond // the instance that asked for a backoff is the less loaded one
 	var wg sync.WaitGroup
 	for c := range 8 {
 		wg.Go(func() {
-			for n := 0; time.Since(asked) < requestedBackoff-maxTransitTime; n++ {
+			for n := 0; time.Since(backoffStart) < requestedBackoff-maxTransitTime; n++ {
 				send(fmt.Sprint("b-", c, "-", n))
 			}
 		})
 	}
 	wg.Wait()
-	require.Equal(t, before, requestsReceived(rests), "it had asked for a backoff")
-	rests.Fail(fleetengine.None, 0)
-	require.Eventually(t, func() bool { send(fmt.Sprint("c-", time.Now().UnixNano())); return len(rests.Runs()) > 0 }, 10*time.Second, 5*time.Millisecond, "its backoff has ended")
+	require.Equal(t, before, requestsReceived(throttled), "it had asked for a backoff")
+	throttled.Fail(fleetengine.None, 0)
+	require.Eventually(t, func() bool { send(fmt.Sprint("c-", time.Now().UnixNano())); return len(throttled.Runs()) > 0 }, 10*time.Second, 5*time.Millisecond, "its backoff has ended")
 }
 
 // TestAllInstancesRest has all instances ask for a backoff. A request must be rejected at once, with the
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -20,8 +20,8 @@
 func TestQuarantinedRequestHasATrial(t *testing.T) {
 	const id = "r"
 	table := quarantine.NewTable()
-	var later atomic.Int64
-	table.SetClock(func() bootclock.Instant { return bootclock.Now().Add(time.Duration(later.Load())) })
+	var clockOffset atomic.Int64
+	table.SetClock(func() bootclock.Instant { return bootclock.Now().Add(time.Duration(clockOffset.Load())) })
 	e := fleetengine.New("a", "")
 	r := newHarness(t, harnessOptions{plain: []*fleetengine.Engine{e}, quarantine: table})
 	f := quarantine.FingerprintOf("", http.MethodPost, testHost, pathIdempotent, []byte("x"))
@@ -35,7 +35,7 @@
 	require.Empty(t, e.Runs())
 	require.Equal(t, http.StatusOK, r.send(http.MethodPost, pathIdempotent, id, "y", nil).status, "another request")
 
-	later.Store(int64(time.Hour))
+	clockOffset.Store(int64(time.Hour))
 	require.Equal(t, http.StatusOK, r.send(http.MethodPost, pathIdempotent, id, "x", nil).status, "the trial")
 	require.Equal(t, http.StatusOK, r.send(http.MethodPost, pathIdempotent, id, "x", nil).status, "after a successful trial")
 }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -49,7 +49,8 @@
 	ctx   context.Context
 	call  *engine.Call
 	route *fleet.Route
-	// workspace is the client's workspace, nil on a public route without a valid API key.
+	// workspace is the client's workspace, nil if the route is public and the client sent no valid
+	// API key, or if no workspaces are configured.
 	workspace *fleet.Workspace
 	body      []byte
 	// bufferedBytes is how much of the server's buffer memory this request has reserved.
@@ -126,14 +127,14 @@
 	if rep != nil {
 		return replyFromState(rep.code, rep.err, rep.retryAfter)
 	}
-	first := q.service == ""
+	firstAttempt := q.service == ""
 	q.workspace, q.route, q.configVersion = workspace, withWorkspaceRank(route, workspace), view.Config.Version
 	service := route.Pick(q.call.ID)
 	if service != q.service {
 		q.releaseKV() // a KV cache of one service is of no use to another
 	}
 	q.service = service
-	if first {
+	if firstAttempt {
 		q.s.budget.recordRequest(q.service)
 	}
 	return nil
@@ -376,7 +377,7 @@
 
 // checkBeforeSend is called just before a request is written. Calls to schedulers and the setup
 // of a connection can take up to half a second after the placement decision. In that time the
-// instance may have begun its shutdown, asked for a backoff or reached its rate limit, or the
+// instance may have started to shut down, asked for a backoff or reached its rate limit, or the
 // request may have been found to crash the instances that run it.
 func (q *request) checkBeforeSend(i *fleet.Instance) error {
 	q.sentAt = bootclock.Now()
@@ -384,7 +385,7 @@
 	case q.newlyQuarantined():
 		return fault.New(fault.Unavailable, "instances have crashed while running this request since it was placed", "the request is refused")
 	case q.s.notices.Leaving(i.Run()), q.s.o.View().Left(q.service, i.ID):
-		return fault.Newf(fault.Unavailable, "another instance is tried", "instance %s started shutting down after it was chosen", i.ID)
+		return fault.Newf(fault.Unavailable, "another instance is tried", "instance %s stopped accepting requests after it was chosen", i.ID)
 	case q.s.notices.Rest(i.Run()) > 0:
 		q.notSent = true
 		return fault.Newf(fault.Unavailable, "another instance is tried", "instance %s asked for a backoff after it was chosen", i.ID)
