--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -24,8 +24,8 @@
 // MaxEventBytes bounds the size of one event of a stream.
 const MaxEventBytes = 1 << 20
 
-// Spec is the request that an attempt sends.
-type Spec struct {
+// Request is the request that an attempt sends.
+type Request struct {
 	// ID identifies the attempt. The target echoes it in its response.
 	ID      string
 	Address string
@@ -36,32 +36,32 @@
 	Body   []byte
 }
 
-// Runner makes attempts over pooled connections.
-type Runner struct {
+// Sender makes attempts over pooled connections.
+type Sender struct {
 	client *upstream.Client
 }
 
-// NewRunner returns a Runner with its own connection pool, which registers its metrics in reg.
-func NewRunner(reg metrics.Registry) *Runner { return &Runner{client: upstream.New(reg)} }
+// NewSender returns a Runner with its own connection pool, which registers its metrics in reg.
+func NewSender(reg metrics.Registry) *Sender { return &Sender{client: upstream.New(reg)} }
 
 // Close closes the idle connections.
-func (r *Runner) Close() { r.client.Close() }
+func (r *Sender) Close() { r.client.Close() }
 
-// Refuses reports whether an address refuses connections.
-func (r *Runner) Refuses(ctx context.Context, address string) bool {
-	return r.client.Refuses(ctx, address)
+// RefusesConnections reports whether an address refuses connections.
+func (r *Sender) RefusesConnections(ctx context.Context, address string) bool {
+	return r.client.RefusesConnections(ctx, address)
 }
 
 // Attempt is one attempt to run a request at a target. It is used by one goroutine.
 type Attempt struct {
 	chart  *statechart.Instance
-	answer *upstream.Answer
+	answer *upstream.Response
 	err    error
 }
 
 // Start sends the request and waits for the response headers. The state of the returned
 // attempt is answering or a final one.
-func (r *Runner) Start(ctx context.Context, s Spec) *Attempt {
+func (r *Sender) Start(ctx context.Context, s Request) *Attempt {
 	a := &Attempt{chart: charts.Attempt.Start()}
 	s.Header.Set(openai.AttemptHeader, s.ID)
 	answer, err := r.client.Do(ctx, upstream.Request{
@@ -121,12 +121,12 @@
 // Header returns the headers of the response.
 func (a *Attempt) Header() http.Header { return a.answer.Header }
 
-// RestAsked returns the backoff that the target asks for, 0 if there is none.
-func (a *Attempt) RestAsked() time.Duration {
+// RequestedBackoff returns the backoff that the target asks for, 0 if there is none.
+func (a *Attempt) RequestedBackoff() time.Duration {
 	if a.answer == nil {
 		return 0
 	}
-	return notice.RestAsked(a.Status(), a.Header())
+	return notice.RequestedBackoff(a.Status(), a.Header())
 }
 
 // RateLimit returns the rate limit that the target announces in its response. It returns false if
@@ -152,8 +152,8 @@
 // Fail ends the attempt because the target responded with a failure.
 func (a *Attempt) Fail(err error) { a.end(charts.Errored, err) }
 
-// Cut ends the attempt because the response is unusable or cannot be relayed any further.
-func (a *Attempt) Cut(err error) { a.end(charts.Cut, err) }
+// Interrupt ends the attempt because the response is unusable or cannot be relayed any further.
+func (a *Attempt) Interrupt(err error) { a.end(charts.Cut, err) }
 
 // ReadAll reads the complete body of at most limit bytes. If check returns an error, the response
 // counts as truncated.
@@ -163,11 +163,11 @@
 		err = fault.Newf(fault.Exhausted, "ask for less", "answer is larger than %d bytes", limit)
 	}
 	if err != nil {
-		a.Cut(fault.Wrap(err, fault.Unknown, "answer was cut", "ask for the outcome before sending the request again"))
+		a.Interrupt(fault.Wrap(err, fault.Unknown, "answer was cut", "ask for the outcome before sending the request again"))
 		return nil, a.err
 	}
 	if err := check(body); err != nil {
-		a.Cut(err)
+		a.Interrupt(err)
 		return nil, err
 	}
 	a.end(charts.Finished, nil)
@@ -177,7 +177,7 @@
 // Copy writes the complete body to w as it arrives.
 func (a *Attempt) Copy(w io.Writer) error {
 	if _, err := io.Copy(w, a.answer.Body); err != nil {
-		a.Cut(fault.Wrap(err, fault.Unknown, "answer was cut", "ask for the outcome before sending the request again"))
+		a.Interrupt(fault.Wrap(err, fault.Unknown, "answer was cut", "ask for the outcome before sending the request again"))
 		return a.err
 	}
 	a.end(charts.Finished, nil)
@@ -189,7 +189,7 @@
 func (a *Attempt) Events(f func(data string) error) error {
 	for ev, err := range sse.Read(a.answer.Body, &sse.ReadConfig{MaxEventSize: MaxEventBytes}) {
 		if err != nil {
-			a.Cut(fault.Wrap(err, fault.Unknown, "stream was cut", "it is resumed if the request is idempotent"))
+			a.Interrupt(fault.Wrap(err, fault.Unknown, "stream was cut", "it is resumed if the request is idempotent"))
 			return a.err
 		}
 		if ev.Data == openai.Done {
@@ -197,10 +197,10 @@
 			return nil
 		}
 		if err := f(ev.Data); err != nil {
-			a.Cut(err)
+			a.Interrupt(err)
 			return err
 		}
 	}
-	a.Cut(fault.New(fault.Unknown, "stream ended early", "it is resumed if the request is idempotent"))
+	a.Interrupt(fault.New(fault.Unknown, "stream ended early", "it is resumed if the request is idempotent"))
 	return a.err
 }
--- a/internal/gateway/backup.go
+++ b/internal/gateway/backup.go
@@ -26,11 +26,11 @@
 	}
 	var candidates []*fleet.Instance
 	for _, i := range v.Permitted(q.route.Name, q.service) {
-		if i.Role == engine.RoleMixed && i.Domain != runner.Domain && !q.avoid[i.ID] && !q.s.notices.Unwilling(i.Run()) {
+		if i.Role == engine.RoleMixed && i.Domain != runner.Domain && !q.avoid[i.ID] && !q.s.notices.RefusesWork(i.RunID()) {
 			candidates = append(candidates, i)
 		}
 	}
-	return placement.Home(q.call.ID, candidates)
+	return placement.PreferredEngine(q.call.ID, candidates)
 }
 
 // resumeAtBackup continues an interrupted stream at its backup, after the last event that the
@@ -54,7 +54,7 @@
 	q.sends++
 	if err == nil {
 		if verdict.NotRun || !verdict.Genuine || !isStream(a) {
-			a.CloseUnread()
+			a.DiscardBody()
 			err = fault.Newf(fault.Unavailable, "the stream ends here", "backup %s did not continue the stream, status %d", backup.ID, a.Status)
 		}
 	}
@@ -75,12 +75,12 @@
 // the send to the backup's rate limit and to the retry budget.
 func (q *request) checkBackup(backup *fleet.Instance) error {
 	available := slices.ContainsFunc(q.s.o.View().Permitted(q.route.Name, q.service), func(i *fleet.Instance) bool {
-		return i.ID == backup.ID && i.Born == backup.Born && i.Role == engine.RoleMixed
+		return i.ID == backup.ID && i.StartTime == backup.StartTime && i.Role == engine.RoleMixed
 	})
 	switch {
 	case !available:
 		return fault.New(fault.Unavailable, "backup is gone, has changed its role, or is no longer permitted by the rules", "the stream ends here")
-	case !q.s.limits.Request(backup.Run()):
+	case !q.s.limits.TryAcquire(backup.RunID()):
 		return fault.New(fault.Unavailable, "backup has reached its rate limit", "the stream ends here")
 	case !q.s.budget.takeRetry(q.service):
 		q.s.count("budget_empty")
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -10,9 +10,9 @@
 // budgetSlots is the number of slots into which the window of a budget is divided.
 const budgetSlots = 20
 
-// BudgetBounds bounds the retries, which are the sends beyond the first of each request, of all
+// RetryBudgetConfig bounds the retries, which are the sends beyond the first of each request, of all
 // processes together in any window.
-type BudgetBounds struct {
+type RetryBudgetConfig struct {
 	// Ratio is the number of retries allowed per request, and Slack the number allowed in addition
 	// to that in each window.
 	Ratio  float64
@@ -34,7 +34,7 @@
 // retryBudget counts requests and retries by service and limits the retries. It is safe for
 // concurrent use.
 type retryBudget struct {
-	bounds BudgetBounds
+	bounds RetryBudgetConfig
 
 	started bootclock.Instant
 
@@ -51,7 +51,7 @@
 	lastRetry bootclock.Instant
 }
 
-func newRetryBudget(b BudgetBounds) *retryBudget {
+func newRetryBudget(b RetryBudgetConfig) *retryBudget {
 	return &retryBudget{bounds: b, started: bootclock.Now(), services: map[string]*budgetWindow{}}
 }
 
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -15,7 +15,7 @@
 	const processes, slack = 66, 172
 	total := 0
 	for range processes {
-		b := newRetryBudget(BudgetBounds{Slack: slack, Window: 10 * time.Second, Processes: func() int { return processes }})
+		b := newRetryBudget(RetryBudgetConfig{Slack: slack, Window: 10 * time.Second, Processes: func() int { return processes }})
 		for b.takeRetry("s") {
 			total++
 		}
@@ -26,7 +26,7 @@
 
 // TestBudgetWindowSlides checks that retries no longer count after one window.
 func TestBudgetWindowSlides(t *testing.T) {
-	b := newRetryBudget(BudgetBounds{Ratio: 1, Window: 10 * time.Second})
+	b := newRetryBudget(RetryBudgetConfig{Ratio: 1, Window: 10 * time.Second})
 	now := bootclock.Now()
 	b.window("s", now).slots[b.window("s", now).slot%budgetSlots].retries = 5
 	sum := func(at bootclock.Instant) float64 {
@@ -49,7 +49,7 @@
 	taken := make([]int, 4*steps) // by step
 	start := bootclock.Now()
 	for n := range processes {
-		b := newRetryBudget(BudgetBounds{Ratio: ratio, Slack: slack, Window: window, Processes: func() int { return processes }})
+		b := newRetryBudget(RetryBudgetConfig{Ratio: ratio, Slack: slack, Window: window, Processes: func() int { return processes }})
 		b.started = start
 		own := 0
 		for k := range taken {
--- a/internal/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -10,8 +10,8 @@
 	"github.com/rockdoor/rockdoor/placement"
 )
 
-// Question describes a request to Explain.
-type Question struct {
+// ExplainRequest describes a request to Explain.
+type ExplainRequest struct {
 	Host string
 	Path string
 	// ID selects the service if the route is split between several.
@@ -20,7 +20,7 @@
 	// length of its prefix that other requests share. Subject identifies the prefix.
 	PromptTokens int
 	SharedTokens int
-	Subject      string
+	PromptPrefix string
 }
 
 // Rejected is an instance that the placement rules exclude.
@@ -34,18 +34,18 @@
 	Route   string `json:"route"`
 	Service string `json:"service"`
 	// Config is the version of the configuration in force.
-	Config         int64                  `json:"config"`
-	ConfigAgeMs    int64                  `json:"configAgeMs"`
-	InstancesAgeMs int64                  `json:"instancesAgeMs"`
-	Considered     []placement.Considered `json:"considered"`
-	Rejected       []Rejected             `json:"rejected"`
+	Config         int64                 `json:"config"`
+	ConfigAgeMs    int64                 `json:"configAgeMs"`
+	InstancesAgeMs int64                 `json:"instancesAgeMs"`
+	Considered     []placement.Candidate `json:"considered"`
+	Rejected       []Rejected            `json:"rejected"`
 	// Draining lists the instances that finish their requests and accept no new ones.
 	Draining []string `json:"draining"`
 }
 
 // Explain shows where this process would place a request. The error is of kind Unavailable
 // until the configuration and the instances are known, and NotFound if no route matches.
-func (s *Server) Explain(q Question) (*Explanation, error) {
+func (s *Server) Explain(q ExplainRequest) (*Explanation, error) {
 	v := s.o.View()
 	if !v.Complete() {
 		return nil, fault.New(fault.Unavailable, "no configuration has been loaded yet", "check the connection to the store")
@@ -56,14 +56,14 @@
 	}
 	service := route.Pick(q.ID)
 	call := &engine.Call{ID: q.ID, PromptTokens: q.PromptTokens, Parts: []engine.Part{
-		{ID: q.Subject, Tokens: q.SharedTokens}, {Tokens: q.PromptTokens - q.SharedTokens},
+		{ID: q.PromptPrefix, Tokens: q.SharedTokens}, {Tokens: q.PromptTokens - q.SharedTokens},
 	}}
 	pool := v.Pool(route.Name, service)
 	out := &Explanation{
 		Route: route.Name, Service: service, Config: v.Config.Version,
 		ConfigAgeMs: v.ConfigAge().Milliseconds(), InstancesAgeMs: v.InstancesAge().Milliseconds(),
 		Considered: s.o.Placer.Explain(&placement.Job{
-			Route: route, Service: v.Config.Services[service], Call: call, Left: time.Minute, Domain: s.o.Domain, Permitted: pool.All, Groups: pool.Groups,
+			Route: route, Service: v.Config.Services[service], Call: call, Remaining: time.Minute, Domain: s.o.FailureDomain, Permitted: pool.All, Groups: pool.Groups,
 		}),
 		Rejected: []Rejected{}, Draining: []string{},
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -55,30 +55,30 @@
 	// process would decide itself.
 	Scheduler scheduler.Scheduler
 	Placer    *placement.Placer
-	// Domain is the failure domain of this process.
-	Domain string
-	// MaxProofAge is the longest time since the configuration was last confirmed to be the
+	// FailureDomain is the failure domain of this process.
+	FailureDomain string
+	// MaxConfigStaleness is the longest time since the configuration was last confirmed to be the
 	// newest one at which API keys are still accepted. Beyond it, a key may have been revoked
 	// without this process knowing. 0 means no limit.
-	MaxProofAge time.Duration
-	Budget      BudgetBounds
+	MaxConfigStaleness time.Duration
+	Budget             RetryBudgetConfig
 	// Quarantine records which requests crash the instances that run them. If it is nil, the
 	// server keeps a table of its own, which other processes do not share.
 	Quarantine *quarantine.Table
-	// Limits holds the rate limits that instances announce. The Placer applies them too.
-	Limits *ratelimit.Table
-	// Began is called once for each request of a workspace that starts to run. It may be nil.
-	Began   func(workspace string)
-	Metrics metrics.Registry
-	Logger  log.Logger
+	// RateLimits holds the rate limits that instances announce. The Placer applies them too.
+	RateLimits *ratelimit.Table
+	// OnRunStart is called once for each request of a workspace that starts to run. It may be nil.
+	OnRunStart func(workspace string)
+	Metrics    metrics.Registry
+	Logger     log.Logger
 }
 
 // Server is the HTTP handler for client requests.
 type Server struct {
 	o        Options
 	budget   *retryBudget
-	watch    *suspects.Watch
-	notices  *notice.Board
+	watch    *suspects.CrashDetector
+	notices  *notice.Table
 	limits   *ratelimit.Table
 	buffers  memoryBudget
 	startup  startupWaiter
@@ -91,32 +91,32 @@
 	if o.Quarantine == nil {
 		o.Quarantine = quarantine.NewTable()
 	}
-	if o.Limits == nil {
-		o.Limits = ratelimit.NewTable("", o.Metrics, o.Logger)
+	if o.RateLimits == nil {
+		o.RateLimits = ratelimit.NewTable("", o.Metrics, o.Logger)
 	}
 	return &Server{
 		o: o, budget: newRetryBudget(o.Budget), startup: startupWaiter{started: time.Now(), ready: o.Ready},
-		notices: notice.NewBoard(o.Logger), limits: o.Limits,
-		watch: &suspects.Watch{Table: o.Quarantine, Refuses: o.Client.Refuses, Logger: o.Logger},
+		notices: notice.NewTable(o.Logger), limits: o.RateLimits,
+		watch: &suspects.CrashDetector{Table: o.Quarantine, RefusesConnections: o.Client.RefusesConnections, Logger: o.Logger},
 	}
 }
 
-// ApplyRetries replaces the ratio and the slack of the retry budget. Its window stays.
-func (s *Server) ApplyRetries(ratio, slack float64) { s.budget.setBounds(ratio, slack) }
+// SetRetryBudget replaces the ratio and the slack of the retry budget. Its window stays.
+func (s *Server) SetRetryBudget(ratio, slack float64) { s.budget.setBounds(ratio, slack) }
 
-// Retain discards the announced shutdowns, backoffs and rate limits of instances, except
+// RetainInstances discards the announced shutdowns, backoffs and rate limits of instances, except
 // those of the runs for which keep returns true.
-func (s *Server) Retain(keep func(run string) bool) {
+func (s *Server) RetainInstances(keep func(run string) bool) {
 	s.notices.Retain(keep)
 	s.limits.Retain(keep)
 }
 
-// InHand returns the number of requests in flight.
-func (s *Server) InHand() int64 { return s.inFlight.Load() }
+// InFlight returns the number of requests in flight.
+func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// Stop makes every later response close its client connection, so that clients
+// DisableKeepAlives makes every later response close its client connection, so that clients
 // reconnect to other processes.
-func (s *Server) Stop() { s.stopping.Store(true) }
+func (s *Server) DisableKeepAlives() { s.stopping.Store(true) }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -236,7 +236,7 @@
 		version = v.Config.Version
 	}
 	level.Warn(s.o.Logger).Log("msg", "request", "request", call.ID, "host", r.Host, "path", r.URL.Path, "status", rep.status, "outcome", rep.code,
-		"config", version, "config_age", v.ConfigAge().Round(time.Millisecond), "proof_age", v.ProofAge().Round(time.Millisecond), "err", rep.err)
+		"config", version, "config_age", v.ConfigAge().Round(time.Millisecond), "proof_age", v.ConfigStaleness().Round(time.Millisecond), "err", rep.err)
 	rep.write(w)
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -256,7 +256,7 @@
 
 func TestRetriesStayInsideTheBudget(t *testing.T) {
 	all := engines("", "i-1", "i-2", "i-3")
-	r := newHarness(t, harnessOptions{plain: all, budget: gateway.BudgetBounds{Ratio: 0.2, Slack: 16, Window: 10 * time.Second}})
+	r := newHarness(t, harnessOptions{plain: all, budget: gateway.RetryBudgetConfig{Ratio: 0.2, Slack: 16, Window: 10 * time.Second}})
 	for _, e := range all {
 		e.Fail(fleetengine.LoseAnswer, -1)
 	}
@@ -272,7 +272,7 @@
 // gone but still registered are not charged to the retry budget, since nothing was sent.
 func TestVainConnectionsCostNoBudget(t *testing.T) {
 	all := engines("", "i-1")
-	r := newHarness(t, harnessOptions{plain: all, budget: gateway.BudgetBounds{Ratio: 0, Slack: 0, Window: 10 * time.Second}})
+	r := newHarness(t, harnessOptions{plain: all, budget: gateway.RetryBudgetConfig{Ratio: 0, Slack: 0, Window: 10 * time.Second}})
 	v := *r.view.Load()
 	v.Instances = map[string]*fleet.Instance{"i-1": v.Instances["i-1"], "i-0": {ID: "i-0", Service: "plain", Address: "127.0.0.1:1", Domain: "a", Slots: 8}}
 	v.Index()
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -55,7 +55,7 @@
 }
 
 type harnessOptions struct {
-	budget gateway.BudgetBounds
+	budget gateway.RetryBudgetConfig
 	plain  []*fleetengine.Engine
 	model  []*fleetengine.Engine
 	// domains are the failure domains by instance ID; the default is a.
@@ -87,10 +87,10 @@
 func newHarness(t testing.TB, o harnessOptions) *harness {
 	t.Helper()
 	if o.budget.Window == 0 {
-		o.budget = gateway.BudgetBounds{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second}
+		o.budget = gateway.RetryBudgetConfig{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second}
 	}
 	r := &harness{t: t, servers: map[string]*httptest.Server{}}
-	v := &fleet.View{Config: config(), Listed: true, Instances: map[string]*fleet.Instance{}, StoreUp: true}
+	v := &fleet.View{Config: config(), InstancesKnown: true, Instances: map[string]*fleet.Instance{}, StoreUp: true}
 	for service, engines := range map[string][]*fleetengine.Engine{"plain": o.plain, "model": o.model} {
 		for _, e := range engines {
 			s := httptest.NewServer(e)
@@ -118,10 +118,10 @@
 		schedules = observingScheduler{schedules, func(p placement.Plan) { o.onPlaced(r, p) }}
 	}
 	g := gateway.New(gateway.Options{
-		View: r.view.Load, Ready: o.ready, Protocol: platform.Protocol{}, Client: upstream.New(reg), Placer: placer, Scheduler: schedules, Domain: "a",
-		MaxProofAge: testMaxConfigStaleness, Quarantine: o.quarantine, Budget: o.budget, Limits: limits, Metrics: reg, Logger: log.NewNopLogger(),
+		View: r.view.Load, Ready: o.ready, Protocol: platform.Protocol{}, Client: upstream.New(reg), Placer: placer, Scheduler: schedules, FailureDomain: "a",
+		MaxConfigStaleness: testMaxConfigStaleness, Quarantine: o.quarantine, Budget: o.budget, RateLimits: limits, Metrics: reg, Logger: log.NewNopLogger(),
 	})
-	g.LimitMemory(o.memoryLimit)
+	g.SetBufferLimit(o.memoryLimit)
 	r.gateway = g
 	s := httptest.NewServer(g)
 	t.Cleanup(s.Close)
@@ -138,7 +138,7 @@
 	}
 	long := route(pathAtMostOnceStream, fleet.Streaming, "model", 1, false)
 	model := route(pathModel, fleet.Streaming, "model", 2, true)
-	model.Patience = testClientTimeout
+	model.FirstEventTimeout = testClientTimeout
 	c := &fleet.Config{
 		Version: 1,
 		Routes: []fleet.Route{
--- a/internal/gateway/hold.go
+++ b/internal/gateway/hold.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// LimitMemory bounds the bytes of request and response bodies that are buffered. 0 means no limit.
-func (s *Server) LimitMemory(bytes int64) { s.buffers.limit.Store(bytes) }
+// SetBufferLimit bounds the bytes of request and response bodies that are buffered. 0 means no limit.
+func (s *Server) SetBufferLimit(bytes int64) { s.buffers.limit.Store(bytes) }
 
 // readBuffered reads up to limit bytes into memory that it reserves for the request. The error is
 // io.EOF if the body was read to its end. It is errMemoryFull, with the bytes read so far, if
@@ -67,8 +67,8 @@
 	return out, errMemoryFull
 }
 
-// Held returns how many bytes are reserved for buffered request and response bodies.
-func (s *Server) Held() int64 { return s.buffers.used.Load() }
+// BufferedBytes returns how many bytes are reserved for buffered request and response bodies.
+func (s *Server) BufferedBytes() int64 { return s.buffers.used.Load() }
 
 // releaseBuffers returns the memory that the request has reserved.
 func (q *request) releaseBuffers() {
@@ -79,7 +79,7 @@
 // relayUnbuffered relays a response that is too large to buffer at the speed at which the client
 // reads it; start is the part that has been read already. From here on the request cannot be
 // retried, and a slow client slows down the instance.
-func (q *request) relayUnbuffered(a *upstream.Answer, start []byte) (lifecycle.Outcome, error) {
+func (q *request) relayUnbuffered(a *upstream.Response, start []byte) (lifecycle.Outcome, error) {
 	q.responseStarted = true
 	q.copyHeaders(a)
 	if a.Length >= 0 {
--- a/internal/gateway/hold_test.go
+++ b/internal/gateway/hold_test.go
@@ -55,7 +55,7 @@
 	}()
 	maxBuffered := int64(0)
 	for waiting := true; waiting; {
-		maxBuffered = max(maxBuffered, r.gateway.Held())
+		maxBuffered = max(maxBuffered, r.gateway.BufferedBytes())
 		select {
 		case <-all:
 			waiting = false
@@ -67,7 +67,7 @@
 	close(startReading)
 	bodiesRead.Wait()
 	require.Positive(t, metrics.GetOrRegisterCounter("gateway.answers_passed_on", r.reg).Count())
-	require.Eventually(t, func() bool { return r.gateway.Held() == 0 }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return r.gateway.BufferedBytes() == 0 }, time.Second, time.Millisecond)
 }
 
 // TestABodyThatCannotBeHeldIsRefusedUnrun sends a body that exceeds the memory limit.
@@ -78,7 +78,7 @@
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	require.NotEmpty(t, got.header.Get("Retry-After"))
 	require.Empty(t, e.Runs())
-	require.Zero(t, r.gateway.Held())
+	require.Zero(t, r.gateway.BufferedBytes())
 }
 
 // TestAnAnswerThatIsCutIsNotWhole has an instance close the connection in the middle of a response to a
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -13,7 +13,7 @@
 
 // exchange sends the request to an instance, and records what the response headers say about the
 // instance: its shutdown, a requested backoff, its rate limit.
-func (q *request) exchange(ctx context.Context, i *fleet.Instance, s engine.Send) (*upstream.Answer, engine.Verdict, error) {
+func (q *request) exchange(ctx context.Context, i *fleet.Instance, s engine.Send) (*upstream.Response, engine.Verdict, error) {
 	q.notSent = false
 	a, err := q.s.o.Client.Do(ctx, q.upstreamRequest(i, s))
 	if err != nil {
@@ -24,12 +24,12 @@
 		return a, v, nil // the headers describe the instance that took over the address
 	}
 	if v.Leaving {
-		q.s.notices.Leaves(i.Run(), q.call.ID)
+		q.s.notices.RecordShutdown(i.RunID(), q.call.ID)
 	}
 	if v.Rest > 0 {
-		q.s.notices.Rests(i.Run(), q.call.ID, v.Rest)
+		q.s.notices.RecordBackoff(i.RunID(), q.call.ID, v.Rest)
 	}
-	q.s.limits.Heard(i.Run(), q.call.ID, v.RateLimit, q.sentAt)
+	q.s.limits.RecordResponse(i.RunID(), q.call.ID, v.RateLimit, q.sentAt)
 	return a, v, nil
 }
 
@@ -38,13 +38,13 @@
 // requests for a while. A scheduler in another process gets this list too, because it may not
 // have received these announcements.
 func (q *request) excludedInstances(pool *fleet.Pool) map[string]bool {
-	runs := q.s.notices.AllUnwilling()
+	runs := q.s.notices.InstancesRefusingWork()
 	if len(runs) == 0 {
 		return q.avoid
 	}
 	out := maps.Clone(q.avoid)
 	for _, run := range runs {
-		if i := pool.FindRun(run); i != nil {
+		if i := pool.FindByRunID(run); i != nil {
 			out[i.ID] = true
 		}
 	}
@@ -55,6 +55,6 @@
 // for a backoff accepts requests again, 0 if none has asked for one.
 func (q *request) shortestBackoff() time.Duration {
 	pool := q.s.o.View().Pool(q.route.Name, q.service)
-	runs := slices.DeleteFunc(q.s.notices.AllUnwilling(), func(run string) bool { return pool.FindRun(run) == nil })
-	return q.s.notices.FirstRest(runs)
+	runs := slices.DeleteFunc(q.s.notices.InstancesRefusingWork(), func(run string) bool { return pool.FindByRunID(run) == nil })
+	return q.s.notices.ShortestBackoff(runs)
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -38,38 +38,38 @@
 	if q.s.o.Quarantine.Empty() {
 		return nil
 	}
-	v := q.s.o.Quarantine.Judge(q.fingerprint())
+	v := q.s.o.Quarantine.Admit(q.fingerprint())
 	q.trial = v.Trial
 	if !v.Refused {
 		return nil
 	}
-	return quarantineRejection(strings.Join(v.Ended, ", "), v.RetryAfter)
+	return quarantineRejection(strings.Join(v.CrashedInstances, ", "), v.RetryAfter)
 }
 
 func quarantineRejection(known string, retryAfter time.Duration) *reply {
-	return replyFromState(codeQuarantined, suspects.Refusal(known), retryAfter)
+	return replyFromState(codeQuarantined, suspects.QuarantinedError(known), retryAfter)
 }
 
 // newlyQuarantined reports whether the request has been quarantined since it was placed.
 func (q *request) newlyQuarantined() bool {
-	return !q.trial && !q.s.o.Quarantine.Empty() && q.s.o.Quarantine.Look(q.fingerprint()).Refused
+	return !q.trial && !q.s.o.Quarantine.Empty() && q.s.o.Quarantine.Verdict(q.fingerprint()).Refused
 }
 
 // reportBrokenConnection reports to the quarantine that the connection to an instance broke while it
 // may have been running the request. An instance that was shutting down has exited as planned and is
 // not reported.
 func (q *request) reportBrokenConnection(i *fleet.Instance) {
-	if q.clientGone || q.ctx.Err() != nil || !q.s.o.View().Takes(q.service, i.ID) {
+	if q.clientGone || q.ctx.Err() != nil || !q.s.o.View().Accepts(q.service, i.ID) {
 		return
 	}
-	q.s.watch.Broke(suspects.Broken{
-		Request: q.call.ID, Fingerprint: q.fingerprint(), Instance: i.Run(), Address: i.Address, Ran: bootclock.Since(q.sentAt),
+	q.s.watch.ReportBroken(suspects.BrokenConnection{
+		Request: q.call.ID, Fingerprint: q.fingerprint(), Instance: i.RunID(), Address: i.Address, RunTime: bootclock.Since(q.sentAt),
 	})
 }
 
 // reportSuccess reports to the quarantine that an instance ran the request successfully.
 func (q *request) reportSuccess() {
 	if !q.s.o.Quarantine.Empty() {
-		q.s.o.Quarantine.Sound(q.fingerprint())
+		q.s.o.Quarantine.RecordSuccess(q.fingerprint())
 	}
 }
--- a/internal/gateway/read.go
+++ b/internal/gateway/read.go
@@ -27,34 +27,34 @@
 	start := time.Now()
 	ctx, cancel := context.WithDeadline(q.ctx, q.firstEventDeadline())
 	defer cancel()
-	a, verdict, err := q.exchange(ctx, plan.Reader, engine.Send{
-		Instance: plan.Reader.ID, Left: time.Until(q.firstEventDeadline()), Rank: plan.Rank, ReadOnly: true, FetchFrom: addressOf(plan.FetchFrom),
+	a, verdict, err := q.exchange(ctx, plan.PrefillEngine, engine.Send{
+		Instance: plan.PrefillEngine.ID, Left: time.Until(q.firstEventDeadline()), Rank: plan.Rank, ReadOnly: true, FetchFrom: addressOf(plan.FetchFrom),
 	})
 	if err != nil {
 		if q.retryCharged = fault.Is(err, fault.Unavailable); !q.retryCharged { // the engine may have received the request
-			q.reportBrokenConnection(plan.Reader)
+			q.reportBrokenConnection(plan.PrefillEngine)
 		}
 		return q.prefillFailed(plan, ticket, q.failureOutcome(err), err)
 	}
 	if verdict.Replaced {
-		a.CloseUnread()
-		return q.prefillFailed(plan, ticket, placement.Replaced, fault.Newf(fault.Unavailable, "another engine is tried", "the address of engine %s now belongs to another instance", plan.Reader.ID))
+		a.DiscardBody()
+		return q.prefillFailed(plan, ticket, placement.Replaced, fault.Newf(fault.Unavailable, "another engine is tried", "the address of engine %s now belongs to another instance", plan.PrefillEngine.ID))
 	}
 	body, err := readAll(a, maxPrefillResult)
 	if err != nil {
-		q.reportBrokenConnection(plan.Reader)
+		q.reportBrokenConnection(plan.PrefillEngine)
 		return q.prefillFailed(plan, ticket, q.failureOutcome(err), err)
 	}
 	if a.Status != http.StatusOK {
-		return q.prefillFailed(plan, ticket, placement.Failed, fault.Newf(fault.Unavailable, "another engine is tried", "engine %s answered %d to a prefill request", plan.Reader.ID, a.Status))
+		return q.prefillFailed(plan, ticket, placement.Failed, fault.Newf(fault.Unavailable, "another engine is tried", "engine %s answered %d to a prefill request", plan.PrefillEngine.ID, a.Status))
 	}
 	handle, err := q.s.o.Protocol.ReadResult(body)
 	if err != nil {
 		return q.prefillFailed(plan, ticket, placement.Failed, err)
 	}
-	ticket.Read(true, placement.Sound)
+	ticket.PrefillEnded(true, placement.Succeeded)
 	q.prefilled = true
-	q.kvSource, q.kvHolder, q.kvOffers = &engine.KVSource{Address: plan.Reader.Address, Handle: handle}, plan.Reader, 0
+	q.kvSource, q.kvHolder, q.kvOffers = &engine.KVSource{Address: plan.PrefillEngine.Address, Handle: handle}, plan.PrefillEngine, 0
 	q.prefillTime = time.Since(start)
 	q.s.time("read", q.prefillTime)
 	return lifecycle.Delivered, nil
@@ -64,10 +64,10 @@
 // from further attempts.
 func (q *request) prefillFailed(plan *placement.Plan, ticket scheduler.Ticket, o placement.Outcome, err error) (lifecycle.Outcome, error) {
 	if q.ctx.Err() != nil || time.Until(q.firstEventDeadline()) <= 0 {
-		o = placement.Sound // not counted against the engine: the client left or the deadline has passed
+		o = placement.Succeeded // not counted against the engine: the client left or the deadline has passed
 	}
-	ticket.Read(false, o)
-	q.avoid[plan.Reader.ID] = true
+	ticket.PrefillEnded(false, o)
+	q.avoid[plan.PrefillEngine.ID] = true
 	return lifecycle.NotRun, err
 }
 
@@ -95,6 +95,6 @@
 			level.Info(q.s.o.Logger).Log("msg", "KV cache handle not released", "request", q.call.ID, "engine", holder.ID, "err", err)
 			return
 		}
-		a.CloseUnread()
+		a.DiscardBody()
 	}()
 }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -50,7 +50,7 @@
 }
 
 // readAll reads a complete body of at most limit bytes and closes the response.
-func readAll(a *upstream.Answer, limit int64) ([]byte, error) {
+func readAll(a *upstream.Response, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a.Body, limit+1))
 	if err == nil && int64(len(body)) > limit {
 		err = fault.Newf(fault.Exhausted, "ask for less", "answer is larger than %d bytes", limit)
@@ -63,7 +63,7 @@
 }
 
 // relay sends the response of an instance to the client.
-func (q *request) relay(a *upstream.Answer) (lifecycle.Outcome, error) {
+func (q *request) relay(a *upstream.Response) (lifecycle.Outcome, error) {
 	_ = http.NewResponseController(q.w).SetWriteDeadline(q.deadline.Add(writeGrace)) // if it is not supported, a slow client is not cut off
 	if isStream(a) {
 		return q.relayEvents(a)
@@ -97,7 +97,7 @@
 }
 
 // copyHeaders copies the end-to-end headers of a response to the client's response.
-func (q *request) copyHeaders(a *upstream.Answer) {
+func (q *request) copyHeaders(a *upstream.Response) {
 	h := q.w.Header()
 	for name, values := range endToEnd(a.Header) {
 		h[name] = values
@@ -109,7 +109,7 @@
 
 // relayEvents relays each complete event of a stream as it arrives. The headers are sent
 // with the first event, so that until then the request can be retried at another instance.
-func (q *request) relayEvents(a *upstream.Answer) (lifecycle.Outcome, error) {
+func (q *request) relayEvents(a *upstream.Response) (lifecycle.Outcome, error) {
 	in := bufio.NewReader(a.Body)
 	for {
 		event, err := readEvent(in)
@@ -132,20 +132,20 @@
 }
 
 // isStream reports whether a response is an event stream.
-func isStream(a *upstream.Answer) bool {
+func isStream(a *upstream.Response) bool {
 	return strings.HasPrefix(a.Header.Get("Content-Type"), eventStream)
 }
 
 // countRun calls Options.Began, once for each request.
 func (q *request) countRun() {
-	if q.runCounted || q.workspace == nil || q.s.o.Began == nil {
+	if q.runCounted || q.workspace == nil || q.s.o.OnRunStart == nil {
 		return
 	}
 	q.runCounted = true
-	q.s.o.Began(q.workspace.Name)
+	q.s.o.OnRunStart(q.workspace.Name)
 }
 
-func (q *request) startResponse(a *upstream.Answer) {
+func (q *request) startResponse(a *upstream.Response) {
 	q.responseStarted = true
 	q.countRun()
 	q.copyHeaders(a)
@@ -154,7 +154,7 @@
 	q.s.time("first_event", time.Since(q.arrived))
 }
 
-func (q *request) relayEvent(a *upstream.Answer, event []byte) (lifecycle.Outcome, error) {
+func (q *request) relayEvent(a *upstream.Response, event []byte) (lifecycle.Outcome, error) {
 	q.ticket.Event()
 	id := eventID(event)
 	if id != "" && q.lastEventID != "" && !isLaterEvent(id, q.lastEventID) {
--- a/internal/gateway/reply.go
+++ b/internal/gateway/reply.go
@@ -32,7 +32,7 @@
 
 // statusFor returns the status of the reply to a request that has ended. Status 503 promises
 // the client that the request has not run and never will.
-func (p *reply) statusFor(l *lifecycle.Life) int {
+func (p *reply) statusFor(l *lifecycle.Request) int {
 	switch {
 	case p.status != 0:
 		return p.status
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -71,7 +71,7 @@
 	// backup is the engine that receives copies of the run's KV cache, nil for none.
 	backup *fleet.Instance
 	// life tracks whether any instance may have started to run the request.
-	life *lifecycle.Life
+	life *lifecycle.Request
 	// runCounted is true once Options.Began has been called for the request.
 	runCounted bool
 	// retryCharged is true if the next send does not need to be charged to the retry budget:
@@ -115,9 +115,9 @@
 	q.finish(rep)
 }
 
-// Rebase implements lifecycle.Steps: it applies the newest configuration and selects the
+// RefreshConfig implements lifecycle.Steps: it applies the newest configuration and selects the
 // service for the next attempt.
-func (q *request) Rebase() *reply {
+func (q *request) RefreshConfig() *reply {
 	view := q.s.o.View()
 	route := view.Config.Route(hostOnly(q.http.Host), q.http.URL.EscapedPath())
 	if route == nil {
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// Choose implements lifecycle.Steps.
-func (q *request) Choose() *reply {
+// ChooseTarget implements lifecycle.Steps.
+func (q *request) ChooseTarget() *reply {
 	if time.Until(q.deadline) < minRemaining || q.ctx.Err() != nil {
 		return q.expiredReply()
 	}
@@ -163,13 +163,13 @@
 	return q.send()
 }
 
-// Repeatable implements lifecycle.Steps.
-func (q *request) Repeatable() bool {
+// CanRetryAfterRun implements lifecycle.Steps.
+func (q *request) CanRetryAfterRun() bool {
 	return q.ctx.Err() == nil && q.route.Repeatable() && q.runs < q.route.MaxAttempts
 }
 
-// Ended implements lifecycle.Steps.
-func (q *request) Ended(o lifecycle.Outcome, err error) *reply {
+// FinalReply implements lifecycle.Steps.
+func (q *request) FinalReply(o lifecycle.Outcome, err error) *reply {
 	switch {
 	case o == lifecycle.Delivered:
 		return nil
@@ -183,17 +183,17 @@
 func (q *request) placementJob(v *fleet.View) *placement.Job {
 	pool := v.Pool(q.route.Name, q.service)
 	return &placement.Job{
-		Route: q.route, Ranked: q.workspace != nil && q.workspace.Ranked, Workspace: q.workspaceName(), Service: v.Config.Services[q.service],
-		Call: q.call, Left: time.Until(q.firstEventDeadline()), Spent: time.Since(q.arrived), Fingerprint: q.fingerprintForScheduler(), Domain: q.s.o.Domain,
-		Permitted: pool.All, Groups: pool.Groups, Avoid: q.excludedInstances(pool), NoRead: q.responseStarted || q.kvSource != nil,
+		Route: q.route, WorkspaceRank: q.workspace != nil && q.workspace.Ranked, Workspace: q.workspaceName(), Service: v.Config.Services[q.service],
+		Call: q.call, Remaining: time.Until(q.firstEventDeadline()), Elapsed: time.Since(q.arrived), Fingerprint: q.fingerprintForScheduler(), Domain: q.s.o.FailureDomain,
+		Permitted: pool.All, Groups: pool.Groups, Avoid: q.excludedInstances(pool), SkipPrefill: q.responseStarted || q.kvSource != nil,
 	}
 }
 
 // firstEventDeadline returns the time by which the response must start. It lies before the
 // client timeout, so that a client whose request is rejected late still receives the rejection.
 func (q *request) firstEventDeadline() time.Time {
-	by := q.arrived.Add(q.route.Patience - rejectionMargin)
-	if q.responseStarted || q.route.Patience == 0 || by.After(q.deadline) {
+	by := q.arrived.Add(q.route.FirstEventTimeout - rejectionMargin)
+	if q.responseStarted || q.route.FirstEventTimeout == 0 || by.After(q.deadline) {
 		return q.deadline
 	}
 	return by
@@ -202,21 +202,21 @@
 // unplacedReply returns the reply to a request that no instance can take now.
 func (q *request) unplacedReply() *reply {
 	retry := q.plan.RetryAfter
-	if q.plan.Reason == placement.ReasonNone {
+	if q.plan.Reason == placement.ReasonNonePermitted {
 		retry = q.shortestBackoff()
 	}
 	if retry == 0 {
 		retry = defaultRetry
 	}
 	if q.plan.Reason == placement.ReasonQuarantined {
-		return quarantineRejection("known to "+q.plan.By, retry)
+		return quarantineRejection("known to "+q.plan.DecidedBy, retry)
 	}
 	err := fault.New(fault.Unavailable, "no instance of "+q.service+" accepts the request: "+string(q.plan.Reason), "ask again after the time in Retry-After")
 	return replyFromState(string(q.plan.Reason), err, retry)
 }
 
-// Again implements lifecycle.Steps.
-func (q *request) Again(err error) *reply {
+// PrepareRetry implements lifecycle.Steps.
+func (q *request) PrepareRetry(err error) *reply {
 	switch {
 	case q.ctx.Err() != nil:
 		return q.expiredReply()
@@ -248,34 +248,34 @@
 // decode engine is available after the prefill, it returns NotRun without an error.
 func (q *request) send() (lifecycle.Outcome, error) {
 	plan := &q.plan
-	if plan.Reader != nil {
+	if plan.PrefillEngine != nil {
 		if res, err := q.prefill(plan, q.ticket); err != nil {
 			return res, err
 		}
 		view := q.s.o.View()
-		next := q.ticket.PlaceRead(q.ctx, q.placementJob(view), plan)
+		next := q.ticket.PlaceDecode(q.ctx, q.placementJob(view), plan)
 		if next == nil {
 			return lifecycle.NotRun, nil
 		}
 		q.ticket = next
 		q.logDecision(view)
 	}
-	q.backup = q.chooseBackup(plan.Runner)
-	a, verdict, err := q.exchange(q.ctx, plan.Runner, engine.Send{
-		Instance: plan.Runner.ID, Left: time.Until(q.deadline), Rank: q.route.Rank, Source: q.kvSource, ResumeAfter: q.resumeAfter(),
+	q.backup = q.chooseBackup(plan.Target)
+	a, verdict, err := q.exchange(q.ctx, plan.Target, engine.Send{
+		Instance: plan.Target.ID, Left: time.Until(q.deadline), Rank: q.route.Rank, Source: q.kvSource, ResumeAfter: q.resumeAfter(),
 		Backup: addressOf(q.backup),
 	})
 	q.sends++
 	q.kvOffers++
 	if err != nil {
-		q.ticket.Run(q.failureOutcome(err))
-		q.avoid[plan.Runner.ID] = true
+		q.ticket.RunEnded(q.failureOutcome(err))
+		q.avoid[plan.Target.ID] = true
 		if fault.Is(err, fault.Unavailable) {
 			q.retryCharged = true // nothing reached the instance, so the next send is not a retry
 			return lifecycle.NotRun, err
 		}
 		q.runs++
-		q.reportBrokenConnection(plan.Runner)
+		q.reportBrokenConnection(plan.Target)
 		return lifecycle.Lost, err
 	}
 	return q.receive(a, verdict, plan)
@@ -283,19 +283,19 @@
 
 // receive evaluates the headers of a response, and relays the response to the client or
 // reports that the attempt has to be repeated.
-func (q *request) receive(a *upstream.Answer, verdict engine.Verdict, plan *placement.Plan) (lifecycle.Outcome, error) {
+func (q *request) receive(a *upstream.Response, verdict engine.Verdict, plan *placement.Plan) (lifecycle.Outcome, error) {
 	if verdict.NotRun {
-		a.CloseUnread()
+		a.DiscardBody()
 		outcome := placement.Failed
 		if verdict.Replaced {
 			outcome = placement.Replaced
 		}
-		q.ticket.Run(outcome)
-		q.avoid[plan.Runner.ID] = true
+		q.ticket.RunEnded(outcome)
+		q.avoid[plan.Target.ID] = true
 		if q.kvOffers >= maxKVOffers {
 			q.releaseKV() // the KV cache may be the reason for the rejections
 		}
-		return lifecycle.NotRun, fault.Newf(fault.Unavailable, "another instance is tried", "instance %s rejected the request with status %d", plan.Runner.ID, a.Status)
+		return lifecycle.NotRun, fault.Newf(fault.Unavailable, "another instance is tried", "instance %s rejected the request with status %d", plan.Target.ID, a.Status)
 	}
 	q.runs++
 	q.kvSource = nil // the instance has consumed it
@@ -304,24 +304,24 @@
 	}
 	if !verdict.Genuine && a.Status < http.StatusMultipleChoices {
 		a.Close(false)
-		q.ticket.Run(placement.Failed)
-		q.avoid[plan.Runner.ID] = true
-		return lifecycle.Lost, fault.Newf(fault.Unknown, "check the instance", "instance %s sent a response without its seal", plan.Runner.ID)
+		q.ticket.RunEnded(placement.Failed)
+		q.avoid[plan.Target.ID] = true
+		return lifecycle.Lost, fault.Newf(fault.Unknown, "check the instance", "instance %s sent a response without its seal", plan.Target.ID)
 	}
 	if a.Status >= http.StatusInternalServerError && q.takeRetry() {
-		a.CloseUnread()
-		q.ticket.Run(placement.Failed)
-		q.avoid[plan.Runner.ID] = true
-		return lifecycle.Lost, fault.Newf(fault.Unknown, "another instance is tried", "instance %s responded with status %d", plan.Runner.ID, a.Status)
+		a.DiscardBody()
+		q.ticket.RunEnded(placement.Failed)
+		q.avoid[plan.Target.ID] = true
+		return lifecycle.Lost, fault.Newf(fault.Unknown, "another instance is tried", "instance %s responded with status %d", plan.Target.ID, a.Status)
 	}
 	res, err := q.relay(a)
-	q.ticket.Run(q.responseOutcome(res))
+	q.ticket.RunEnded(q.responseOutcome(res))
 	if res != lifecycle.Lost {
 		q.reportSuccess()
 		return res, err
 	}
-	q.avoid[plan.Runner.ID] = true
-	q.reportBrokenConnection(plan.Runner)
+	q.avoid[plan.Target.ID] = true
+	q.reportBrokenConnection(plan.Target)
 	return q.resumeAtBackup(err)
 }
 
@@ -331,7 +331,7 @@
 func (q *request) failureOutcome(err error) placement.Outcome {
 	switch {
 	case q.ctx.Err() != nil, q.notSent, !time.Now().Before(q.deadline):
-		return placement.Sound
+		return placement.Succeeded
 	case fault.Is(err, fault.Unavailable):
 		return placement.Unreachable
 	}
@@ -344,7 +344,7 @@
 	if o == lifecycle.Lost && !q.clientGone {
 		return placement.Failed
 	}
-	return placement.Sound
+	return placement.Succeeded
 }
 
 // takeRetry reports whether a request that an instance answered with a failure should be
@@ -368,10 +368,10 @@
 	s.Workspace = q.workspaceName()
 	return upstream.Request{
 		Address: i.Address, Method: q.http.Method, URI: q.http.RequestURI, Host: q.http.Host, Body: q.body,
-		Header:  q.s.o.Protocol.Forward(endToEnd(q.http.Header), s),
-		Matches: func(h http.Header) bool { return q.s.o.Protocol.Matches(q.call.ID, h) },
-		MaxIdle: q.maxIdleConns(),
-		Check:   func() error { return q.checkBeforeSend(i) },
+		Header:     q.s.o.Protocol.Forward(endToEnd(q.http.Header), s),
+		Matches:    func(h http.Header) bool { return q.s.o.Protocol.Matches(q.call.ID, h) },
+		MaxIdle:    q.maxIdleConns(),
+		BeforeSend: func() error { return q.checkBeforeSend(i) },
 	}
 }
 
@@ -384,12 +384,12 @@
 	switch {
 	case q.newlyQuarantined():
 		return fault.New(fault.Unavailable, "instances have crashed while running this request since it was placed", "the request is refused")
-	case q.s.notices.Leaving(i.Run()), q.s.o.View().Left(q.service, i.ID):
+	case q.s.notices.ShuttingDown(i.RunID()), q.s.o.View().StoppedAccepting(q.service, i.ID):
 		return fault.Newf(fault.Unavailable, "another instance is tried", "instance %s stopped accepting requests after it was chosen", i.ID)
-	case q.s.notices.Rest(i.Run()) > 0:
+	case q.s.notices.Backoff(i.RunID()) > 0:
 		q.notSent = true
 		return fault.Newf(fault.Unavailable, "another instance is tried", "instance %s asked for a backoff after it was chosen", i.ID)
-	case !q.plan.Granted && q.s.limits.Withholds(i.Run()):
+	case !q.plan.Granted && q.s.limits.BlocksUngranted(i.RunID()):
 		q.notSent = true
 		return fault.Newf(fault.Unavailable, "another instance is tried", "instance %s reached its rate limit after it was chosen", i.ID)
 	}
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -30,48 +30,48 @@
 // Steps is implemented for each request by the server that handles it. R is the type of the
 // reply that the server generates itself if the request gets no complete response.
 type Steps[R any] interface {
-	// Rebase applies the newest configuration to the next attempt. A non-nil reply ends the
+	// RefreshConfig applies the newest configuration to the next attempt. A non-nil reply ends the
 	// request.
-	Rebase() *R
-	// Choose selects the target of the next attempt. A non-nil reply ends the request.
-	Choose() *R
+	RefreshConfig() *R
+	// ChooseTarget selects the target of the next attempt. A non-nil reply ends the request.
+	ChooseTarget() *R
 	// Attempt makes the attempt at the selected target.
 	Attempt() (Outcome, error)
-	// Repeatable reports whether the request may be retried although the last attempt may have
+	// CanRetryAfterRun reports whether the request may be retried although the last attempt may have
 	// run.
-	Repeatable() bool
-	// Again prepares a retry after an attempt that ended with err. A non-nil reply ends the
+	CanRetryAfterRun() bool
+	// PrepareRetry prepares a retry after an attempt that ended with err. A non-nil reply ends the
 	// request.
-	Again(err error) *R
-	// Ended returns the reply to send after the last attempt, nil if the response was delivered.
-	Ended(o Outcome, err error) *R
+	PrepareRetry(err error) *R
+	// FinalReply returns the reply to send after the last attempt, nil if the response was delivered.
+	FinalReply(o Outcome, err error) *R
 }
 
-// Life holds one request's state in the state chart of requests. It is used by one goroutine.
-type Life struct {
+// Request holds one request's state in the state chart of requests. It is used by one goroutine.
+type Request struct {
 	chart  *statechart.Instance
 	id     string
 	logger log.Logger
 }
 
 // New returns the lifecycle of a request in the state received.
-func New(id string, logger log.Logger) *Life {
-	return &Life{chart: charts.Request.Start(), id: id, logger: logger}
+func New(id string, logger log.Logger) *Request {
+	return &Request{chart: charts.Request.Start(), id: id, logger: logger}
 }
 
 // Fire applies an event to the state chart. The chart accepts every event that its users fire,
 // so an error would be a bug; it is logged.
-func (l *Life) Fire(e statechart.Event) {
+func (l *Request) Fire(e statechart.Event) {
 	if _, err := l.chart.Fire(e); err != nil {
 		level.Error(l.logger).Log("msg", "state chart", "request", l.id, "err", err)
 	}
 }
 
 // State returns the state of the request.
-func (l *Life) State() statechart.State { return l.chart.State() }
+func (l *Request) State() statechart.State { return l.chart.State() }
 
 // MayHaveRun reports whether any target may have started to run the request.
-func (l *Life) MayHaveRun() bool {
+func (l *Request) MayHaveRun() bool {
 	switch l.State() {
 	case charts.RequestReceived, charts.RequestRouting, charts.RequestNotRun, charts.RequestDuplicate:
 		return false
@@ -82,7 +82,7 @@
 // Serve makes attempts until an admitted request reaches a final state. It returns the reply to
 // send to the client, nil if the response was delivered. The final state determines whether the
 // reply may claim that the request has not run.
-func Serve[R any](l *Life, s Steps[R]) *R {
+func Serve[R any](l *Request, s Steps[R]) *R {
 	for {
 		if rep := prepareAttempt(s); rep != nil {
 			l.Fire(charts.NoTarget)
@@ -90,12 +90,12 @@
 		}
 		l.Fire(charts.Chosen)
 		outcome, err := s.Attempt()
-		event, again := attemptEvent(outcome, s.Repeatable)
+		event, again := attemptEvent(outcome, s.CanRetryAfterRun)
 		l.Fire(event)
 		if !again {
-			return s.Ended(outcome, err)
+			return s.FinalReply(outcome, err)
 		}
-		if rep := s.Again(err); rep != nil {
+		if rep := s.PrepareRetry(err); rep != nil {
 			l.Fire(charts.NoTarget)
 			return rep
 		}
@@ -103,10 +103,10 @@
 }
 
 func prepareAttempt[R any](s Steps[R]) *R {
-	if rep := s.Rebase(); rep != nil {
+	if rep := s.RefreshConfig(); rep != nil {
 		return rep
 	}
-	return s.Choose()
+	return s.ChooseTarget()
 }
 
 // attemptEvent returns the event to fire after an attempt with the outcome o, and whether
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -25,26 +25,26 @@
 	minBurst = 2
 )
 
-// Refusal is the error for a rejected request, with the time after which to retry.
-type Refusal struct {
+// RejectionError is the error for a rejected request, with the time after which to retry.
+type RejectionError struct {
 	Err        *fault.Error
 	RetryAfter time.Duration
 }
 
 // Error implements error.
-func (r *Refusal) Error() string { return r.Err.Error() }
+func (r *RejectionError) Error() string { return r.Err.Error() }
 
 // Unwrap returns the fault.Error.
-func (r *Refusal) Unwrap() error { return r.Err }
+func (r *RejectionError) Unwrap() error { return r.Err }
 
 // NewRefusal returns a rejection. Its RetryAfter is wait plus a random jitter of up to the
 // same length, so that rejected clients do not all retry at once.
-func NewRefusal(err *fault.Error, wait time.Duration) *Refusal {
-	return &Refusal{Err: err, RetryAfter: wait + rand.N(wait+1)}
+func NewRefusal(err *fault.Error, wait time.Duration) *RejectionError {
+	return &RejectionError{Err: err, RetryAfter: wait + rand.N(wait+1)}
 }
 
-// Gate admits or rejects requests. It is safe for concurrent use.
-type Gate struct {
+// AdmissionController admits or rejects requests. It is safe for concurrent use.
+type AdmissionController struct {
 	maxInFlight   int
 	urgentReserve float64
 
@@ -62,18 +62,18 @@
 	limiter  *rate.Limiter
 }
 
-// NewGate returns a Gate that admits up to maxInFlight requests at a time. The share
+// NewAdmissionController returns a Gate that admits up to maxInFlight requests at a time. The share
 // urgentReserve of them is reserved for urgent requests.
-func NewGate(maxInFlight int, urgentReserve float64) *Gate {
+func NewAdmissionController(maxInFlight int, urgentReserve float64) *AdmissionController {
 	cache, err := lru.New[string, *workspaceState](maxWorkspaces)
 	if err != nil {
 		panic(err) // fails only for a size that is not positive
 	}
-	return &Gate{maxInFlight: maxInFlight, urgentReserve: urgentReserve, workspaces: cache}
+	return &AdmissionController{maxInFlight: maxInFlight, urgentReserve: urgentReserve, workspaces: cache}
 }
 
-// InHand returns the number of admitted requests that have not been released.
-func (g *Gate) InHand() int {
+// InFlight returns the number of admitted requests that have not been released.
+func (g *AdmissionController) InFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.inFlight
@@ -82,7 +82,7 @@
 // Admit admits a request or returns a *Refusal. The limits of a workspace apply to the whole
 // deployment: each of the serving processes enforces its share of them. The caller must call
 // release exactly once for an admitted request.
-func (g *Gate) Admit(w *config.Workspace, p config.Priority, serving int) (release func(), err error) {
+func (g *AdmissionController) Admit(w *config.Workspace, p config.Priority, serving int) (release func(), err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.inFlight >= g.limitFor(p) {
@@ -106,7 +106,7 @@
 	return func() { g.release(ws, time.Since(start)) }, nil
 }
 
-func (g *Gate) release(ws *workspaceState, took time.Duration) {
+func (g *AdmissionController) release(ws *workspaceState, took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inFlight--
@@ -128,7 +128,7 @@
 // in flight, nil otherwise. It is called only while targets are scarce, so that a workspace that
 // floods them cannot starve the others. The shares are computed as if one more workspace of
 // weight 1 were active, which leaves room for the next one to arrive.
-func (g *Gate) OverShare(w *config.Workspace) error {
+func (g *AdmissionController) OverShare(w *config.Workspace) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	ws, ok := g.workspaces.Peek(w.Name)
@@ -148,7 +148,7 @@
 	return 1
 }
 
-func (g *Gate) limitFor(p config.Priority) int {
+func (g *AdmissionController) limitFor(p config.Priority) int {
 	switch p {
 	case config.Urgent:
 		return g.maxInFlight
@@ -159,7 +159,7 @@
 }
 
 // stateOf returns the state of w, with its rate limiter adjusted to the current configuration.
-func (g *Gate) stateOf(w *config.Workspace, serving int) *workspaceState {
+func (g *AdmissionController) stateOf(w *config.Workspace, serving int) *workspaceState {
 	limit := rate.Inf
 	if w.RequestsPerSecond > 0 {
 		limit = rate.Limit(w.RequestsPerSecond / float64(max(serving, 1)))
@@ -229,15 +229,15 @@
 // NewRetryBudget returns a budget with all its tokens.
 func NewRetryBudget() *RetryBudget { return &RetryBudget{tokens: maxRetryTokens} }
 
-// Request records a request, which adds retriesPerRequest tokens to the budget.
-func (b *RetryBudget) Request() {
+// RecordRequest records a request, which adds retriesPerRequest tokens to the budget.
+func (b *RetryBudget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+retriesPerRequest, maxRetryTokens)
 }
 
-// Retry reports whether a retry is allowed now, and charges it to the budget if so.
-func (b *RetryBudget) Retry() bool {
+// TakeRetry reports whether a retry is allowed now, and charges it to the budget if so.
+func (b *RetryBudget) TakeRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < tokensPerRetry {
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -16,8 +16,8 @@
 // retention is the min time for which the announcements of an instance are kept.
 const retention = 5 * time.Minute
 
-// Board holds the announcements of all instances. It is safe for concurrent use.
-type Board struct {
+// Table holds the announcements of all instances. It is safe for concurrent use.
+type Table struct {
 	logger log.Logger
 
 	mu        sync.Mutex
@@ -33,13 +33,13 @@
 	backoffUntil bootclock.Instant
 }
 
-// NewBoard returns an empty Board that logs new announcements.
-func NewBoard(logger log.Logger) *Board {
-	return &Board{logger: logger, instances: map[string]*instanceState{}}
+// NewTable returns an empty Board that logs new announcements.
+func NewTable(logger log.Logger) *Table {
+	return &Table{logger: logger, instances: map[string]*instanceState{}}
 }
 
-// Leaves records that a run of an instance announced its shutdown. This is final for the run.
-func (b *Board) Leaves(instance, request string) {
+// RecordShutdown records that a run of an instance announced its shutdown. This is final for the run.
+func (b *Table) RecordShutdown(instance, request string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.state(instance)
@@ -50,9 +50,9 @@
 	level.Info(b.logger).Log("msg", "instance announced its shutdown", "instance", instance, "request", request)
 }
 
-// Rests records that a run of an instance asked for a backoff of d. A shorter backoff than the
+// RecordBackoff records that a run of an instance asked for a backoff of d. A shorter backoff than the
 // current one has no effect.
-func (b *Board) Rests(instance, request string, d time.Duration) {
+func (b *Table) RecordBackoff(instance, request string, d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.state(instance)
@@ -64,7 +64,7 @@
 	level.Info(b.logger).Log("msg", "instance asked for a backoff", "instance", instance, "request", request, "for", d)
 }
 
-func (b *Board) state(instance string) *instanceState {
+func (b *Table) state(instance string) *instanceState {
 	s := b.instances[instance]
 	if s == nil {
 		s = &instanceState{}
@@ -73,16 +73,16 @@
 	return s
 }
 
-// Leaving reports whether a run of an instance has announced its shutdown.
-func (b *Board) Leaving(instance string) bool {
+// ShuttingDown reports whether a run of an instance has announced its shutdown.
+func (b *Table) ShuttingDown(instance string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.instances[instance]
 	return s != nil && s.shuttingDown
 }
 
-// Rest returns the remaining backoff of a run of an instance.
-func (b *Board) Rest(instance string) time.Duration {
+// Backoff returns the remaining backoff of a run of an instance.
+func (b *Table) Backoff(instance string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.instances[instance]
@@ -92,20 +92,20 @@
 	return max(s.backoffUntil.Sub(bootclock.Now()), 0)
 }
 
-// FirstRest returns the shortest remaining backoff of the given runs, 0 if none of them has asked
+// ShortestBackoff returns the shortest remaining backoff of the given runs, 0 if none of them has asked
 // for one.
-func (b *Board) FirstRest(instances []string) time.Duration {
+func (b *Table) ShortestBackoff(instances []string) time.Duration {
 	shortest := time.Duration(0)
 	for _, instance := range instances {
-		if backoff := b.Rest(instance); backoff > 0 && (shortest == 0 || backoff < shortest) {
+		if backoff := b.Backoff(instance); backoff > 0 && (shortest == 0 || backoff < shortest) {
 			shortest = backoff
 		}
 	}
 	return shortest
 }
 
-// AllUnwilling returns the instance runs that must not be sent requests now.
-func (b *Board) AllUnwilling() []string {
+// InstancesRefusingWork returns the instance runs that must not be sent requests now.
+func (b *Table) InstancesRefusingWork() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []string
@@ -117,9 +117,9 @@
 	return out
 }
 
-// Unwilling reports whether a run of an instance must not be sent requests now, because it is
+// RefusesWork reports whether a run of an instance must not be sent requests now, because it is
 // shutting down or has asked for a backoff.
-func (b *Board) Unwilling(instance string) bool {
+func (b *Table) RefusesWork(instance string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.instances[instance]
@@ -131,7 +131,7 @@
 // Retain deletes the runs for which keep returns false, whose announcements are older than the
 // retention, and whose backoff has ended. It does not delete them at once, because registrations
 // expire while the store is unavailable and may come back.
-func (b *Board) Retain(keep func(instance string) bool) {
+func (b *Table) Retain(keep func(instance string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for instance, s := range b.instances {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -104,9 +104,9 @@
 	return err
 }
 
-// Refuses reports whether the address refuses new connections, which means that its host is
+// RefusesConnections reports whether the address refuses new connections, which means that its host is
 // reachable but no process listens there.
-func (c *Client) Refuses(ctx context.Context, address string) bool {
+func (c *Client) RefusesConnections(ctx context.Context, address string) bool {
 	cn, err := dial(ctx, address)
 	if err == nil {
 		_ = cn.Close() // nothing was sent
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -59,9 +59,9 @@
 	// Matches reports whether the headers of a response belong to this request. If it is nil,
 	// every response does.
 	Matches func(http.Header) bool
-	// Check is called just before the request is written. If it returns an error, the
+	// BeforeSend is called just before the request is written. If it returns an error, the
 	// request is not sent. It may be nil.
-	Check func() error
+	BeforeSend func() error
 	// Fresh forces a new connection.
 	Fresh bool
 	// MaxIdle bounds the idle connections to the address that are kept after this request.
@@ -83,15 +83,15 @@
 	return &Client{reg: reg, idle: map[string][]*conn{}, open: map[string]int{}}
 }
 
-// Open returns the number of open connections to an address, idle ones included.
-func (c *Client) Open(address string) int {
+// OpenConns returns the number of open connections to an address, idle ones included.
+func (c *Client) OpenConns(address string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.open[address]
 }
 
-// Answer is a response whose headers have been read. The caller must close it.
-type Answer struct {
+// Response is a response whose headers have been read. The caller must close it.
+type Response struct {
 	Status int
 	Header http.Header
 	// Body returns io.EOF only after the complete body has been read.
@@ -134,7 +134,7 @@
 // Do sends a request and waits for the headers of its response. An error is of kind
 // Unavailable if no byte was sent, and of kind Unknown if the instance may have started to
 // run the request. When ctx ends, the connection is closed, which tells the instance to stop.
-func (c *Client) Do(ctx context.Context, r Request) (*Answer, error) {
+func (c *Client) Do(ctx context.Context, r Request) (*Response, error) {
 	cn, err := c.get(ctx, r.Address, r.Fresh)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Unavailable, "cannot connect to the instance", "another instance is tried")
@@ -143,7 +143,7 @@
 		c.drop(r.Address, cn)
 		return nil, err
 	}
-	a := &Answer{client: c, address: r.Address, maxIdle: cmp.Or(r.MaxIdle, defaultMaxIdle), conn: cn, writeDone: make(chan struct{})}
+	a := &Response{client: c, address: r.Address, maxIdle: cmp.Or(r.MaxIdle, defaultMaxIdle), conn: cn, writeDone: make(chan struct{})}
 	a.stop = context.AfterFunc(ctx, func() { _ = cn.SetDeadline(time.Unix(1, 0)) })
 	req := r.httpRequest()
 	if len(r.Body) <= maxInlineBody {
@@ -169,10 +169,10 @@
 	switch {
 	case ctx.Err() != nil || hasDeadline && !time.Now().Before(deadline):
 		return fault.New(fault.Unavailable, "deadline has passed or the client has disconnected", "nothing was sent")
-	case r.Check == nil:
+	case r.BeforeSend == nil:
 		return nil
 	}
-	return r.Check()
+	return r.BeforeSend()
 }
 
 func (r *Request) httpRequest() *http.Request {
@@ -193,7 +193,7 @@
 // request.
 var writerPool = sync.Pool{New: func() any { return bufio.NewWriter(nil) }}
 
-func (a *Answer) write(req *http.Request) {
+func (a *Response) write(req *http.Request) {
 	w, _ := writerPool.Get().(*bufio.Writer)
 	w.Reset(a.conn)
 	if a.writeErr = req.Write(w); a.writeErr == nil {
@@ -205,7 +205,7 @@
 }
 
 // readHeaders reads responses until one matches the request.
-func (a *Answer) readHeaders(req *http.Request, matches func(http.Header) bool) error {
+func (a *Response) readHeaders(req *http.Request, matches func(http.Header) bool) error {
 	for range maxStrayResponses {
 		resp, err := http.ReadResponse(a.conn.reader, req)
 		if err != nil {
@@ -238,7 +238,7 @@
 // Close ends the exchange. If complete is true and the body has been read to its end, the
 // connection is returned to the pool unless it cannot be reused. Otherwise it is closed, which
 // tells the instance to stop.
-func (a *Answer) Close(complete bool) {
+func (a *Response) Close(complete bool) {
 	a.once.Do(func() {
 		if !complete || !a.reusable() || !a.stop() {
 			a.discardConn()
@@ -249,18 +249,18 @@
 	})
 }
 
-// CloseUnread ends the exchange without using the body. A short body is read and discarded, so
+// DiscardBody ends the exchange without using the body. A short body is read and discarded, so
 // that the connection can be reused.
-func (a *Answer) CloseUnread() { a.Close(discardBody(a.Body, maxDiscardBytes) == nil) }
+func (a *Response) DiscardBody() { a.Close(discardBody(a.Body, maxDiscardBytes) == nil) }
 
-func (a *Answer) discard() { a.once.Do(a.discardConn) }
+func (a *Response) discard() { a.once.Do(a.discardConn) }
 
-func (a *Answer) discardConn() {
+func (a *Response) discardConn() {
 	a.stop()
 	a.client.drop(a.address, a.conn)
 }
 
-func (a *Answer) reusable() bool {
+func (a *Response) reusable() bool {
 	select {
 	case <-a.writeDone:
 	default:
@@ -347,12 +347,12 @@
 	}
 	c.mu.Unlock()
 	for _, address := range addresses {
-		c.Forget(address)
+		c.CloseIdle(address)
 	}
 }
 
-// Forget closes the idle connections to an address that is no longer used.
-func (c *Client) Forget(address string) {
+// CloseIdle closes the idle connections to an address that is no longer used.
+func (c *Client) CloseIdle(address string) {
 	c.mu.Lock()
 	all := c.idle[address]
 	delete(c.idle, address)
