--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -41,7 +41,7 @@
 	client *upstream.Client
 }
 
-// NewSender returns a Runner with its own connection pool, which registers its metrics in reg.
+// NewSender returns a Sender with its own connection pool, which registers its metrics in reg.
 func NewSender(reg metrics.Registry) *Sender { return &Sender{client: upstream.New(reg)} }
 
 // Close closes the idle connections.
@@ -54,9 +54,9 @@
 
 // Attempt is one attempt to run a request at a target. It is used by one goroutine.
 type Attempt struct {
-	chart  *statechart.Instance
-	answer *upstream.Response
-	err    error
+	chart    *statechart.Instance
+	response *upstream.Response
+	err      error
 }
 
 // Start sends the request and waits for the response headers. The state of the returned
@@ -77,7 +77,7 @@
 		a.end(charts.Cut, fault.Wrap(err, fault.Unknown, "connection broke before the answer", "ask for the outcome before sending the request again"))
 		return a
 	}
-	a.answer = answer
+	a.response = answer
 	a.checkHeaders()
 	return a
 }
@@ -116,14 +116,14 @@
 func (a *Attempt) Err() error { return a.err }
 
 // Status returns the status code of the response.
-func (a *Attempt) Status() int { return a.answer.Status }
+func (a *Attempt) Status() int { return a.response.Status }
 
 // Header returns the headers of the response.
-func (a *Attempt) Header() http.Header { return a.answer.Header }
+func (a *Attempt) Header() http.Header { return a.response.Header }
 
 // RequestedBackoff returns the backoff that the target asks for, 0 if there is none.
 func (a *Attempt) RequestedBackoff() time.Duration {
-	if a.answer == nil {
+	if a.response == nil {
 		return 0
 	}
 	return notice.RequestedBackoff(a.Status(), a.Header())
@@ -132,20 +132,20 @@
 // RateLimit returns the rate limit that the target announces in its response. It returns false if
 // there is no response.
 func (a *Attempt) RateLimit() (engine.RateLimit, bool) {
-	if a.answer == nil {
+	if a.response == nil {
 		return engine.RateLimit{}, false
 	}
 	return engine.ReadRateLimit(a.Header().Get(openai.RateLimitHeader)), true
 }
 
 // Length returns the Content-Length of the response, -1 if it is unknown.
-func (a *Attempt) Length() int64 { return a.answer.Length }
+func (a *Attempt) Length() int64 { return a.response.Length }
 
 // Close releases the connection of the attempt. If the response is not complete, it closes the
 // connection, which tells the target to stop.
 func (a *Attempt) Close() {
-	if a.answer != nil {
-		a.answer.Close(a.State() == charts.AttemptComplete)
+	if a.response != nil {
+		a.response.Close(a.State() == charts.AttemptComplete)
 	}
 }
 
@@ -158,7 +158,7 @@
 // ReadAll reads the complete body of at most limit bytes. If check returns an error, the response
 // counts as truncated.
 func (a *Attempt) ReadAll(limit int64, check func(body []byte) error) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(a.answer.Body, limit+1))
+	body, err := io.ReadAll(io.LimitReader(a.response.Body, limit+1))
 	if err == nil && int64(len(body)) > limit {
 		err = fault.Newf(fault.Exhausted, "ask for less", "answer is larger than %d bytes", limit)
 	}
@@ -176,7 +176,7 @@
 
 // Copy writes the complete body to w as it arrives.
 func (a *Attempt) Copy(w io.Writer) error {
-	if _, err := io.Copy(w, a.answer.Body); err != nil {
+	if _, err := io.Copy(w, a.response.Body); err != nil {
 		a.Interrupt(fault.Wrap(err, fault.Unknown, "answer was cut", "ask for the outcome before sending the request again"))
 		return a.err
 	}
@@ -187,7 +187,7 @@
 // Events calls f with the data of each event until the event that ends the stream. A stream that
 // ends without it counts as truncated. An error of f ends the attempt.
 func (a *Attempt) Events(f func(data string) error) error {
-	for ev, err := range sse.Read(a.answer.Body, &sse.ReadConfig{MaxEventSize: MaxEventBytes}) {
+	for ev, err := range sse.Read(a.response.Body, &sse.ReadConfig{MaxEventSize: MaxEventBytes}) {
 		if err != nil {
 			a.Interrupt(fault.Wrap(err, fault.Unknown, "stream was cut", "it is resumed if the request is idempotent"))
 			return a.err
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -20,7 +20,7 @@
 
 // admit checks a client's API key for a route and returns its workspace, nil if the route is
 // public and the key names none, or if no workspaces are configured. A key is accepted only if
-// the configuration was confirmed to be the newest one within MaxProofAge. Otherwise a process
+// the configuration was confirmed to be the newest one within MaxConfigStaleness. Otherwise a process
 // that is partitioned, was paused, or gets its configuration from such a process would go on
 // accepting revoked keys.
 func (s *Server) admit(v *fleet.View, route *fleet.Route, key string) (*fleet.Workspace, *reply) {
--- a/internal/gateway/backup.go
+++ b/internal/gateway/backup.go
@@ -19,14 +19,14 @@
 // one: elsewhere the copies cost more than they save, because they delay KV cache transfers.
 // The backup is in another failure domain, because the platform reclaims the spot instances of
 // a domain together. Backups are spread over all eligible engines by request ID.
-func (q *request) chooseBackup(runner *fleet.Instance) *fleet.Instance {
+func (q *request) chooseBackup(target *fleet.Instance) *fleet.Instance {
 	v := q.s.o.View()
-	if !runner.Spot || q.route.Kind != fleet.Streaming || q.route.Resumable || !v.Config.Services[q.service].Backups {
+	if !target.Spot || q.route.Kind != fleet.Streaming || q.route.Resumable || !v.Config.Services[q.service].Backups {
 		return nil
 	}
 	var candidates []*fleet.Instance
 	for _, i := range v.Permitted(q.route.Name, q.service) {
-		if i.Role == engine.RoleMixed && i.Domain != runner.Domain && !q.avoid[i.ID] && !q.s.notices.RefusesWork(i.RunID()) {
+		if i.Role == engine.RoleMixed && i.Domain != target.Domain && !q.avoid[i.ID] && !q.s.notices.RefusesWork(i.RunID()) {
 			candidates = append(candidates, i)
 		}
 	}
@@ -47,15 +47,15 @@
 		return lifecycle.Lost, cut
 	}
 	q.plan.Granted = true // checkBackup has counted the send against the backup's rate limit
-	a, verdict, err := q.exchange(q.ctx, backup, engine.Send{
+	resp, verdict, err := q.exchange(q.ctx, backup, engine.Send{
 		Instance: backup.ID, Left: time.Until(q.deadline), Rank: q.route.Rank, ResumeAfter: q.lastEventID,
 		Source: &engine.KVSource{Address: backup.Address, Handle: q.call.ID},
 	})
 	q.sends++
 	if err == nil {
-		if verdict.NotRun || !verdict.Genuine || !isStream(a) {
-			a.DiscardBody()
-			err = fault.Newf(fault.Unavailable, "the stream ends here", "backup %s did not continue the stream, status %d", backup.ID, a.Status)
+		if verdict.NotRun || !verdict.Genuine || !isStream(resp) {
+			resp.DiscardBody()
+			err = fault.Newf(fault.Unavailable, "the stream ends here", "backup %s did not continue the stream, status %d", backup.ID, resp.Status)
 		}
 	}
 	level.Info(q.s.o.Logger).Log("msg", "continuing run at its backup", "request", q.call.ID, "backup", backup.ID, "after", q.lastEventID, "cut", cut, "err", err)
@@ -64,7 +64,7 @@
 		return lifecycle.Lost, cut
 	}
 	q.s.count("backup_used")
-	res, err := q.relayEvents(a)
+	res, err := q.relayEvents(resp)
 	if res == lifecycle.Lost {
 		q.reportBrokenConnection(backup)
 	}
@@ -79,7 +79,7 @@
 	})
 	switch {
 	case !available:
-		return fault.New(fault.Unavailable, "backup is gone, has changed its role, or is no longer permitted by the rules", "the stream ends here")
+		return fault.New(fault.Unavailable, "backup has stopped accepting requests, has changed its role, or is no longer permitted by the rules", "the stream ends here")
 	case !q.s.limits.TryAcquire(backup.RunID()):
 		return fault.New(fault.Unavailable, "backup has reached its rate limit", "the stream ends here")
 	case !q.s.budget.takeRetry(q.service):
--- a/internal/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -17,7 +17,7 @@
 	// ID selects the service if the route is split between several.
 	ID string
 	// PromptTokens is the length of the prompt of a request to a model, and SharedTokens the
-	// length of its prefix that other requests share. Subject identifies the prefix.
+	// length of its prefix that other requests share. PromptPrefix identifies that prefix.
 	PromptTokens int
 	SharedTokens int
 	PromptPrefix string
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -158,7 +158,7 @@
 	if rep != nil {
 		return nil, rep
 	}
-	q := &request{s: s, w: w, http: r, call: &call, route: withWorkspaceRank(route, workspace), workspace: workspace, arrived: arrived, avoid: map[string]bool{}, life: lifecycle.New(call.ID, s.o.Logger)}
+	q := &request{s: s, w: w, http: r, call: &call, route: withWorkspaceRank(route, workspace), workspace: workspace, arrived: arrived, avoid: map[string]bool{}, lifecycle: lifecycle.New(call.ID, s.o.Logger)}
 	q.deadline = arrived.Add(requestTimeout(call.Wait, route.Timeout))
 	if rep := q.readBody(view.Config.Limits); rep != nil {
 		q.releaseBuffers()
--- a/internal/gateway/hold.go
+++ b/internal/gateway/hold.go
@@ -79,21 +79,21 @@
 // relayUnbuffered relays a response that is too large to buffer at the speed at which the client
 // reads it; start is the part that has been read already. From here on the request cannot be
 // retried, and a slow client slows down the instance.
-func (q *request) relayUnbuffered(a *upstream.Response, start []byte) (lifecycle.Outcome, error) {
+func (q *request) relayUnbuffered(resp *upstream.Response, start []byte) (lifecycle.Outcome, error) {
 	q.responseStarted = true
-	q.copyHeaders(a)
-	if a.Length >= 0 {
-		q.w.Header().Set("Content-Length", strconv.FormatInt(a.Length, 10))
+	q.copyHeaders(resp)
+	if resp.Length >= 0 {
+		q.w.Header().Set("Content-Length", strconv.FormatInt(resp.Length, 10))
 	}
-	q.w.WriteHeader(a.Status)
+	q.w.WriteHeader(resp.Status)
 	q.s.count("answers_passed_on")
 	if _, err := q.w.Write(start); err != nil {
-		a.Close(false)
+		resp.Close(false)
 		return q.clientWriteFailed(err)
 	}
 	to := &clientWriter{w: q.w}
-	_, err := io.CopyBuffer(to, struct{ io.Reader }{a.Body}, make([]byte, maxReadBytes))
-	a.Close(err == nil)
+	_, err := io.CopyBuffer(to, struct{ io.Reader }{resp.Body}, make([]byte, maxReadBytes))
+	resp.Close(err == nil)
 	switch {
 	case to.err != nil:
 		return q.clientWriteFailed(to.err)
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -39,13 +39,13 @@
 	q.s.time("duration", took)
 	kv := []any{
 		"msg", "request", "request", q.call.ID, "workspace", q.workspaceName(), "route", q.route.Name, "service", q.service, "config", q.configVersion, "outcome", outcome,
-		"sends", q.sends, "runs", q.runs, "events", q.events, "may_have_run", q.life.MayHaveRun(),
+		"sends", q.sends, "runs", q.runs, "events", q.events, "may_have_run", q.lifecycle.MayHaveRun(),
 		"read", q.prefillTime.Round(time.Millisecond), "took", took.Round(time.Millisecond),
 	}
 	if q.plan.Target != nil {
 		kv = append(kv, "runner", q.plan.Target.ID)
 	}
-	if q.life.MayHaveRun() && err != nil {
+	if q.lifecycle.MayHaveRun() && err != nil {
 		kv = append(kv, "fingerprint", q.fingerprint())
 	}
 	if err == nil {
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -15,13 +15,13 @@
 // instance: its shutdown, a requested backoff, its rate limit.
 func (q *request) exchange(ctx context.Context, i *fleet.Instance, s engine.Send) (*upstream.Response, engine.Verdict, error) {
 	q.notSent = false
-	a, err := q.s.o.Client.Do(ctx, q.upstreamRequest(i, s))
+	resp, err := q.s.o.Client.Do(ctx, q.upstreamRequest(i, s))
 	if err != nil {
 		return nil, engine.Verdict{}, err
 	}
-	v := q.s.o.Protocol.Judge(a.Status, a.Header)
+	v := q.s.o.Protocol.Judge(resp.Status, resp.Header)
 	if v.Replaced {
-		return a, v, nil // the headers describe the instance that took over the address
+		return resp, v, nil // the headers describe the instance that took over the address
 	}
 	if v.Leaving {
 		q.s.notices.RecordShutdown(i.RunID(), q.call.ID)
@@ -30,7 +30,7 @@
 		q.s.notices.RecordBackoff(i.RunID(), q.call.ID, v.Rest)
 	}
 	q.s.limits.RecordResponse(i.RunID(), q.call.ID, v.RateLimit, q.sentAt)
-	return a, v, nil
+	return resp, v, nil
 }
 
 // excludedInstances returns the IDs of the instances that must not get the request: those that
--- a/internal/gateway/read.go
+++ b/internal/gateway/read.go
@@ -27,7 +27,7 @@
 	start := time.Now()
 	ctx, cancel := context.WithDeadline(q.ctx, q.firstEventDeadline())
 	defer cancel()
-	a, verdict, err := q.exchange(ctx, plan.PrefillEngine, engine.Send{
+	resp, verdict, err := q.exchange(ctx, plan.PrefillEngine, engine.Send{
 		Instance: plan.PrefillEngine.ID, Left: time.Until(q.firstEventDeadline()), Rank: plan.Rank, ReadOnly: true, FetchFrom: addressOf(plan.FetchFrom),
 	})
 	if err != nil {
@@ -37,16 +37,16 @@
 		return q.prefillFailed(plan, ticket, q.failureOutcome(err), err)
 	}
 	if verdict.Replaced {
-		a.DiscardBody()
+		resp.DiscardBody()
 		return q.prefillFailed(plan, ticket, placement.Replaced, fault.Newf(fault.Unavailable, "another engine is tried", "the address of engine %s now belongs to another instance", plan.PrefillEngine.ID))
 	}
-	body, err := readAll(a, maxPrefillResult)
+	body, err := readAll(resp, maxPrefillResult)
 	if err != nil {
 		q.reportBrokenConnection(plan.PrefillEngine)
 		return q.prefillFailed(plan, ticket, q.failureOutcome(err), err)
 	}
-	if a.Status != http.StatusOK {
-		return q.prefillFailed(plan, ticket, placement.Failed, fault.Newf(fault.Unavailable, "another engine is tried", "engine %s answered %d to a prefill request", plan.PrefillEngine.ID, a.Status))
+	if resp.Status != http.StatusOK {
+		return q.prefillFailed(plan, ticket, placement.Failed, fault.Newf(fault.Unavailable, "another engine is tried", "engine %s answered %d to a prefill request", plan.PrefillEngine.ID, resp.Status))
 	}
 	handle, err := q.s.o.Protocol.ReadResult(body)
 	if err != nil {
@@ -90,11 +90,11 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
-		a, err := q.s.o.Client.Do(ctx, upstream.Request{Address: holder.Address, Method: method, URI: uri, Host: holder.Address, Header: http.Header{}})
+		resp, err := q.s.o.Client.Do(ctx, upstream.Request{Address: holder.Address, Method: method, URI: uri, Host: holder.Address, Header: http.Header{}})
 		if err != nil {
 			level.Info(q.s.o.Logger).Log("msg", "KV cache handle not released", "request", q.call.ID, "engine", holder.ID, "err", err)
 			return
 		}
-		a.DiscardBody()
+		resp.DiscardBody()
 	}()
 }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -50,12 +50,12 @@
 }
 
 // readAll reads a complete body of at most limit bytes and closes the response.
-func readAll(a *upstream.Response, limit int64) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(a.Body, limit+1))
+func readAll(resp *upstream.Response, limit int64) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err == nil && int64(len(body)) > limit {
 		err = fault.Newf(fault.Exhausted, "ask for less", "answer is larger than %d bytes", limit)
 	}
-	a.Close(err == nil)
+	resp.Close(err == nil)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Unknown, "answer was cut", "another instance is tried if the request may be repeated")
 	}
@@ -63,27 +63,27 @@
 }
 
 // relay sends the response of an instance to the client.
-func (q *request) relay(a *upstream.Response) (lifecycle.Outcome, error) {
+func (q *request) relay(resp *upstream.Response) (lifecycle.Outcome, error) {
 	_ = http.NewResponseController(q.w).SetWriteDeadline(q.deadline.Add(writeGrace)) // if it is not supported, a slow client is not cut off
-	if isStream(a) {
-		return q.relayEvents(a)
+	if isStream(resp) {
+		return q.relayEvents(resp)
 	}
 	if q.responseStarted {
-		a.Close(false)
+		resp.Close(false)
 		return lifecycle.Lost, fault.New(fault.Unknown, "resumed stream was answered with a response that is no stream", "check the instance")
 	}
-	body, err := q.readBuffered(a.Body, maxBufferedResponse)
+	body, err := q.readBuffered(resp.Body, maxBufferedResponse)
 	switch {
 	case errors.Is(err, errMemoryFull):
-		return q.relayUnbuffered(a, body)
+		return q.relayUnbuffered(resp, body)
 	case !errors.Is(err, io.EOF):
-		a.Close(false)
+		resp.Close(false)
 		return lifecycle.Lost, fault.Wrap(err, fault.Unknown, "answer was cut", "another instance is tried if the request may be repeated")
 	}
-	a.Close(true)
-	q.copyHeaders(a)
+	resp.Close(true)
+	q.copyHeaders(resp)
 	q.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	q.w.WriteHeader(a.Status)
+	q.w.WriteHeader(resp.Status)
 	if _, err := q.w.Write(body); err != nil {
 		return q.clientWriteFailed(err)
 	}
@@ -97,9 +97,9 @@
 }
 
 // copyHeaders copies the end-to-end headers of a response to the client's response.
-func (q *request) copyHeaders(a *upstream.Response) {
+func (q *request) copyHeaders(resp *upstream.Response) {
 	h := q.w.Header()
-	for name, values := range endToEnd(a.Header) {
+	for name, values := range endToEnd(resp.Header) {
 		h[name] = values
 	}
 	if _, ok := h["Content-Type"]; !ok {
@@ -109,34 +109,34 @@
 
 // relayEvents relays each complete event of a stream as it arrives. The headers are sent
 // with the first event, so that until then the request can be retried at another instance.
-func (q *request) relayEvents(a *upstream.Response) (lifecycle.Outcome, error) {
-	in := bufio.NewReader(a.Body)
+func (q *request) relayEvents(resp *upstream.Response) (lifecycle.Outcome, error) {
+	in := bufio.NewReader(resp.Body)
 	for {
 		event, err := readEvent(in)
 		if err != nil && (!errors.Is(err, io.EOF) || len(event) > 0) {
-			a.Close(false)
+			resp.Close(false)
 			return lifecycle.Lost, fault.Wrap(err, fault.Unknown, "stream was cut", "it is resumed if its route allows it")
 		}
 		if err != nil {
-			a.Close(true)
+			resp.Close(true)
 			if !q.responseStarted { // a stream without events
-				q.startResponse(a)
+				q.startResponse(resp)
 			}
 			return lifecycle.Delivered, nil
 		}
-		if res, err := q.relayEvent(a, event); err != nil {
-			a.Close(false)
+		if res, err := q.relayEvent(resp, event); err != nil {
+			resp.Close(false)
 			return res, err
 		}
 	}
 }
 
 // isStream reports whether a response is an event stream.
-func isStream(a *upstream.Response) bool {
-	return strings.HasPrefix(a.Header.Get("Content-Type"), eventStream)
+func isStream(resp *upstream.Response) bool {
+	return strings.HasPrefix(resp.Header.Get("Content-Type"), eventStream)
 }
 
-// countRun calls Options.Began, once for each request.
+// countRun calls Options.OnRunStart, once for each request.
 func (q *request) countRun() {
 	if q.runCounted || q.workspace == nil || q.s.o.OnRunStart == nil {
 		return
@@ -145,23 +145,23 @@
 	q.s.o.OnRunStart(q.workspace.Name)
 }
 
-func (q *request) startResponse(a *upstream.Response) {
+func (q *request) startResponse(resp *upstream.Response) {
 	q.responseStarted = true
 	q.countRun()
-	q.copyHeaders(a)
-	q.w.WriteHeader(a.Status)
+	q.copyHeaders(resp)
+	q.w.WriteHeader(resp.Status)
 	q.ticket.FirstEvent()
 	q.s.time("first_event", time.Since(q.arrived))
 }
 
-func (q *request) relayEvent(a *upstream.Response, event []byte) (lifecycle.Outcome, error) {
+func (q *request) relayEvent(resp *upstream.Response, event []byte) (lifecycle.Outcome, error) {
 	q.ticket.Event()
 	id := eventID(event)
 	if id != "" && q.lastEventID != "" && !isLaterEvent(id, q.lastEventID) {
 		return lifecycle.Delivered, nil // the client has received it already
 	}
 	if !q.responseStarted {
-		q.startResponse(a)
+		q.startResponse(resp)
 	}
 	if _, err := q.w.Write(event); err != nil {
 		return q.clientWriteFailed(err)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -34,7 +34,7 @@
 	defaultRetry = 500 * time.Millisecond
 	// maxPrefillResult bounds the response of a prefill engine in bytes.
 	maxPrefillResult = 64 << 10
-	// maxKVOffers is how many decode engines may reject a request with the same prefilled KV
+	// maxKVOffers is how many targets may reject a request with the same prefilled KV
 	// cache. After that the KV cache is presumed to be the reason and is released.
 	maxKVOffers = 2
 	// releaseTimeout bounds the call that releases an unused KV cache.
@@ -59,8 +59,8 @@
 	deadline      time.Time
 
 	service string
-	// sends counts the sends to instances that are to run the request (not to prefill
-	// engines); runs counts those after which it may have started to run.
+	// sends counts the sends to targets, not those to prefill engines; runs counts the sends
+	// after which the target may have started to run the request.
 	sends, runs int
 	avoid       map[string]bool
 	// responseStarted is true once a part of the response has been sent to the client.
@@ -70,15 +70,15 @@
 	events      int
 	// backup is the engine that receives copies of the run's KV cache, nil for none.
 	backup *fleet.Instance
-	// life tracks whether any instance may have started to run the request.
-	life *lifecycle.Request
-	// runCounted is true once Options.Began has been called for the request.
+	// lifecycle tracks whether any instance may have started to run the request.
+	lifecycle *lifecycle.Request
+	// runCounted is true once Options.OnRunStart has been called for the request.
 	runCounted bool
 	// retryCharged is true if the next send does not need to be charged to the retry budget:
 	// it has been charged already, or the last one did not reach the instance.
 	retryCharged bool
 	// kvSource is a prefilled KV cache that no engine has consumed yet, kvHolder the prefill
-	// engine that keeps it, and kvOffers how often it was offered to a decode engine.
+	// engine that keeps it, and kvOffers how often it was offered to a target.
 	kvSource *engine.KVSource
 	kvHolder *fleet.Instance
 	kvOffers int
@@ -106,8 +106,8 @@
 // serve makes attempts until the request has been answered.
 func (q *request) serve() {
 	defer q.releaseKV()
-	q.life.Fire(charts.Admitted)
-	rep := lifecycle.Serve(q.life, q)
+	q.lifecycle.Fire(charts.Admitted)
+	rep := lifecycle.Serve(q.lifecycle, q)
 	if rep == nil {
 		q.logOutcome("ok", nil)
 		return
@@ -221,9 +221,9 @@
 	case q.ctx.Err() != nil:
 		return q.expiredReply()
 	case err == nil:
-		return q.unplacedReply() // the prompt was prefilled, but no decode engine is available
+		return q.unplacedReply() // the prompt was prefilled, but no target is available
 	case q.runs == 0 && time.Until(q.firstEventDeadline()) <= 0:
-		return nil // the next call of Choose rejects it
+		return nil // the next call of ChooseTarget rejects it
 	case q.sends >= maxSends:
 		return replyFromState("attempts-used", err, defaultRetry)
 	case !q.retryCharged && !q.s.budget.takeRetry(q.service):
@@ -244,8 +244,8 @@
 	return replyFromState(codeDeadline, fault.New(fault.Exhausted, "time is up", "allow more time"), 0)
 }
 
-// send carries out the plan: a separate prefill if the plan has one, then the run. If no
-// decode engine is available after the prefill, it returns NotRun without an error.
+// send carries out the plan: a prefill on a separate engine if the plan has one, then the run
+// at the target. If no target is available after the prefill, it returns NotRun without an error.
 func (q *request) send() (lifecycle.Outcome, error) {
 	plan := &q.plan
 	if plan.PrefillEngine != nil {
@@ -261,7 +261,7 @@
 		q.logDecision(view)
 	}
 	q.backup = q.chooseBackup(plan.Target)
-	a, verdict, err := q.exchange(q.ctx, plan.Target, engine.Send{
+	resp, verdict, err := q.exchange(q.ctx, plan.Target, engine.Send{
 		Instance: plan.Target.ID, Left: time.Until(q.deadline), Rank: q.route.Rank, Source: q.kvSource, ResumeAfter: q.resumeAfter(),
 		Backup: addressOf(q.backup),
 	})
@@ -278,14 +278,14 @@
 		q.reportBrokenConnection(plan.Target)
 		return lifecycle.Lost, err
 	}
-	return q.receive(a, verdict, plan)
+	return q.receive(resp, verdict, plan)
 }
 
 // receive evaluates the headers of a response, and relays the response to the client or
 // reports that the attempt has to be repeated.
-func (q *request) receive(a *upstream.Response, verdict engine.Verdict, plan *placement.Plan) (lifecycle.Outcome, error) {
+func (q *request) receive(resp *upstream.Response, verdict engine.Verdict, plan *placement.Plan) (lifecycle.Outcome, error) {
 	if verdict.NotRun {
-		a.DiscardBody()
+		resp.DiscardBody()
 		outcome := placement.Failed
 		if verdict.Replaced {
 			outcome = placement.Replaced
@@ -295,26 +295,26 @@
 		if q.kvOffers >= maxKVOffers {
 			q.releaseKV() // the KV cache may be the reason for the rejections
 		}
-		return lifecycle.NotRun, fault.Newf(fault.Unavailable, "another instance is tried", "instance %s rejected the request with status %d", plan.Target.ID, a.Status)
+		return lifecycle.NotRun, fault.Newf(fault.Unavailable, "another instance is tried", "instance %s rejected the request with status %d", plan.Target.ID, resp.Status)
 	}
 	q.runs++
 	q.kvSource = nil // the instance has consumed it
-	if !isStream(a) {
+	if !isStream(resp) {
 		q.countRun() // the run of a stream is counted at its first event
 	}
-	if !verdict.Genuine && a.Status < http.StatusMultipleChoices {
-		a.Close(false)
+	if !verdict.Genuine && resp.Status < http.StatusMultipleChoices {
+		resp.Close(false)
 		q.ticket.RunEnded(placement.Failed)
 		q.avoid[plan.Target.ID] = true
 		return lifecycle.Lost, fault.Newf(fault.Unknown, "check the instance", "instance %s sent a response without its seal", plan.Target.ID)
 	}
-	if a.Status >= http.StatusInternalServerError && q.takeRetry() {
-		a.DiscardBody()
+	if resp.Status >= http.StatusInternalServerError && q.takeRetry() {
+		resp.DiscardBody()
 		q.ticket.RunEnded(placement.Failed)
 		q.avoid[plan.Target.ID] = true
-		return lifecycle.Lost, fault.Newf(fault.Unknown, "another instance is tried", "instance %s responded with status %d", plan.Target.ID, a.Status)
+		return lifecycle.Lost, fault.Newf(fault.Unknown, "another instance is tried", "instance %s responded with status %d", plan.Target.ID, resp.Status)
 	}
-	res, err := q.relay(a)
+	res, err := q.relay(resp)
 	q.ticket.RunEnded(q.responseOutcome(res))
 	if res != lifecycle.Lost {
 		q.reportSuccess()
@@ -417,6 +417,6 @@
 	if q.responseStarted || rep.silent {
 		panic(http.ErrAbortHandler)
 	}
-	rep.status = rep.statusFor(q.life)
+	rep.status = rep.statusFor(q.lifecycle)
 	rep.write(q.w)
 }
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -11,19 +11,19 @@
 	"github.com/rockdoor/rockdoor/internal/charts"
 )
 
-// script implements Steps with attempts that have the given outcomes.
-type script struct {
+// scriptedSteps implements Steps with attempts that have the given outcomes.
+type scriptedSteps struct {
 	outcomes   []Outcome
 	repeatable bool
-	// stopAt is the number of attempts after which Again ends the request.
-	stopAt int
-	// rebaseFails and chooseFails are the indexes of the attempts before which Rebase and
-	// Choose end the request.
-	rebaseFails, chooseFails int
-
-	attempts int
-	begun    bool
-	whole    bool
+	// maxAttempts is the number of attempts after which PrepareRetry ends the request.
+	maxAttempts int
+	// refreshFailsAt and chooseFailsAt are the indexes of the attempts before which
+	// RefreshConfig and ChooseTarget end the request.
+	refreshFailsAt, chooseFailsAt int
+
+	attempts   int
+	mayHaveRun bool
+	delivered  bool
 }
 
 const unlimited = 1 << 20
@@ -32,38 +32,38 @@
 
 func reply(text string) *string { return &text }
 
-func (s *script) RefreshConfig() *string {
-	if s.attempts == s.rebaseFails {
+func (s *scriptedSteps) RefreshConfig() *string {
+	if s.attempts == s.refreshFailsAt {
 		return reply("no configuration")
 	}
 	return nil
 }
 
-func (s *script) ChooseTarget() *string {
-	if s.attempts == s.chooseFails {
+func (s *scriptedSteps) ChooseTarget() *string {
+	if s.attempts == s.chooseFailsAt {
 		return reply("no target")
 	}
 	return nil
 }
 
-func (s *script) Attempt() (Outcome, error) {
+func (s *scriptedSteps) Attempt() (Outcome, error) {
 	o := s.outcomes[s.attempts%len(s.outcomes)]
 	s.attempts++
-	s.begun = s.begun || o != NotRun
-	s.whole = o == Delivered
+	s.mayHaveRun = s.mayHaveRun || o != NotRun
+	s.delivered = o == Delivered
 	return o, errAttempt
 }
 
-func (s *script) CanRetryAfterRun() bool { return s.repeatable }
+func (s *scriptedSteps) CanRetryAfterRun() bool { return s.repeatable }
 
-func (s *script) PrepareRetry(error) *string {
-	if s.attempts >= s.stopAt {
+func (s *scriptedSteps) PrepareRetry(error) *string {
+	if s.attempts >= s.maxAttempts {
 		return reply("enough")
 	}
 	return nil
 }
 
-func (s *script) FinalReply(o Outcome, _ error) *string {
+func (s *scriptedSteps) FinalReply(o Outcome, _ error) *string {
 	if o == Delivered {
 		return nil
 	}
@@ -72,32 +72,32 @@
 
 func TestServe(t *testing.T) {
 	for name, c := range map[string]struct {
-		s        script
+		s        scriptedSteps
 		reply    string
 		state    string
 		attempts int
 	}{
-		"answered at once":                {script{outcomes: []Outcome{Delivered}}, "", "complete", 1},
-		"refused, then answered":          {script{outcomes: []Outcome{NotRun, Delivered}}, "", "complete", 2},
-		"refused until enough":            {script{outcomes: []Outcome{NotRun}, stopAt: 3}, "enough", "not_run", 3},
-		"lost and not repeatable":         {script{outcomes: []Outcome{Lost, Delivered}}, "ended", "unknown", 1},
-		"lost and repeated":               {script{outcomes: []Outcome{Lost, Delivered}, repeatable: true}, "", "complete", 2},
-		"lost, repeated, then refused":    {script{outcomes: []Outcome{Lost, NotRun}, repeatable: true, stopAt: 2}, "enough", "unknown", 2},
-		"failed":                          {script{outcomes: []Outcome{Failed}}, "ended", "failed", 1},
-		"no target at first":              {script{outcomes: []Outcome{Delivered}, chooseFails: 0}, "no target", "not_run", 0},
-		"no target after a lost attempt":  {script{outcomes: []Outcome{Lost}, repeatable: true, chooseFails: 1}, "no target", "unknown", 1},
-		"route gone after a lost attempt": {script{outcomes: []Outcome{Lost}, repeatable: true, rebaseFails: 1}, "no configuration", "unknown", 1},
+		"answered at once":                {scriptedSteps{outcomes: []Outcome{Delivered}}, "", "complete", 1},
+		"refused, then answered":          {scriptedSteps{outcomes: []Outcome{NotRun, Delivered}}, "", "complete", 2},
+		"refused until enough":            {scriptedSteps{outcomes: []Outcome{NotRun}, maxAttempts: 3}, "enough", "not_run", 3},
+		"lost and not repeatable":         {scriptedSteps{outcomes: []Outcome{Lost, Delivered}}, "ended", "unknown", 1},
+		"lost and repeated":               {scriptedSteps{outcomes: []Outcome{Lost, Delivered}, repeatable: true}, "", "complete", 2},
+		"lost, repeated, then refused":    {scriptedSteps{outcomes: []Outcome{Lost, NotRun}, repeatable: true, maxAttempts: 2}, "enough", "unknown", 2},
+		"failed":                          {scriptedSteps{outcomes: []Outcome{Failed}}, "ended", "failed", 1},
+		"no target at first":              {scriptedSteps{outcomes: []Outcome{Delivered}, chooseFailsAt: 0}, "no target", "not_run", 0},
+		"no target after a lost attempt":  {scriptedSteps{outcomes: []Outcome{Lost}, repeatable: true, chooseFailsAt: 1}, "no target", "unknown", 1},
+		"route gone after a lost attempt": {scriptedSteps{outcomes: []Outcome{Lost}, repeatable: true, refreshFailsAt: 1}, "no configuration", "unknown", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := c.s
-			if s.stopAt == 0 {
-				s.stopAt = unlimited
+			if s.maxAttempts == 0 {
+				s.maxAttempts = unlimited
 			}
 			if c.reply != "no target" {
-				s.chooseFails = unlimited
+				s.chooseFailsAt = unlimited
 			}
 			if c.reply != "no configuration" {
-				s.rebaseFails = unlimited
+				s.refreshFailsAt = unlimited
 			}
 			l := New("id", log.NewNopLogger())
 			l.Fire(charts.Admitted)
@@ -118,17 +118,17 @@
 // response was delivered.
 func TestServeNeverLies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := script{
+		s := scriptedSteps{
 			outcomes:   rapid.SliceOfN(rapid.SampledFrom([]Outcome{Delivered, NotRun, Lost, Failed}), 1, 6).Draw(t, "outcomes"),
-			repeatable: rapid.Bool().Draw(t, "repeatable"), stopAt: rapid.IntRange(1, 6).Draw(t, "stop"),
-			rebaseFails: rapid.IntRange(0, 9).Draw(t, "rebase"), chooseFails: rapid.IntRange(0, 9).Draw(t, "choose"),
+			repeatable: rapid.Bool().Draw(t, "repeatable"), maxAttempts: rapid.IntRange(1, 6).Draw(t, "stop"),
+			refreshFailsAt: rapid.IntRange(0, 9).Draw(t, "rebase"), chooseFailsAt: rapid.IntRange(0, 9).Draw(t, "choose"),
 		}
 		l := New("id", log.NewNopLogger())
 		l.Fire(charts.Admitted)
 		rep := Serve(l, &s)
-		require.Equal(t, s.begun, l.MayHaveRun())
-		require.Equal(t, !s.begun, l.State() == charts.RequestNotRun)
-		require.Equal(t, rep == nil, s.whole)
+		require.Equal(t, s.mayHaveRun, l.MayHaveRun())
+		require.Equal(t, !s.mayHaveRun, l.State() == charts.RequestNotRun)
+		require.Equal(t, rep == nil, s.delivered)
 	})
 }
 
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -37,9 +37,9 @@
 // Unwrap returns the fault.Error.
 func (r *RejectionError) Unwrap() error { return r.Err }
 
-// NewRefusal returns a rejection. Its RetryAfter is wait plus a random jitter of up to the
+// NewRejectionError returns a rejection. Its RetryAfter is wait plus a random jitter of up to the
 // same length, so that rejected clients do not all retry at once.
-func NewRefusal(err *fault.Error, wait time.Duration) *RejectionError {
+func NewRejectionError(err *fault.Error, wait time.Duration) *RejectionError {
 	return &RejectionError{Err: err, RetryAfter: wait + rand.N(wait+1)}
 }
 
@@ -62,7 +62,7 @@
 	limiter  *rate.Limiter
 }
 
-// NewAdmissionController returns a Gate that admits up to maxInFlight requests at a time. The share
+// NewAdmissionController returns a controller that admits up to maxInFlight requests at a time. The share
 // urgentReserve of them is reserved for urgent requests.
 func NewAdmissionController(maxInFlight int, urgentReserve float64) *AdmissionController {
 	cache, err := lru.New[string, *workspaceState](maxWorkspaces)
@@ -73,47 +73,47 @@
 }
 
 // InFlight returns the number of admitted requests that have not been released.
-func (g *AdmissionController) InFlight() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.inFlight
+func (c *AdmissionController) InFlight() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.inFlight
 }
 
-// Admit admits a request or returns a *Refusal. The limits of a workspace apply to the whole
+// Admit admits a request or returns a *RejectionError. The limits of a workspace apply to the whole
 // deployment: each of the serving processes enforces its share of them. The caller must call
 // release exactly once for an admitted request.
-func (g *AdmissionController) Admit(w *config.Workspace, p config.Priority, serving int) (release func(), err error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.inFlight >= g.limitFor(p) {
-		return nil, NewRefusal(fault.New(fault.Exhausted, "entry host has reached its limit of requests in flight", "ask again after the time in Retry-After"), g.completions.expectedWait(1))
+func (c *AdmissionController) Admit(w *config.Workspace, p config.Priority, serving int) (release func(), err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.inFlight >= c.limitFor(p) {
+		return nil, NewRejectionError(fault.New(fault.Exhausted, "entry host has reached its limit of requests in flight", "ask again after the time in Retry-After"), c.completions.expectedWait(1))
 	}
-	ws := g.stateOf(w, serving)
+	ws := c.stateOf(w, serving)
 	if limit := processShare(w.Concurrency, serving); limit > 0 && ws.inFlight >= limit {
-		return nil, NewRefusal(fault.New(fault.Exhausted, "workspace "+w.Name+" has reached its limit of concurrent requests", "wait for earlier requests, or raise workspaces.concurrency"), g.completions.expectedWait(1))
+		return nil, NewRejectionError(fault.New(fault.Exhausted, "workspace "+w.Name+" has reached its limit of concurrent requests", "wait for earlier requests, or raise workspaces.concurrency"), c.completions.expectedWait(1))
 	}
 	if r := ws.limiter.Reserve(); r.Delay() > 0 {
 		wait := r.Delay()
 		r.Cancel()
-		return nil, NewRefusal(fault.New(fault.Exhausted, "workspace "+w.Name+" has exceeded its request rate limit", "slow down, or raise workspaces.requestsPerSecond"), wait)
+		return nil, NewRejectionError(fault.New(fault.Exhausted, "workspace "+w.Name+" has exceeded its request rate limit", "slow down, or raise workspaces.requestsPerSecond"), wait)
 	}
-	g.inFlight++
+	c.inFlight++
 	if ws.inFlight++; ws.inFlight == 1 {
 		ws.weight = weightOf(w)
-		g.weights += ws.weight
+		c.weights += ws.weight
 	}
 	start := time.Now()
-	return func() { g.release(ws, time.Since(start)) }, nil
+	return func() { c.release(ws, time.Since(start)) }, nil
 }
 
-func (g *AdmissionController) release(ws *workspaceState, took time.Duration) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.inFlight--
+func (c *AdmissionController) release(ws *workspaceState, took time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.inFlight--
 	if ws.inFlight--; ws.inFlight == 0 {
-		g.weights -= ws.weight
+		c.weights -= ws.weight
 	}
-	g.completions.add(took, g.inFlight+1)
+	c.completions.add(took, c.inFlight+1)
 }
 
 const (
@@ -124,21 +124,21 @@
 	guaranteedRequests = 4
 )
 
-// OverShare returns a *Refusal if a workspace has more than its weighted share of the requests
+// OverShare returns a *RejectionError if a workspace has more than its weighted share of the requests
 // in flight, nil otherwise. It is called only while targets are scarce, so that a workspace that
 // floods them cannot starve the others. The shares are computed as if one more workspace of
 // weight 1 were active, which leaves room for the next one to arrive.
-func (g *AdmissionController) OverShare(w *config.Workspace) error {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	ws, ok := g.workspaces.Peek(w.Name)
+func (c *AdmissionController) OverShare(w *config.Workspace) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	ws, ok := c.workspaces.Peek(w.Name)
 	if !ok || ws.inFlight <= guaranteedRequests {
 		return nil
 	}
-	if fair := float64(g.inFlight) * ws.weight / (g.weights + 1); float64(ws.inFlight) <= fair*shareTolerance {
+	if fair := float64(c.inFlight) * ws.weight / (c.weights + 1); float64(ws.inFlight) <= fair*shareTolerance {
 		return nil
 	}
-	return NewRefusal(fault.New(fault.Exhausted, "workspace "+w.Name+" is over its fair share while targets are scarce", "wait for earlier requests, or raise workspaces.weight"), g.completions.expectedWait(1))
+	return NewRejectionError(fault.New(fault.Exhausted, "workspace "+w.Name+" is over its fair share while targets are scarce", "wait for earlier requests, or raise workspaces.weight"), c.completions.expectedWait(1))
 }
 
 func weightOf(w *config.Workspace) float64 {
@@ -148,18 +148,18 @@
 	return 1
 }
 
-func (g *AdmissionController) limitFor(p config.Priority) int {
+func (c *AdmissionController) limitFor(p config.Priority) int {
 	switch p {
 	case config.Urgent:
-		return g.maxInFlight
+		return c.maxInFlight
 	case config.Batch:
-		return int(float64(g.maxInFlight) * batchShare)
+		return int(float64(c.maxInFlight) * batchShare)
 	}
-	return int(float64(g.maxInFlight) * (1 - g.urgentReserve))
+	return int(float64(c.maxInFlight) * (1 - c.urgentReserve))
 }
 
 // stateOf returns the state of w, with its rate limiter adjusted to the current configuration.
-func (g *AdmissionController) stateOf(w *config.Workspace, serving int) *workspaceState {
+func (c *AdmissionController) stateOf(w *config.Workspace, serving int) *workspaceState {
 	limit := rate.Inf
 	if w.RequestsPerSecond > 0 {
 		limit = rate.Limit(w.RequestsPerSecond / float64(max(serving, 1)))
@@ -168,10 +168,10 @@
 	if limit != rate.Inf {
 		burst = max(minBurst, int(math.Ceil(float64(limit))))
 	}
-	ws, ok := g.workspaces.Get(w.Name)
+	ws, ok := c.workspaces.Get(w.Name)
 	if !ok {
 		ws = &workspaceState{limiter: rate.NewLimiter(limit, burst)}
-		g.workspaces.Add(w.Name, ws)
+		c.workspaces.Add(w.Name, ws)
 		return ws
 	}
 	if ws.limiter.Limit() != limit {
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -33,59 +33,59 @@
 	backoffUntil bootclock.Instant
 }
 
-// NewTable returns an empty Board that logs new announcements.
+// NewTable returns an empty Table that logs new announcements.
 func NewTable(logger log.Logger) *Table {
 	return &Table{logger: logger, instances: map[string]*instanceState{}}
 }
 
 // RecordShutdown records that a run of an instance announced its shutdown. This is final for the run.
-func (b *Table) RecordShutdown(instance, request string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.state(instance)
+func (t *Table) RecordShutdown(instance, request string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.state(instance)
 	if s.shuttingDown {
 		return
 	}
 	s.shuttingDown, s.updatedAt = true, bootclock.Now()
-	level.Info(b.logger).Log("msg", "instance announced its shutdown", "instance", instance, "request", request)
+	level.Info(t.logger).Log("msg", "instance announced its shutdown", "instance", instance, "request", request)
 }
 
 // RecordBackoff records that a run of an instance asked for a backoff of d. A shorter backoff than the
 // current one has no effect.
-func (b *Table) RecordBackoff(instance, request string, d time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.state(instance)
+func (t *Table) RecordBackoff(instance, request string, d time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.state(instance)
 	until := bootclock.Now().Add(d)
 	if until <= s.backoffUntil {
 		return
 	}
 	s.backoffUntil, s.updatedAt = until, bootclock.Now()
-	level.Info(b.logger).Log("msg", "instance asked for a backoff", "instance", instance, "request", request, "for", d)
+	level.Info(t.logger).Log("msg", "instance asked for a backoff", "instance", instance, "request", request, "for", d)
 }
 
-func (b *Table) state(instance string) *instanceState {
-	s := b.instances[instance]
+func (t *Table) state(instance string) *instanceState {
+	s := t.instances[instance]
 	if s == nil {
 		s = &instanceState{}
-		b.instances[instance] = s
+		t.instances[instance] = s
 	}
 	return s
 }
 
 // ShuttingDown reports whether a run of an instance has announced its shutdown.
-func (b *Table) ShuttingDown(instance string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.instances[instance]
+func (t *Table) ShuttingDown(instance string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.instances[instance]
 	return s != nil && s.shuttingDown
 }
 
 // Backoff returns the remaining backoff of a run of an instance.
-func (b *Table) Backoff(instance string) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.instances[instance]
+func (t *Table) Backoff(instance string) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.instances[instance]
 	if s == nil {
 		return 0
 	}
@@ -94,10 +94,10 @@
 
 // ShortestBackoff returns the shortest remaining backoff of the given runs, 0 if none of them has asked
 // for one.
-func (b *Table) ShortestBackoff(instances []string) time.Duration {
+func (t *Table) ShortestBackoff(instances []string) time.Duration {
 	shortest := time.Duration(0)
 	for _, instance := range instances {
-		if backoff := b.Backoff(instance); backoff > 0 && (shortest == 0 || backoff < shortest) {
+		if backoff := t.Backoff(instance); backoff > 0 && (shortest == 0 || backoff < shortest) {
 			shortest = backoff
 		}
 	}
@@ -105,11 +105,11 @@
 }
 
 // InstancesRefusingWork returns the instance runs that must not be sent requests now.
-func (b *Table) InstancesRefusingWork() []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *Table) InstancesRefusingWork() []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var out []string
-	for instance, s := range b.instances {
+	for instance, s := range t.instances {
 		if s.refusesWork() {
 			out = append(out, instance)
 		}
@@ -119,10 +119,10 @@
 
 // RefusesWork reports whether a run of an instance must not be sent requests now, because it is
 // shutting down or has asked for a backoff.
-func (b *Table) RefusesWork(instance string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.instances[instance]
+func (t *Table) RefusesWork(instance string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.instances[instance]
 	return s != nil && s.refusesWork()
 }
 
@@ -131,12 +131,12 @@
 // Retain deletes the runs for which keep returns false, whose announcements are older than the
 // retention, and whose backoff has ended. It does not delete them at once, because registrations
 // expire while the store is unavailable and may come back.
-func (b *Table) Retain(keep func(instance string) bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for instance, s := range b.instances {
+func (t *Table) Retain(keep func(instance string) bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for instance, s := range t.instances {
 		if !keep(instance) && bootclock.Since(s.updatedAt) > retention && s.backoffUntil < bootclock.Now() {
-			delete(b.instances, instance)
+			delete(t.instances, instance)
 		}
 	}
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -34,7 +34,7 @@
 	// maxStrayBytes the body of each.
 	maxStrayResponses = 4
 	maxStrayBytes     = 1 << 20
-	// maxDiscardBytes bounds the body that CloseUnread reads in order to reuse the connection.
+	// maxDiscardBytes bounds the body that DiscardBody reads in order to reuse the connection.
 	maxDiscardBytes = 64 << 10
 	// strayTimeout bounds the wait for the right response after a response to another
 	// request: an instance that has confused the two will not send another.
@@ -143,23 +143,23 @@
 		c.drop(r.Address, cn)
 		return nil, err
 	}
-	a := &Response{client: c, address: r.Address, maxIdle: cmp.Or(r.MaxIdle, defaultMaxIdle), conn: cn, writeDone: make(chan struct{})}
-	a.stop = context.AfterFunc(ctx, func() { _ = cn.SetDeadline(time.Unix(1, 0)) })
+	resp := &Response{client: c, address: r.Address, maxIdle: cmp.Or(r.MaxIdle, defaultMaxIdle), conn: cn, writeDone: make(chan struct{})}
+	resp.stop = context.AfterFunc(ctx, func() { _ = cn.SetDeadline(time.Unix(1, 0)) })
 	req := r.httpRequest()
 	if len(r.Body) <= maxInlineBody {
-		a.write(req)
+		resp.write(req)
 	} else {
-		go a.write(req)
+		go resp.write(req)
 	}
-	if err := a.readHeaders(req, r.Matches); err != nil {
-		a.discard()
-		<-a.writeDone // from here on nothing is written, so conn.wrote is final
+	if err := resp.readHeaders(req, r.Matches); err != nil {
+		resp.discard()
+		<-resp.writeDone // from here on nothing is written, so conn.wrote is final
 		if !cn.wrote.Load() {
 			return nil, fault.Wrap(err, fault.Unavailable, "request was not sent", "another instance is tried")
 		}
 		return nil, fault.Wrap(err, fault.Unknown, "connection broke before the answer", "the request may have run")
 	}
-	return a, nil
+	return resp, nil
 }
 
 // checkBeforeSend decides just before the request is written whether to send it. When a paused process
@@ -193,21 +193,21 @@
 // request.
 var writerPool = sync.Pool{New: func() any { return bufio.NewWriter(nil) }}
 
-func (a *Response) write(req *http.Request) {
+func (r *Response) write(req *http.Request) {
 	w, _ := writerPool.Get().(*bufio.Writer)
-	w.Reset(a.conn)
-	if a.writeErr = req.Write(w); a.writeErr == nil {
-		a.writeErr = w.Flush()
+	w.Reset(r.conn)
+	if r.writeErr = req.Write(w); r.writeErr == nil {
+		r.writeErr = w.Flush()
 	}
 	w.Reset(nil)
 	writerPool.Put(w)
-	close(a.writeDone)
+	close(r.writeDone)
 }
 
 // readHeaders reads responses until one matches the request.
-func (a *Response) readHeaders(req *http.Request, matches func(http.Header) bool) error {
+func (r *Response) readHeaders(req *http.Request, matches func(http.Header) bool) error {
 	for range maxStrayResponses {
-		resp, err := http.ReadResponse(a.conn.reader, req)
+		resp, err := http.ReadResponse(r.conn.reader, req)
 		if err != nil {
 			return err
 		}
@@ -215,16 +215,16 @@
 			continue
 		}
 		if matches == nil || matches(resp.Header) {
-			a.resp, a.Status, a.Header, a.Length = resp, resp.StatusCode, resp.Header, resp.ContentLength
-			a.Body = eofReader{resp.Body, &a.bodyRead}
+			r.resp, r.Status, r.Header, r.Length = resp, resp.StatusCode, resp.Header, resp.ContentLength
+			r.Body = eofReader{resp.Body, &r.bodyRead}
 			return nil
 		}
-		if !a.mismatched {
-			a.mismatched = true
-			timer := time.AfterFunc(strayTimeout, func() { _ = a.conn.SetDeadline(time.Unix(1, 0)) })
+		if !r.mismatched {
+			r.mismatched = true
+			timer := time.AfterFunc(strayTimeout, func() { _ = r.conn.SetDeadline(time.Unix(1, 0)) })
 			defer timer.Stop()
 		}
-		a.client.count("stray_answers")
+		r.client.count("stray_answers")
 		if resp.Close {
 			return errors.New("response belongs to another request")
 		}
@@ -238,35 +238,35 @@
 // Close ends the exchange. If complete is true and the body has been read to its end, the
 // connection is returned to the pool unless it cannot be reused. Otherwise it is closed, which
 // tells the instance to stop.
-func (a *Response) Close(complete bool) {
-	a.once.Do(func() {
-		if !complete || !a.reusable() || !a.stop() {
-			a.discardConn()
+func (r *Response) Close(complete bool) {
+	r.once.Do(func() {
+		if !complete || !r.reusable() || !r.stop() {
+			r.discardConn()
 			return
 		}
-		a.conn.idleTimeout = idleTimeout(a.Header)
-		a.client.put(a.address, a.conn, a.maxIdle)
+		r.conn.idleTimeout = idleTimeout(r.Header)
+		r.client.put(r.address, r.conn, r.maxIdle)
 	})
 }
 
 // DiscardBody ends the exchange without using the body. A short body is read and discarded, so
 // that the connection can be reused.
-func (a *Response) DiscardBody() { a.Close(discardBody(a.Body, maxDiscardBytes) == nil) }
+func (r *Response) DiscardBody() { r.Close(discardBody(r.Body, maxDiscardBytes) == nil) }
 
-func (a *Response) discard() { a.once.Do(a.discardConn) }
+func (r *Response) discard() { r.once.Do(r.discardConn) }
 
-func (a *Response) discardConn() {
-	a.stop()
-	a.client.drop(a.address, a.conn)
+func (r *Response) discardConn() {
+	r.stop()
+	r.client.drop(r.address, r.conn)
 }
 
-func (a *Response) reusable() bool {
+func (r *Response) reusable() bool {
 	select {
-	case <-a.writeDone:
+	case <-r.writeDone:
 	default:
 		return false // the response arrived before the request was fully written
 	}
-	return a.writeErr == nil && a.bodyRead && !a.mismatched && !a.resp.Close && a.conn.reader.Buffered() == 0
+	return r.writeErr == nil && r.bodyRead && !r.mismatched && !r.resp.Close && r.conn.reader.Buffered() == 0
 }
 
 // idleTimeout returns how long a connection may be idle after a response with these headers.
