--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -1,6 +1,6 @@
-// Package notice keeps what instances have told this process in their answers: that they
-// leave, and for how long they want nothing. An instance says so before its registration does,
-// and also while nobody can read or write registrations.
+// Package notice records what instances announce in the headers of their responses: that they
+// are shutting down, and for how long they want no requests. These announcements arrive before
+// the registration of the instance is updated, and also while the store is unavailable.
 package notice
 
 import (
@@ -13,127 +13,130 @@
 	"github.com/rockdoor/rockdoor/bootclock"
 )
 
-// keptFor is for how long at the least what an instance has said is kept.
-const keptFor = 5 * time.Minute
+// retention is the min time for which the announcements of an instance are kept.
+const retention = 5 * time.Minute
 
-// Table holds what the instances have said. It is safe for concurrent use.
+// Table holds the announcements of all instances. It is safe for concurrent use.
 type Table struct {
 	logger log.Logger
 
-	mu  sync.Mutex
-	all map[string]*said // by run of an instance
+	mu        sync.Mutex
+	instances map[string]*instanceState // by instance run
 }
 
-// said is what one run of an instance has said.
-type said struct {
-	leaving bool
-	// heard is when it said something new last.
-	heard bootclock.Instant
-	// restUntil is when the instance wants requests again.
-	restUntil bootclock.Instant
+// instanceState holds the announcements of one run of an instance.
+type instanceState struct {
+	shuttingDown bool
+	// updatedAt is when the last new announcement arrived.
+	updatedAt bootclock.Instant
+	// backoffUntil is when the instance accepts requests again.
+	backoffUntil bootclock.Instant
 }
 
-// NewTable returns a board that logs what is new.
+// NewTable returns an empty Table that logs new announcements.
 func NewTable(logger log.Logger) *Table {
-	return &Table{logger: logger, all: map[string]*said{}}
+	return &Table{logger: logger, instances: map[string]*instanceState{}}
 }
 
-// RecordShutdown takes in that a run of an instance says that it leaves. It does not come back.
-func (b *Table) RecordShutdown(instance, request string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.of(instance)
-	if s.leaving {
+// RecordShutdown records that a run of an instance announced its shutdown. This is final for the run.
+func (t *Table) RecordShutdown(instance, request string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.state(instance)
+	if s.shuttingDown {
 		return
 	}
-	s.leaving, s.heard = true, bootclock.Now()
-	level.Info(b.logger).Log("msg", "instance says that it leaves", "instance", instance, "request", request)
+	s.shuttingDown, s.updatedAt = true, bootclock.Now()
+	level.Info(t.logger).Log("msg", "instance announced its shutdown", "instance", instance, "request", request)
 }
 
-// RecordBackoff takes in that a run of an instance wants nothing for a while.
-func (b *Table) RecordBackoff(instance, request string, d time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.of(instance)
+// RecordBackoff records that a run of an instance asked for a backoff of d. A shorter backoff than the
+// current one has no effect.
+func (t *Table) RecordBackoff(instance, request string, d time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.state(instance)
 	until := bootclock.Now().Add(d)
-	if until <= s.restUntil {
+	if until <= s.backoffUntil {
 		return
 	}
-	s.restUntil, s.heard = until, bootclock.Now()
-	level.Info(b.logger).Log("msg", "instance asks for rest", "instance", instance, "request", request, "for", d)
+	s.backoffUntil, s.updatedAt = until, bootclock.Now()
+	level.Info(t.logger).Log("msg", "instance asked for a backoff", "instance", instance, "request", request, "for", d)
 }
 
-func (b *Table) of(instance string) *said {
-	s := b.all[instance]
+func (t *Table) state(instance string) *instanceState {
+	s := t.instances[instance]
 	if s == nil {
-		s = &said{}
-		b.all[instance] = s
+		s = &instanceState{}
+		t.instances[instance] = s
 	}
 	return s
 }
 
-// ShuttingDown reports whether a run of an instance has said that it leaves.
-func (b *Table) ShuttingDown(instance string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.all[instance]
-	return s != nil && s.leaving
+// ShuttingDown reports whether a run of an instance has announced its shutdown.
+func (t *Table) ShuttingDown(instance string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.instances[instance]
+	return s != nil && s.shuttingDown
 }
 
-// Backoff returns for how long a run of an instance still wants nothing.
-func (b *Table) Backoff(instance string) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.all[instance]
+// Backoff returns the remaining backoff of a run of an instance.
+func (t *Table) Backoff(instance string) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.instances[instance]
 	if s == nil {
 		return 0
 	}
-	return max(s.restUntil.Sub(bootclock.Now()), 0)
+	return max(s.backoffUntil.Sub(bootclock.Now()), 0)
 }
 
-// ShortestBackoff returns for how long the one of some runs that rests the shortest still wants nothing, 0
-// if none rests.
-func (b *Table) ShortestBackoff(instances []string) time.Duration {
-	first := time.Duration(0)
+// ShortestBackoff returns the shortest remaining backoff of the given runs, 0 if none of them has asked
+// for one.
+func (t *Table) ShortestBackoff(instances []string) time.Duration {
+	shortest := time.Duration(0)
 	for _, instance := range instances {
-		if rest := b.Backoff(instance); rest > 0 && (first == 0 || rest < first) {
-			first = rest
+		if backoff := t.Backoff(instance); backoff > 0 && (shortest == 0 || backoff < shortest) {
+			shortest = backoff
 		}
 	}
-	return first
+	return shortest
 }
 
-// InstancesRefusingWork returns the runs of instances that want nothing now.
-func (b *Table) InstancesRefusingWork() []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// InstancesRefusingWork returns the instance runs that must not be sent requests now.
+func (t *Table) InstancesRefusingWork() []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var out []string
-	for instance, s := range b.all {
-		if s.unwilling() {
+	for instance, s := range t.instances {
+		if s.refusesWork() {
 			out = append(out, instance)
 		}
 	}
 	return out
 }
 
-// RefusesWork reports whether a run of an instance wants nothing now: it leaves or rests.
-func (b *Table) RefusesWork(instance string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.all[instance]
-	return s != nil && s.unwilling()
+// RefusesWork reports whether a run of an instance must not be sent requests now, because it is
+// shutting down or has asked for a backoff.
+func (t *Table) RefusesWork(instance string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.instances[instance]
+	return s != nil && s.refusesWork()
 }
 
-func (s *said) unwilling() bool { return s.leaving || s.restUntil > bootclock.Now() }
-
-// Retain forgets the runs that keep does not name, and that have said nothing for a while:
-// registrations lapse while the store is away, and come back.
-func (b *Table) Retain(keep func(instance string) bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for instance, s := range b.all {
-		if !keep(instance) && bootclock.Since(s.heard) > keptFor && s.restUntil < bootclock.Now() {
-			delete(b.all, instance)
+func (s *instanceState) refusesWork() bool { return s.shuttingDown || s.backoffUntil > bootclock.Now() }
+
+// Retain deletes the runs for which keep returns false, whose announcements are older than the
+// retention, and whose backoff has ended. It does not delete them at once, because registrations
+// expire while the store is unavailable and may come back.
+func (t *Table) Retain(keep func(instance string) bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for instance, s := range t.instances {
+		if !keep(instance) && bootclock.Since(s.updatedAt) > retention && s.backoffUntil < bootclock.Now() {
+			delete(t.instances, instance)
 		}
 	}
 }
