--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -15,27 +15,28 @@
 	"github.com/rockdoor/rockdoor/objstore"
 )
 
-// directory is what a large fleet keeps in the store of who works for the others, so that a process which
-// starts need not list all members: after a loss of all, 985 lists of 985 members were 390 MB, more than the
-// store sent in the time in which each had to arrive, so that none did. Those that work for the others, or
-// that did until they were silent, list them: they have to know at once whose places they take. It is a hint:
-// where those that it names do not answer, the members are listed.
+// directory is a summary of a large fleet in the store: its size, its schedulers and its watchers.
+// It spares a starting process the list of all members. When all 985 processes of a fleet restarted
+// at once, 985 lists of 985 members were 390 MB, more than the store could send before their
+// timeouts, so that every list failed. Processes that schedule for others, or did so until they were
+// unresponsive, still list the members, since they have to know at once whose place they take. The
+// directory is a hint: if none of the processes in it answers, the members are listed.
 type directory struct {
 	Processes int `json:"processes"`
-	// Instances is how many engines and backend servers there are.
+	// Instances is the number of engines and backend servers.
 	Instances  int              `json:"instances"`
 	Schedulers []members.Member `json:"schedulers"`
-	// Watchers are the names of those schedulers that watch the store.
+	// Watchers are the names of the schedulers that watch the store.
 	Watchers []string `json:"watchers"`
 }
 
-// directoryRead is a directory as an event.
+// directoryRead is the event that the directory was read.
 type directoryRead struct{ directory }
 
-// directoryTimeout bounds a write of the directory, with all its tries.
+// directoryTimeout bounds a write of the directory, including its retries.
 const directoryTimeout = 5 * time.Second
 
-// readDirectory returns the directory. The error is of kind NotFound if there is none of use.
+// readDirectory returns the directory. The error is of kind NotFound if there is no usable one.
 func (d *Discovery) readDirectory(ctx context.Context) (directory, error) {
 	var dir directory
 	ctx, cancel := context.WithTimeout(ctx, AnswerWithin(d.o.Apply))
@@ -45,56 +46,59 @@
 		return dir, err
 	}
 	if err := json.Unmarshal(obj.Value, &dir); err != nil {
-		return dir, fault.Wrap(err, fault.NotFound, "directory of the fleet cannot be read", "the members are listed")
+		return dir, fault.Wrap(err, fault.NotFound, "directory of the fleet cannot be decoded", "the members are listed instead")
 	}
 	if dir.Processes <= members.FullMesh || len(dir.Schedulers) == 0 {
-		return dir, fault.New(fault.NotFound, "directory is that of a small fleet", "the members are listed")
+		return dir, fault.New(fault.NotFound, "directory is of a small fleet or names no schedulers", "the members are listed instead")
 	}
 	if d.o.Self.WouldSchedule(dir.Schedulers) {
-		return dir, fault.New(fault.NotFound, "this process is to work for the others", "the members are listed")
+		return dir, fault.New(fault.NotFound, "this process may become a scheduler and needs the list of members", "the members are listed instead")
 	}
 	return dir, nil
 }
 
-func (d *Discovery) directoryKey() string { return d.o.Prefixes.Directory + mainName }
+func (d *Discovery) directoryKey() string { return d.o.Prefixes.Directory + mainObject }
 
-// joinBy takes in a directory, in the place of a list of the members.
-func (d *Discovery) joinBy(dir directory) {
+// joinFromDirectory takes the schedulers and the size of the fleet from the directory instead of
+// from a list of the members.
+func (d *Discovery) joinFromDirectory(dir directory) {
 	if d.joined {
 		return
 	}
 	watchers := slices.DeleteFunc(slices.Clone(dir.Schedulers), func(m members.Member) bool { return !slices.Contains(dir.Watchers, m.Name) })
 	d.joined = true
 	d.cur.Processes = dir.Processes
-	d.expected.Store(int64(dir.Instances))
+	d.expectedInstances.Store(int64(dir.Instances))
 	d.setSchedulers(dir.Schedulers, watchers, dir.Schedulers)
 }
 
-// sizeDrift is by which part the numbers may be off in the directory.
-const sizeDrift = 0.1
+// maxCountDrift is the relative error that the counts in the directory may have.
+const maxCountDrift = 0.1
 
-// like reports whether a directory says the same as another, but for small changes of the numbers.
-func (r *directory) like(other directory) bool {
+// equivalent reports whether two directories are the same except for small differences in the counts.
+func (r *directory) equivalent(other directory) bool {
 	return sameNames(r.Schedulers, other.Schedulers) && slices.Equal(r.Watchers, other.Watchers) &&
-		about(r.Processes, other.Processes) && about(r.Instances, other.Instances)
+		approxEqual(r.Processes, other.Processes) && approxEqual(r.Instances, other.Instances)
 }
 
-// about reports whether a number is near another.
-func about(n, other int) bool { return math.Abs(float64(n-other)) <= sizeDrift*float64(other) }
+// approxEqual reports whether n differs from other by at most maxCountDrift.
+func approxEqual(n, other int) bool {
+	return math.Abs(float64(n-other)) <= maxCountDrift*float64(other)
+}
 
-// keepDirectory writes the directory if this process is the first watcher of a large fleet and what it says
-// has changed.
-func (d *Discovery) keepDirectory(ctx context.Context) {
+// updateDirectory writes the directory if it has changed and this process is the first watcher of a
+// large fleet.
+func (d *Discovery) updateDirectory(ctx context.Context) {
 	first := len(d.cur.Watchers) > 0 && d.cur.Watchers[0].Name == d.o.Self.Name
 	if !first || d.cur.Processes <= members.FullMesh {
 		return
 	}
-	now := directory{Processes: d.cur.Processes, Instances: len(d.instances), Schedulers: d.cur.Schedulers, Watchers: members.Names(d.cur.Watchers)}
-	if now.like(d.written) {
+	current := directory{Processes: d.cur.Processes, Instances: len(d.instances), Schedulers: d.cur.Schedulers, Watchers: members.Names(d.cur.Watchers)}
+	if current.equivalent(d.writtenDirectory) {
 		return
 	}
-	d.written = now
-	value, err := json.Marshal(now)
+	d.writtenDirectory = current
+	value, err := json.Marshal(current)
 	if err != nil {
 		level.Error(d.logger).Log("msg", "directory not written", "err", err)
 		return
@@ -108,19 +112,19 @@
 	key := d.directoryKey()
 	old, err := d.o.Store.Get(ctx, key)
 	if err != nil && !fault.Is(err, fault.NotFound) {
-		d.directoryKept(err)
+		d.logDirectoryWrite(err)
 		return
 	}
 	if err == nil && bytes.Equal(old.Value, value) {
 		return
 	}
 	_, err = objstore.PutSettled(ctx, d.o.Store, key, value, old.Version, d.o.Run+"-"+members.NewIncarnation())
-	d.directoryKept(err)
+	d.logDirectoryWrite(err)
 }
 
-// directoryKept logs how a write ended. One that failed leaves the directory as it was, until who it names
-// changes again: it is a hint.
-func (d *Discovery) directoryKept(err error) {
+// logDirectoryWrite logs the result of a write. After a failure the directory stays as it is until
+// its content changes again, which is acceptable for a hint.
+func (d *Discovery) logDirectoryWrite(err error) {
 	if err != nil {
 		level.Warn(d.logger).Log("msg", "directory not written", "err", err)
 		return
--- a/internal/discovery/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -19,10 +19,10 @@
 	"github.com/rockdoor/rockdoor/platform"
 )
 
-// noLists is a store that does not answer lists of the members.
-type noLists struct{ http.Handler }
+// noMemberLists is a store that rejects lists of the members.
+type noMemberLists struct{ http.Handler }
 
-func (n noLists) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (n noMemberLists) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodGet && strings.HasSuffix(r.URL.Path, "/rockdoor-members") {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -34,61 +34,61 @@
 	fake.Set("rockdoor-directory", "main", map[string]any{"write": "w", "value": json.RawMessage(text)})
 }
 
-// TestAProcessOfALargeFleetJoinsWithoutTheMembers has a process start whose store does not answer lists of
-// the members, as one that 985 ask at once for 985 does not: the directory says whom to follow.
+// TestAProcessOfALargeFleetJoinsWithoutTheMembers has a process start while the store fails lists of the
+// members, as one does that 985 processes ask for 985 members at once. The directory names the schedulers.
 func TestAProcessOfALargeFleetJoinsWithoutTheMembers(t *testing.T) {
 	fake := fleetstore.New()
 	setDirectory(fake, `{"processes": 985, "instances": 10003, "watchers": ["other"], "schedulers": [
 		{"name": "other", "domain": "a", "peer": "10.0.0.9:1", "weight": 1}, {"name": "other-2", "domain": "a", "peer": "10.0.0.8:1", "weight": 1}]}`)
-	relay := make(copies)
-	view := startOn(t, noLists{fake}, relay)
-	tell(relay, true, 10, registered("i-1", 5), configAt(1))
+	relay := make(fakeRelay)
+	view := startOn(t, noMemberLists{fake}, relay)
+	sendUpdate(relay, true, 10, registered("i-1", 5), configAt(1))
 	eventually(t, func() bool { return view().Ready() && view().Takes("s", "i-1") })
 	require.Equal(t, []string{"other"}, members.Names(view().Schedulers))
 }
 
-// startWithHead starts a process that serves with the head of a copy.
-func startWithHead(t *testing.T) (copies, func() *fleet.View) {
+// startWithPartialSnapshot starts a process that serves requests with a partial snapshot.
+func startWithPartialSnapshot(t *testing.T) (fakeRelay, func() *fleet.View) {
 	t.Helper()
-	relay := make(copies)
+	relay := make(fakeRelay)
 	view := startFollowing(t, relay)
-	head := followedWith(false, 10, configAt(1))
-	head.Head = true
-	relay <- head
+	partial := updateWith(false, 10, configAt(1))
+	partial.Head = true
+	relay <- partial
 	eventually(t, func() bool { return view().Ready() })
 	return relay, view
 }
 
-// TestAProcessIsReadyWithTheHeadOfACopy has a scheduler tell the configuration alone: the process serves what
-// that one places, and copies the instances after that.
+// TestAProcessIsReadyWithTheHeadOfACopy has a scheduler send the configuration alone. The process is ready
+// with it, as that scheduler places its requests, and fetches the instances later.
 func TestAProcessIsReadyWithTheHeadOfACopy(t *testing.T) {
-	relay, view := startWithHead(t)
+	relay, view := startWithPartialSnapshot(t)
 	require.False(t, view().Complete())
-	require.False(t, view().Left("s", "i-1"), "nothing is known of it")
-	tell(relay, true, 10, registered("i-1", 5), configAt(1))
+	require.False(t, view().Left("s", "i-1"), "the instances are not known yet")
+	sendUpdate(relay, true, 10, registered("i-1", 5), configAt(1))
 	eventually(t, func() bool { return view().Complete() && view().Takes("s", "i-1") })
 	require.True(t, view().Left("s", "i-2"))
 }
 
-// TestAFirstCopyLeavesTimeForRequests has a process that serves already copy 2,000 registrations: it decodes them in
-// pieces with pauses, by which the copy gets older.
+// TestAFirstCopyLeavesTimeForRequests has a process that already serves requests receive 2,000 registrations.
+// It must decode them in batches with pauses, and add the pauses to the age of the data.
 func TestAFirstCopyLeavesTimeForRequests(t *testing.T) {
-	const pauses = 150 * time.Millisecond // of 200
+	const pauses = 150 * time.Millisecond // the pauses take 200 ms in all
 	var events []objstore.Event
 	for n := range 2000 {
 		events = append(events, registered(fmt.Sprint("i-", n), 5))
 	}
 	events = append(events, configAt(1))
-	relay, view := startWithHead(t)
-	tell(relay, true, 10, events...)
-	told := time.Now()
+	relay, view := startWithPartialSnapshot(t)
+	sendUpdate(relay, true, 10, events...)
+	sent := time.Now()
 	eventually(t, func() bool { return view().Complete() })
-	require.Greater(t, time.Since(told), pauses)
+	require.Greater(t, time.Since(sent), pauses)
 	require.Greater(t, view().InstancesAge(), pauses)
 	require.Len(t, view().Instances, 2000)
 }
 
-// TestADirectoryOfNoUseIsPassedOver has the directory be one of a small fleet, or nothing that can be read.
+// TestADirectoryOfNoUseIsPassedOver has directories that are of a small fleet, incomplete or not decodable.
 func TestADirectoryOfNoUseIsPassedOver(t *testing.T) {
 	for _, text := range []string{`{"processes": 3, "schedulers": [{"name": "other"}]}`, `{"processes": 985}`, `[]`, `"x"`} {
 		fake := fleetstore.New()
@@ -99,14 +99,14 @@
 	}
 }
 
-// TestTheFirstWatcherKeepsTheDirectory has a process find itself the first watcher of a large fleet.
+// TestTheFirstWatcherKeepsTheDirectory checks the directory that the first watcher of a large fleet writes.
 func TestTheFirstWatcherKeepsTheDirectory(t *testing.T) {
 	fake := fleetstore.New()
 	for n := range members.FullMesh + 2 {
 		setMember(t, fake, fmt.Sprint("m-", n))
 	}
 	self := members.Member{Name: "z-self", Incarnation: members.NewIncarnation(), Domain: "a", Weight: 2}
-	watcher := discoveryOf(t, self, fake, make(copies), nil)
+	watcher := discoveryOf(t, self, fake, make(fakeRelay), nil)
 	server := httptest.NewServer(fake)
 	defer server.Close()
 	store := platform.NewStore(server.Listener.Addr().String())
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,7 +1,8 @@
 // Package discovery keeps a process's view of the deployment up to date. A few processes of
-// a fleet watch the object store; the schedulers follow one of these, and the others follow
-// a scheduler. They look at the store themselves only while none answers. One goroutine
-// owns the state and publishes immutable views; followers only fetch.
+// a fleet, the watchers, watch the object store. The schedulers follow a watcher, and all
+// other processes follow a scheduler. A process that follows another one reads the store
+// directly only if no scheduler answers or if the data that it received is too old. One
+// goroutine owns the state and publishes immutable views; the other goroutines only fetch.
 package discovery
 
 import (
@@ -22,85 +23,87 @@
 	"github.com/rockdoor/rockdoor/objstore"
 )
 
-// Kinds of objects that are followed.
+// Feeds: the kinds of objects that a process keeps up to date.
 const (
-	feedConfig    source = "config"
-	feedInstances source = "instances"
-	feedRules     source = "rules"
-	feedMembers   source = "members"
+	feedConfig    feedName = "config"
+	feedInstances feedName = "instances"
+	feedRules     feedName = "rules"
+	feedMembers   feedName = "members"
 )
 
-// Prefixes are where the feeds are in the store.
+// Prefixes are the key prefixes of the feeds and of the directory in the store.
 type Prefixes struct{ Config, Instances, Rules, Members, Directory string }
 
 // Options of a Discovery.
 type Options struct {
-	// Self is this process as it registers, Run names this run of it.
+	// Self is the registration of this process, and Run identifies this start of it.
 	Self members.Member
 	Run  string
-	// Relay follows a scheduler.
+	// Relay fetches updates from schedulers.
 	Relay Relay
-	// Silent reports whether a scheduler has not answered for so long that another one
-	// takes its place; nil if that is not known.
+	// Silent reports whether a scheduler has been unresponsive for so long that another one
+	// takes its place. If nil, all schedulers are taken to be responsive.
 	Silent func(name string) bool
-	// Missing is called when this process may not be registered any more; nil if nobody
-	// wants to know.
+	// Missing, unless nil, is called when this process may have lost its registration.
 	Missing func()
-	// Restored is called when the store came back from an older copy, which may lack the
-	// registration of this process; nil if nobody wants to know.
+	// Restored, unless nil, is called when the store was restored from an older snapshot,
+	// which may lack the registration of this process.
 	Restored func()
-	// Store bounds each page of a list by AnswerWithin.
+	// Store reads current data. It must bound each page of a list by AnswerWithin.
 	Store objstore.Store
-	// Stale is the same store for what may be seconds old: rules and members.
+	// Stale is the same store with reads that may be seconds old, used for rules and members.
 	Stale    objstore.Store
 	Prefixes Prefixes
 	// DecodeConfig and DecodeInstance decode stored objects.
 	DecodeConfig   func(objstore.Object) (*fleet.Config, error)
 	DecodeInstance func(objstore.Object) (*fleet.Instance, error)
-	// Hide returns a configuration of the store as other processes may have it, without
-	// secrets; nil leaves it as it is.
+	// Hide returns a copy of a stored configuration without secrets, for other processes. If
+	// nil, the configuration is passed on unchanged.
 	Hide func(objstore.Object) objstore.Object
-	// Prove is how old the proof may get that the configuration is the newest one; 0 is no
-	// bound.
+	// Prove is the max staleness of the configuration: how long ago it may have been
+	// confirmed to be the newest one. 0 means no bound.
 	Prove time.Duration
-	// Apply is within what time a change must be in force.
+	// Apply is the time in which a change must be in force.
 	Apply time.Duration
-	// Within is in what time a change in the store must have reached everybody.
+	// Within is the propagation bound: the time in which a change in the store must have
+	// reached all processes.
 	Within time.Duration
-	// Settle is within what time after a fault of the network the view is up to date.
+	// Settle is the time after a network fault in which the view must be up to date again.
 	Settle time.Duration
-	// LapseKept is how long an instance is used whose registration went while the
-	// store was away, counted from the store's return.
+	// LapseKept is how long an instance stays in use after its registration expired during
+	// an outage of the store, counted from the end of the outage.
 	LapseKept time.Duration
 	Metrics   metrics.Registry
 	Logger    log.Logger
 }
 
 const (
-	eventQueue = 256
-	// waitShare is the part of the time to settle that a watch waits, answerShare that of
-	// the time in which a change must be in force that its answer may take beyond that.
-	// Together they leave time to look again after a watch that was cut silently.
-	waitShare   = 0.65
-	answerShare = 0.25
-	// slowFactor is how much longer the watches of rules and members wait than
-	// those of the configuration and the instances. A change ends them at once; only
-	// a silent cut is noticed later.
-	slowFactor = 4
-	// proveShare is the part of Prove that a watch waits at the most. The proof is as old as
-	// the question, so it gets twice as old before the next answer, and older on the way to
-	// others.
-	proveShare = 0.15
-	// proveAloneShare is the part of Prove from which on a process that follows others asks
-	// the store itself.
-	proveAloneShare = 0.6
-	// sharedShare is the part of Within that a watch waits at the most in a fleet in which
-	// others follow this process: a copy that is older than the watch and the way to it is
-	// that of a process which is cut off from the store.
-	sharedShare = 0.25
+	eventQueueSize = 256
+	// watchWaitShare is the share of the settling time that a watch waits for changes, and
+	// answerTimeoutShare the share of the time to apply a change that its answer may take
+	// beyond that wait. Together they leave time for another read after a watch whose
+	// connection was cut silently.
+	watchWaitShare     = 0.65
+	answerTimeoutShare = 0.25
+	// slowWatchFactor is how much longer the watches of rules and members wait than those of
+	// the configuration and the instances. A change ends any watch at once; the longer wait
+	// only delays the detection of a connection that was cut silently.
+	slowWatchFactor = 4
+	// stalenessWaitShare is the share of the max staleness that a watch waits at most. An
+	// answer confirms the configuration as of when the request was sent. The staleness
+	// therefore reaches twice the wait before the next answer, and more in the processes that
+	// receive it over a relay.
+	stalenessWaitShare = 0.15
+	// directReadStalenessShare is the share of the max staleness from which on a process that
+	// follows another one reads the store directly.
+	directReadStalenessShare = 0.6
+	// relayedWaitShare is the share of the propagation bound that a watch waits at most where
+	// other processes follow this one. Data older than this wait plus the relaying time then
+	// shows that its source has lost the store.
+	relayedWaitShare = 0.25
 )
 
-// Discovery owns what a process believes about the deployment.
+// Discovery owns a process's view of the deployment.
 type Discovery struct {
 	o      Options
 	logger log.Logger
@@ -108,65 +111,68 @@
 	view   atomic.Pointer[fleet.View]
 	ready  chan struct{}
 	feed   *feed.Feed
-	// storeLost is true while the store has not answered the last call of a feed of this
-	// process. What the view says of the store is that of the process that is followed.
-	storeLost atomic.Bool
-	// expected is how many instances the directory said that there are.
-	expected atomic.Int64
+	// storeUnreachable is true while the last store call of any feed of this process failed. The
+	// view's StoreUp may differ: in a follower it is the state that the scheduler reported.
+	storeUnreachable atomic.Bool
+	// expectedInstances is the number of instances according to the directory.
+	expectedInstances atomic.Int64
 
-	// The rest belongs to the goroutine of Run.
+	// The goroutine of Run owns the fields below.
 	cur       fleet.View
 	era       era
 	instances map[string]*fleet.Instance
-	// touched are the IDs of the instances that have changed since the last view.
-	touched map[string]bool
-	// news are changes that are not in the feed yet.
-	news []objstore.Event
-	// versions are those of the instances, gone the versions at which instances went.
+	// changedIDs are the IDs of the instances that changed since the last view.
+	changedIDs map[string]bool
+	// pendingEvents are changes that have not been added to the feed yet.
+	pendingEvents []objstore.Event
+	// versions are the versions of the instances, removed those of the removed ones at removal.
 	versions map[string]objstore.Version
-	gone     map[string]departure
-	// rulesObject is the rules in force as they were read. Without a value there are none, and its
-	// version is the store's revision at which that was so.
+	removed  map[string]removal
+	// rulesObject is the stored object of the rules in force. An empty value means that there
+	// are no rules; its version is then the store's revision as of which there were none.
 	rulesObject objstore.Object
-	// configObject is the configuration in force as it was read.
+	// configObject is the stored object of the configuration in force.
 	configObject objstore.Object
 	members      map[string]members.Member
-	// unlisted are members that a copy with which the store came back lacks, and that have time to
-	// register again.
-	unlisted map[string]bool
-	// written is the directory that this process wrote last.
-	written directory
-	down    map[source]bool
+	// unlistedMembers are the keys of members that were missing after the store was restored.
+	// They have some time to register again.
+	unlistedMembers map[string]bool
+	// writtenDirectory is the directory that this process wrote last.
+	writtenDirectory directory
+	failingFeeds     map[feedName]bool
 	// joined is true once this process has read the directory or the members.
 	joined bool
 	mode   mode
-	// stopMode ends the followers of the mode, appointed is since when another process
-	// wants this one to watch the store.
-	stopMode  context.CancelFunc
-	appointed bootclock.Instant
-	// lostAt is since when calls have been failing, or were before the store was back. failedAt is
-	// when a call of any feed failed last, backAt when a feed succeeded for the first time after that.
-	lostAt   bootclock.Instant
-	failedAt bootclock.Instant
-	backAt   bootclock.Instant
-	// confirmedAt is when the store confirmed the registrations before its last answer about
-	// them.
-	confirmedAt bootclock.Instant
-	// listedAt is the same without what other processes confirmed: copies may have what has lapsed there.
-	listedAt bootclock.Instant
-	// answeredAt is when the store confirmed the registrations to this process last.
-	answeredAt bootclock.Instant
-	// absence is true if the registrations of the last answer went while the store was away.
-	absence bool
-	lapsed  map[string]lapse
+	// stopMode stops the goroutines of the current mode. appointedAt is when another process
+	// named this one a watcher.
+	stopMode    context.CancelFunc
+	appointedAt bootclock.Instant
+	// failingSince is when the current or the latest series of failed calls began. failedAt is
+	// when a call of any feed last failed, and recoveredAt when a feed last succeeded after
+	// failing.
+	failingSince bootclock.Instant
+	failedAt     bootclock.Instant
+	recoveredAt  bootclock.Instant
+	// prevConfirmedAt is as of when the registrations were known to be current before the
+	// store's last answer about them, from this process's own reads or from a relay.
+	prevConfirmedAt bootclock.Instant
+	// prevOwnConfirmedAt is the same for this process's own reads alone. An update from another
+	// process may contain registrations that had expired and that this process still used.
+	prevOwnConfirmedAt bootclock.Instant
+	// ownConfirmedAt is as of when this process's own reads last confirmed the registrations.
+	ownConfirmedAt bootclock.Instant
+	// outage is true if the last answer about the registrations ended an outage of the store:
+	// registrations missing from it may have expired because of the outage.
+	outage  bool
+	expired map[string]expiry
 }
 
-// New returns a discovery that has to be run.
+// New returns a Discovery. The caller must call Run.
 func New(o Options) *Discovery {
 	d := &Discovery{
-		o: o, logger: log.With(o.Logger, "component", "discovery"), events: make(chan any, eventQueue), ready: make(chan struct{}), feed: feed.New(o.Run),
-		instances: map[string]*fleet.Instance{}, touched: map[string]bool{}, versions: map[string]objstore.Version{}, gone: map[string]departure{},
-		members: map[string]members.Member{}, down: map[source]bool{}, lapsed: map[string]lapse{},
+		o: o, logger: log.With(o.Logger, "component", "discovery"), events: make(chan any, eventQueueSize), ready: make(chan struct{}), feed: feed.New(o.Run),
+		instances: map[string]*fleet.Instance{}, changedIDs: map[string]bool{}, versions: map[string]objstore.Version{}, removed: map[string]removal{},
+		members: map[string]members.Member{}, failingFeeds: map[feedName]bool{}, expired: map[string]expiry{},
 	}
 	if d.o.Silent == nil {
 		d.o.Silent = func(string) bool { return false }
@@ -181,104 +187,104 @@
 		d.o.Hide = func(obj objstore.Object) objstore.Object { return obj }
 	}
 	d.cur.StoreUp = true
-	first := d.cur
-	first.Index()
-	d.view.Store(&first)
+	initial := d.cur
+	initial.Index()
+	d.view.Store(&initial)
 	return d
 }
 
 // View returns the latest view. It never blocks.
 func (d *Discovery) View() *fleet.View { return d.view.Load() }
 
-// Ready is closed once the view suffices to serve requests.
+// Ready returns a channel that is closed once the view suffices to serve requests.
 func (d *Discovery) Ready() <-chan struct{} { return d.ready }
 
-// Feed returns what this process has of the deployment, for the others.
+// Feed returns the feed from which other processes follow this one.
 func (d *Discovery) Feed() *feed.Feed { return d.feed }
 
-// Run keeps the view until ctx ends.
+// Run keeps the view up to date until ctx ends.
 func (d *Discovery) Run(ctx context.Context) error {
 	go d.join(ctx)
-	lapse := time.NewTicker(lapseTick)
-	defer lapse.Stop()
-	review := time.NewTicker(reviewEvery)
+	expire := time.NewTicker(expiryInterval)
+	defer expire.Stop()
+	review := time.NewTicker(reviewInterval)
 	defer review.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case e := <-d.events:
-			d.handle(ctx, e)
-		case <-lapse.C:
-			d.dropLapsed()
+			d.handleEvent(ctx, e)
+		case <-expire.C:
+			d.dropExpired()
 		case <-review.C:
 			d.reviewSchedulers(ctx)
 		}
 	}
 }
 
-func (d *Discovery) handle(ctx context.Context, e any) {
+func (d *Discovery) handleEvent(ctx context.Context, e any) {
 	switch e := e.(type) {
-	case lostStore:
-		d.lost(e)
-	case changed:
-		d.seeEra(e.revision, "store")
-		d.answered(e)
+	case feedFailure:
+		d.recordFeedFailure(e)
+	case feedUpdate:
+		d.observeEra(e.revision, "store")
+		d.recordStoreAnswer(e)
 		d.apply(e)
-	case followed:
-		d.adopt(e.Followed)
-	case copied:
-		d.takeIn(e.Followed)
+	case schedulerUpdate:
+		d.applySchedulerUpdate(e.Followed)
+	case fetchedSnapshot:
+		d.applyRelayUpdate(e.Followed)
 	case directoryRead:
-		d.joinBy(e.directory)
+		d.joinFromDirectory(e.directory)
 	}
 	d.chooseMode(ctx)
 	d.publish()
 }
 
-// lost records that the store does not answer.
-func (d *Discovery) lost(e lostStore) {
-	if !d.down[e.feed] {
+// recordFeedFailure records a failed store call of a feed.
+func (d *Discovery) recordFeedFailure(e feedFailure) {
+	if !d.failingFeeds[e.feed] {
 		level.Warn(d.logger).Log("msg", "store lost", "feed", e.feed, "err", e.err)
 	}
 	d.count("store_errors")
 	now := bootclock.Now()
-	if len(d.down) == 0 {
-		d.lostAt = now
+	if len(d.failingFeeds) == 0 {
+		d.failingSince = now
 	}
-	d.down[e.feed] = true
+	d.failingFeeds[e.feed] = true
 	d.failedAt = now
 	d.cur.StoreUp = false
 }
 
-// answered records that the store has answered a question. Others go by the age of what it said, which
-// counts from when it can have been given at the latest: answers held back by 30 ms made copies that
-// were taken for 1 ms old.
-func (d *Discovery) answered(c changed) {
+// recordStoreAnswer records that the store answered a call. The confirmation times are those
+// in c, not the time of arrival: when answers were delayed by 30 ms and the arrival counted,
+// other processes took the data for 1 ms old.
+func (d *Discovery) recordStoreAnswer(c feedUpdate) {
 	f, now := c.feed, bootclock.Now()
 	if f == feedInstances {
-		d.confirmedAt, d.absence = d.cur.InstancesAt, false
-		d.listedAt, d.answeredAt = d.answeredAt, c.confirmed
+		d.prevConfirmedAt, d.outage = d.cur.InstancesAt, false
+		d.prevOwnConfirmedAt, d.ownConfirmedAt = d.ownConfirmedAt, c.confirmedAt
 	}
-	if d.down[f] {
+	if d.failingFeeds[f] {
 		level.Info(d.logger).Log("msg", "store regained", "feed", f)
-		delete(d.down, f)
-		d.backAt = now
+		delete(d.failingFeeds, f)
+		d.recoveredAt = now
 		if f == feedInstances {
-			d.returned(now)
+			d.assessOutage(now)
 		}
 	}
-	d.cur.StoreUp = len(d.down) == 0
+	d.cur.StoreUp = len(d.failingFeeds) == 0
 	switch f {
 	case feedConfig:
-		d.cur.ConfigAt = max(d.cur.ConfigAt, c.confirmed)
-		d.cur.ProvenAt = max(d.cur.ProvenAt, c.asked)
+		d.cur.ConfigAt = max(d.cur.ConfigAt, c.confirmedAt)
+		d.cur.ProvenAt = max(d.cur.ProvenAt, c.askedAt)
 	case feedInstances:
-		d.cur.InstancesAt = max(d.cur.InstancesAt, c.confirmed)
+		d.cur.InstancesAt = max(d.cur.InstancesAt, c.confirmedAt)
 	}
 }
 
-func (d *Discovery) apply(c changed) {
+func (d *Discovery) apply(c feedUpdate) {
 	switch c.feed {
 	case feedConfig:
 		d.applyConfig(c)
@@ -291,16 +297,17 @@
 	}
 }
 
-// mainName is the name of the configuration, and of the rules, among objects of their kinds.
-const mainName = "main"
+// mainObject is the name of the only object that counts as the configuration, and likewise of
+// the rules and the directory.
+const mainObject = "main"
 
-// applyConfig adopts a newer configuration. One that cannot be decoded leaves
-// the last good one in force.
-func (d *Discovery) applyConfig(c changed) {
+// applyConfig adopts a newer configuration. One that cannot be decoded leaves the last
+// valid one in force.
+func (d *Discovery) applyConfig(c feedUpdate) {
 	for _, e := range c.events {
 		obj := e.Object
-		if e.Deleted || nameOf(obj.Key) != mainName {
-			continue // the last one stays in force
+		if e.Deleted || objectName(obj.Key) != mainObject {
+			continue // the configuration in force is kept
 		}
 		cfg, err := d.o.DecodeConfig(obj)
 		if err != nil {
@@ -308,35 +315,35 @@
 			d.count("configs_rejected")
 			continue
 		}
-		if d.cur.Config != nil && !d.replaces(cfg, obj) {
+		if d.cur.Config != nil && !d.supersedes(cfg, obj) {
 			continue
 		}
 		d.cur.Config, d.configObject = cfg, obj
-		if !c.settled { // another process has hidden what it told
+		if !c.relayed { // the sender of a relayed one has removed the secrets
 			obj = d.o.Hide(obj)
 		}
-		d.tell(objstore.Event{Object: obj})
+		d.queueEvent(objstore.Event{Object: obj})
 		level.Info(d.logger).Log("msg", "configuration in force", "version", cfg.Version, "revision", obj.Version, "routes", len(cfg.Routes), "workspaces", cfg.Workspaces())
 	}
 }
 
-// replaces reports whether a configuration takes the place of the one in force. It never goes
-// back, also if the store does. One that the operator has written anew under the number of one
-// that the store lost goes before that.
-func (d *Discovery) replaces(cfg *fleet.Config, obj objstore.Object) bool {
-	anew := obj.Version.Era() > d.configObject.Version.Era() && !d.era.ofCopy(obj.Version) && !bytes.Equal(obj.Value, d.configObject.Value)
-	return cfg.Version > d.cur.Config.Version || cfg.Version == d.cur.Config.Version && anew
+// supersedes reports whether a configuration replaces the one in force. Versions never go
+// back, even if the store was restored from an older snapshot. If the operator reuses a
+// version number that the store lost in a restore, the new configuration wins.
+func (d *Discovery) supersedes(cfg *fleet.Config, obj objstore.Object) bool {
+	rewritten := obj.Version.Era() > d.configObject.Version.Era() && !d.era.mayPredateRestore(obj.Version) && !bytes.Equal(obj.Value, d.configObject.Value)
+	return cfg.Version > d.cur.Config.Version || cfg.Version == d.cur.Config.Version && rewritten
 }
 
-func (d *Discovery) applyMembers(c changed) {
-	if !c.reset && len(c.events) == 0 {
+func (d *Discovery) applyMembers(c feedUpdate) {
+	if !c.full && len(c.events) == 0 {
 		return
 	}
-	if c.reset {
+	if c.full {
 		d.resetMembers()
 	}
 	for _, e := range c.events {
-		delete(d.unlisted, e.Object.Key)
+		delete(d.unlistedMembers, e.Object.Key)
 		if e.Deleted {
 			delete(d.members, e.Object.Key)
 			continue
@@ -350,25 +357,25 @@
 		d.o.Missing()
 	}
 	d.joined = true
-	d.nameSchedulers()
+	d.updateSchedulers()
 	level.Info(d.logger).Log("msg", "members", "registered", len(d.members))
 }
 
-// tell has a change told to those that copy this process's feed, with the next view.
-func (d *Discovery) tell(e objstore.Event) { d.news = append(d.news, e) }
+// queueEvent adds a change to the feed with the next view.
+func (d *Discovery) queueEvent(e objstore.Event) { d.pendingEvents = append(d.pendingEvents, e) }
 
-// publish makes the present state visible. What has not changed is shared with the view before: at
-// 10,000 instances a copy of all for each answer of the store or a scheduler takes most of what a small
-// host has.
+// publish makes the current state visible to readers. The new view shares everything that
+// has not changed with the previous one: copying 10,000 instances at each answer of the store
+// or a scheduler takes most of a small host's CPU.
 func (d *Discovery) publish() {
 	v := d.cur
 	v.Instances = d.instances
-	v.IndexFrom(d.view.Load(), d.touched)
-	clear(d.touched)
-	d.feed.Apply(d.news) // before the view, whose ages hold for who copies the feed after it
-	d.news = nil
+	v.IndexFrom(d.view.Load(), d.changedIDs)
+	clear(d.changedIDs)
+	d.feed.Apply(d.pendingEvents) // before the view: its ages must hold for a feed that is read after the view
+	d.pendingEvents = nil
 	d.view.Store(&v)
-	d.storeLost.Store(len(d.down) > 0)
+	d.storeUnreachable.Store(len(d.failingFeeds) > 0)
 	if v.Ready() {
 		select {
 		case <-d.ready:
@@ -382,7 +389,7 @@
 	metrics.GetOrRegisterCounter("discovery."+name, d.o.Metrics).Inc(1)
 }
 
-func nameOf(key string) string { return key[strings.IndexByte(key, '/')+1:] }
+func objectName(key string) string { return key[strings.IndexByte(key, '/')+1:] }
 
-// kindOf returns the prefix of a key: its kind and a slash.
-func kindOf(key string) string { return key[:strings.IndexByte(key, '/')+1] }
+// keyPrefix returns the prefix of a key, including the slash.
+func keyPrefix(key string) string { return key[:strings.IndexByte(key, '/')+1] }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -23,10 +23,10 @@
 const (
 	apply     = 200 * time.Millisecond
 	lapseKept = 300 * time.Millisecond
-	// within is in what time a change must have reached all processes of a fleet.
-	within = 2 * time.Second
-	soon   = 2 * time.Second
-	tick   = 5 * time.Millisecond
+	// within is the propagation bound: the time in which a change must have reached all processes.
+	within      = 2 * time.Second
+	testTimeout = 2 * time.Second
+	tick        = 5 * time.Millisecond
 )
 
 func start(t *testing.T) (*fleetstore.Server, func() *fleet.View) {
@@ -35,7 +35,7 @@
 	return fake, startOn(t, fake, nil)
 }
 
-// startFollowing starts a process of a fleet in which another one is the scheduler.
+// startFollowing starts a process of a fleet in which another process is the scheduler.
 func startFollowing(t *testing.T, relay discovery.Relay) func() *fleet.View {
 	t.Helper()
 	return followingOn(t, fleetstore.New(), relay)
@@ -62,7 +62,7 @@
 	return startWith(t, fake, relay, nil)
 }
 
-// startWith starts a process that is told when it may not be registered any more.
+// startWith starts a process that calls missing if it may have lost its registration.
 func startWith(t *testing.T, fake http.Handler, relay discovery.Relay, missing func()) func() *fleet.View {
 	t.Helper()
 	return discoveryOn(t, fake, relay, missing).View
@@ -73,7 +73,7 @@
 	return discoveryOf(t, members.Member{Name: "self", Incarnation: members.NewIncarnation(), Domain: "a"}, fake, relay, missing)
 }
 
-// discoveryOf starts a process that registers as stated.
+// discoveryOf starts a process with the given registration.
 func discoveryOf(t *testing.T, self members.Member, fake http.Handler, relay discovery.Relay, missing func()) *discovery.Discovery {
 	t.Helper()
 	server := httptest.NewServer(fake)
@@ -120,7 +120,7 @@
 
 func eventually(t *testing.T, holds func() bool) {
 	t.Helper()
-	require.Eventually(t, holds, soon, tick)
+	require.Eventually(t, holds, testTimeout, tick)
 }
 
 func TestConfigurationOnlyMovesUp(t *testing.T) {
@@ -130,7 +130,7 @@
 	setConfig(fake, 4)
 	fake.Set("config", "main", "not a configuration")
 	time.Sleep(apply)
-	require.EqualValues(t, 5, version(view()), "an older or unreadable one leaves the last good one in force")
+	require.EqualValues(t, 5, version(view()), "an older or invalid configuration leaves the last valid one in force")
 	setConfig(fake, 9)
 	eventually(t, func() bool { return version(view()) == 9 })
 }
@@ -147,8 +147,8 @@
 	eventually(t, func() bool { return version(view()) == 2 })
 }
 
-// TestSilentStore checks that a watch that is cut silently is noticed, and that
-// a change made meanwhile is in force soon after the store's return.
+// TestSilentStore checks that a watch whose connection is cut silently is detected, and that a change
+// made meanwhile is in force soon after the end of the outage.
 func TestSilentStore(t *testing.T) {
 	fake, view := start(t)
 	setConfig(fake, 1)
@@ -156,7 +156,7 @@
 	eventually(t, func() bool { return version(view()) == 1 && len(view().Usable("s")) == 1 })
 	fake.SetFaults(fleetstore.Faults{Silent: true})
 	eventually(t, func() bool { return !view().StoreUp })
-	require.Len(t, view().Usable("s"), 1, "the last known list stands")
+	require.Len(t, view().Usable("s"), 1, "the last known list stays in use")
 	setConfig(fake, 2)
 	fake.SetFaults(fleetstore.Faults{})
 	eventually(t, func() bool { return version(view()) == 2 && view().StoreUp })
@@ -174,8 +174,8 @@
 	eventually(t, func() bool { return len(view().Usable("s")) == 0 })
 }
 
-// TestLapsedWhileTheStoreWasAway checks that registrations that lapse in an
-// outage are kept until it is known which of them come back.
+// TestLapsedWhileTheStoreWasAway checks that instances whose registrations expire in an outage are kept
+// until they have had time to register again.
 func TestLapsedWhileTheStoreWasAway(t *testing.T) {
 	fake, view := start(t)
 	setInstance(fake, "i-1", "ready")
@@ -190,8 +190,8 @@
 	fake.SetFaults(fleetstore.Faults{})
 	eventually(t, func() bool { return view().StoreUp })
 	time.Sleep(lapseKept / 4)
-	require.Len(t, view().Usable("s"), 2, "both may come back")
-	require.Nil(t, view().Instances["i-3"], "one that was draining does not")
+	require.Len(t, view().Usable("s"), 2, "both may register again")
+	require.Nil(t, view().Instances["i-3"], "a draining instance is not kept")
 	setInstance(fake, "i-1", "ready")
 	eventually(t, func() bool { return len(view().Usable("s")) == 1 })
 	require.True(t, view().Takes("s", "i-1"))
@@ -199,9 +199,9 @@
 	require.True(t, view().Takes("s", "i-1"))
 }
 
-// TestGoneAndBackInOneAnswer is the fault that lost every engine for the rest of
-// an own day: registrations that lapsed in an outage and came back before the
-// store was reached again are deleted and created in one answer of a watch.
+// TestGoneAndBackInOneAnswer covers registrations that expire in an outage and are renewed before the store
+// is reached again, so that one answer of a watch deletes and creates them. This once removed every engine
+// for the rest of a simulated day.
 func TestGoneAndBackInOneAnswer(t *testing.T) {
 	fake, view := start(t)
 	setInstance(fake, "i-1", "ready")
@@ -216,8 +216,8 @@
 	require.True(t, view().Takes("s", "i-1"))
 }
 
-// TestLapsedWhileAnotherFeedFailed covers an outage that the feed of the instances
-// did not notice itself, since its watch was waiting: what goes then has lapsed.
+// TestLapsedWhileAnotherFeedFailed covers an outage that only the feed of the configuration notices, since
+// the watch of the instances is waiting. A registration that is removed then counts as expired.
 func TestLapsedWhileAnotherFeedFailed(t *testing.T) {
 	fake, view := start(t)
 	setInstance(fake, "i-1", "ready")
@@ -226,12 +226,12 @@
 	eventually(t, func() bool { return !view().StoreUp })
 	fake.Remove("servers", "i-1")
 	time.Sleep(lapseKept / 3)
-	require.True(t, view().Takes("s", "i-1"), "it may come back")
+	require.True(t, view().Takes("s", "i-1"), "it may register again")
 	eventually(t, func() bool { return !view().Takes("s", "i-1") })
 }
 
-// TestProofNeedsAnAnswer checks that the proof ages while the store is silent, and through
-// an answer that was long on its way.
+// TestProofNeedsAnAnswer checks that the staleness of the configuration grows while the store does not
+// answer, and that an answer which was delayed does not reset it.
 func TestProofNeedsAnAnswer(t *testing.T) {
 	fake, view := start(t)
 	setConfig(fake, 1)
@@ -242,57 +242,57 @@
 	eventually(t, func() bool { return view().ProofAge() < apply })
 }
 
-// TestRegistrationsOfOtherWriters checks that what cannot be read names no instance and
-// leaves the others alone, and that the instance is back with its next good registration.
+// TestRegistrationsOfOtherWriters checks that a registration which cannot be decoded removes its instance
+// but no other one, and that the instance is back with its next valid registration.
 func TestRegistrationsOfOtherWriters(t *testing.T) {
 	fake, view := start(t)
-	for _, odd := range []any{
+	for _, invalid := range []any{
 		"text", 7, []int{1}, nil, map[string]any{"service": 5, "address": "10.0.0.1:80"}, map[string]any{"service": "s", "address": "10.0.0.1:80", "slots": "many", "phase": "ready"},
 		map[string]any{"service": "s", "phase": "ready"}, map[string]any{"service": "s", "address": "10.0.0.1:80", "phase": "odd"}, map[string]any{"service": "s", "address": "10.0.0.1:80", "phase": "ready", "stage": 3},
 	} {
 		setInstance(fake, "i-1", "ready")
 		setInstance(fake, "i-2", "ready")
 		eventually(t, func() bool { return len(view().Usable("s")) == 2 })
-		fake.Set("servers", "i-1", odd)
+		fake.Set("servers", "i-1", invalid)
 		eventually(t, func() bool { return !view().Takes("s", "i-1") })
 		require.True(t, view().Takes("s", "i-2"))
 	}
 }
 
-// TestAProcessLearnsThatItsRegistrationWent covers a process that watches the members, and one
-// that lists them since no scheduler answers.
+// TestAProcessLearnsThatItsRegistrationWent covers a process that watches the members, and one that lists
+// them because no scheduler answers.
 func TestAProcessLearnsThatItsRegistrationWent(t *testing.T) {
 	fake := fleetstore.New()
-	told := make(chan struct{}, 100)
-	startWith(t, fake, nil, func() { told <- struct{}{} })
+	called := make(chan struct{}, 100)
+	startWith(t, fake, nil, func() { called <- struct{}{} })
 	time.Sleep(apply)
-	require.Empty(t, told)
+	require.Empty(t, called)
 	fake.Remove("rockdoor-members", "self")
-	await(t, told)
+	waitFor(t, called)
 
 	fake = fleetstore.New()
-	told = make(chan struct{}, 100)
+	called = make(chan struct{}, 100)
 	for n := range members.FullMesh + 2 {
 		setMember(t, fake, fmt.Sprint("m-", n))
 	}
-	startWith(t, fake, deaf{}, func() { told <- struct{}{} })
-	time.Sleep(soon / 2)
-	require.Empty(t, told)
+	startWith(t, fake, unavailableRelay{}, func() { called <- struct{}{} })
+	time.Sleep(testTimeout / 2)
+	require.Empty(t, called)
 	fake.Remove("rockdoor-members", "self")
-	await(t, told)
+	waitFor(t, called)
 }
 
-func await(t *testing.T, told <-chan struct{}) {
+func waitFor(t *testing.T, called <-chan struct{}) {
 	t.Helper()
 	select {
-	case <-told:
-	case <-time.After(4 * soon):
-		t.Fatal("not told")
+	case <-called:
+	case <-time.After(4 * testTimeout):
+		t.Fatal("not called")
 	}
 }
 
-// Any object of the kind counted as the configuration, such as a draft of a higher version,
-// and the one in force was ignored until it had passed it.
+// Any object of the kind counted as the configuration. After a draft with a higher version, the configuration
+// was ignored until its version had passed that of the draft.
 func TestOtherObjectsAreNoConfiguration(t *testing.T) {
 	fake, view := start(t)
 	setConfig(fake, 5)
@@ -304,9 +304,8 @@
 	require.EqualValues(t, 6, version(view()))
 }
 
-// Each return of the store began the time anew for which an instance is kept whose registration
-// went while the store was away. A process that lost the store again and again kept one that had
-// left for as long as that went on.
+// Each end of an outage restarted the time for which an instance with an expired registration is kept. A
+// process that lost the store again and again kept a removed instance for as long as this went on.
 func TestLossesInSuccessionKeepNobodyForLonger(t *testing.T) {
 	fake, view := start(t)
 	setInstance(fake, "i-1", "ready")
@@ -324,47 +323,46 @@
 	require.False(t, view().Takes("s", "i-1"), "it left %s ago", time.Since(removed))
 }
 
-// heldBack answers from what the store holds when a question comes, and tells it later.
-func heldBack(fake http.Handler, by time.Duration) http.Handler {
+// delayAnswers sends each answer after a delay, with the store's content as of the request.
+func delayAnswers(fake http.Handler, delay time.Duration) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		answer := httptest.NewRecorder()
 		fake.ServeHTTP(answer, r)
-		time.Sleep(by)
+		time.Sleep(delay)
 		w.WriteHeader(answer.Code)
-		_, _ = w.Write(answer.Body.Bytes()) // a caller that is gone needs no answer
+		_, _ = w.Write(answer.Body.Bytes()) // an error means that the client has disconnected
 	})
 }
 
-// The age of what is believed counted from when an answer was taken in. Answers that were 30 ms
-// on their way made copies 30 ms younger than they were; an answer may take three quarters of a
-// second where changes must be in force within three, and what others copy is judged by that
-// age.
+// The age of the data counted from the arrival of an answer, so that answers that took 30 ms made the data
+// 30 ms younger than it was. An answer may take 0.75 s where changes must be in force within 3 s, and other
+// processes judge the data by this age.
 func TestAnAnswerIsAsOldAsItsWay(t *testing.T) {
-	const way = 30 * time.Millisecond
+	const delay = 30 * time.Millisecond
 	fake := fleetstore.New()
 	setConfig(fake, 1)
-	view := startOn(t, heldBack(fake, way), nil)
+	view := startOn(t, delayAnswers(fake, delay), nil)
 	eventually(t, func() bool { return view().Ready() })
-	for begun := time.Now(); time.Since(begun) < 4*apply; time.Sleep(time.Millisecond) {
+	for start := time.Now(); time.Since(start) < 4*apply; time.Sleep(time.Millisecond) {
 		v := view()
-		require.GreaterOrEqual(t, v.InstancesAge(), way)
-		require.GreaterOrEqual(t, v.ConfigAge(), way)
+		require.GreaterOrEqual(t, v.InstancesAge(), delay)
+		require.GreaterOrEqual(t, v.ConfigAge(), delay)
 	}
 }
 
-// A list has a page for every few registrations, and what its first one said is as old as the whole
-// list when that is taken in. Where lists took two seconds, all copies were too old for those that
-// followed: each listed by itself, 1,282 calls of 18 processes where 600 are allowed.
+// A list consists of pages, and the content of the first page is as old as the whole list took. Where lists
+// took two seconds, all data was too old for the followers, and each listed the objects itself: 1,282 calls of
+// 18 processes where 600 are allowed.
 func TestALongListIsBroughtUpToDate(t *testing.T) {
 	const page, pages = 5, 12
-	const way = 30 * time.Millisecond
+	const delay = 30 * time.Millisecond
 	fake := fleetstore.New()
 	setConfig(fake, 1)
 	for n := range page * pages {
 		setInstance(fake, fmt.Sprintf("i-%02d", n), "ready")
 	}
-	fake.SetFaults(fleetstore.Faults{Delay: way})
+	fake.SetFaults(fleetstore.Faults{Delay: delay})
 	view := startOn(t, fake, nil)
-	require.Eventually(t, func() bool { return view().Listed }, soon, time.Millisecond)
-	require.Less(t, view().InstancesAge(), pages*way/2)
+	require.Eventually(t, func() bool { return view().Listed }, testTimeout, time.Millisecond)
+	require.Less(t, view().InstancesAge(), pages*delay/2)
 }
--- a/internal/discovery/era.go
+++ b/internal/discovery/era.go
@@ -12,90 +12,92 @@
 	"github.com/rockdoor/rockdoor/objstore"
 )
 
-// era is what is known of the store's newest era: it has come back from a copy that was older than
-// what it had acknowledged.
+// era is the newest era of the store that this process has seen. The store's era rises each time
+// the store is restored from a snapshot that lacks writes which it had acknowledged.
 type era struct {
 	number int64
-	// at is when it was seen first, base the store's number of the first revision that was seen of it.
-	// What has a higher number was written in this era; the rest may be of the copy.
-	at   bootclock.Instant
-	base int64
-	// restored is true if this process had seen an earlier era.
+	// seenAt is when this process first saw the era, and baseRevision the number of the first
+	// revision that it saw of it. Objects with higher numbers were written in this era; the
+	// others may stem from the snapshot.
+	seenAt       bootclock.Instant
+	baseRevision int64
+	// restored is true if this process had seen the store before this era.
 	restored bool
 }
 
-// ofCopy reports whether an object may be as the copy has it, with which the store came back.
-func (e *era) ofCopy(v objstore.Version) bool {
-	return e.restored && v.Era() == e.number && v.Number() <= e.base
+// mayPredateRestore reports whether an object may stem from the snapshot that the store was
+// restored from.
+func (e *era) mayPredateRestore(v objstore.Version) bool {
+	return e.restored && v.Era() == e.number && v.Number() <= e.baseRevision
 }
 
-// seeEra takes in the store's era as a revision shows it. from says who told it.
-func (d *Discovery) seeEra(rev objstore.Revision, from string) {
+// observeEra records the era of a revision. from says where the revision came from, for the log.
+func (d *Discovery) observeEra(rev objstore.Revision, from string) {
 	if rev == 0 || rev.Era() <= d.era.number {
 		return
 	}
 	known := d.cur.InstancesRevision != 0 || d.cur.Config != nil
 	old := d.era.number
-	d.era = era{number: rev.Era(), at: bootclock.Now(), base: rev.Number(), restored: known}
+	d.era = era{number: rev.Era(), seenAt: bootclock.Now(), baseRevision: rev.Number(), restored: known}
 	d.cur.Era = d.era.number
 	metrics.GetOrRegisterGauge("discovery.era", d.o.Metrics).Update(d.era.number)
 	if known {
-		d.registerAgain()
-		level.Warn(d.logger).Log("msg", "store came back from an older copy", "era", d.era.number, "before", old, "revision", rev.Number(),
+		d.scheduleRegistrationCheck()
+		level.Warn(d.logger).Log("msg", "store was restored from an older snapshot", "era", d.era.number, "before", old, "revision", rev.Number(),
 			"last_revision", d.cur.InstancesRevision.Number(), "instances", len(d.instances), "from", from)
 	}
 }
 
-// registerSpread is over how long a time the processes of a fleet look whether they are still
-// registered, after the store came back from an older copy: 295 looks are some 200 calls a
-// second.
-const registerSpread = 1500 * time.Millisecond
+// registrationCheckJitter is the time over which the processes of a fleet spread the check of their
+// registrations after a restore of the store. With 295 processes it makes some 200 calls a second.
+const registrationCheckJitter = 1500 * time.Millisecond
 
-// registerAgain has this process look whether the copy has its registration.
-func (d *Discovery) registerAgain() {
-	time.AfterFunc(d.ownPart(registerSpread), d.o.Restored)
+// scheduleRegistrationCheck has this process check later whether the restored store has its
+// registration.
+func (d *Discovery) scheduleRegistrationCheck() {
+	time.AfterFunc(d.ownJitter(registrationCheckJitter), d.o.Restored)
 }
 
-// resetMembers begins to take in a whole list of the members. Those that were known stay a while if the
-// store has just come back from an older copy: the fleet would name other schedulers, or none.
+// resetMembers prepares for a full list of the members. Shortly after a restore of the store the
+// known members are kept for a while: without them the fleet would choose other schedulers, or none.
 func (d *Discovery) resetMembers() {
-	d.unlisted = map[string]bool{}
-	if !d.justRestored() {
+	d.unlistedMembers = map[string]bool{}
+	if !d.recentlyRestored() {
 		d.members = map[string]members.Member{}
 		return
 	}
 	for key := range d.members {
-		d.unlisted[key] = true
+		d.unlistedMembers[key] = true
 	}
 }
 
-// dropUnlisted takes out the members that have not registered again in time.
-func (d *Discovery) dropUnlisted() {
-	if len(d.unlisted) == 0 || d.justRestored() {
+// dropUnlistedMembers removes the members that have not registered again in time after a restore.
+func (d *Discovery) dropUnlistedMembers() {
+	if len(d.unlistedMembers) == 0 || d.recentlyRestored() {
 		return
 	}
-	for key := range d.unlisted {
+	for key := range d.unlistedMembers {
 		delete(d.members, key)
 	}
-	level.Info(d.logger).Log("msg", "members not registered again", "dropped", len(d.unlisted), "registered", len(d.members))
-	d.unlisted = nil
+	level.Info(d.logger).Log("msg", "members dropped: not registered again after the restore of the store", "dropped", len(d.unlistedMembers), "registered", len(d.members))
+	d.unlistedMembers = nil
 	d.cur.Processes = len(d.members)
 }
 
-// justRestored reports whether what is missing may still be written again: the platform has those that
-// run write again within about two seconds of the store's return.
-func (d *Discovery) justRestored() bool {
-	return d.era.restored && bootclock.Since(d.era.at) < max(d.o.LapseKept, registerSpread)
+// recentlyRestored reports whether missing objects may still be written again after a restore. The
+// platform rewrites the registrations of running instances within about two seconds.
+func (d *Discovery) recentlyRestored() bool {
+	return d.era.restored && bootclock.Since(d.era.seenAt) < max(d.o.LapseKept, registrationCheckJitter)
 }
 
-// leftBefore reports whether a registration that may be of the copy is of an instance of which this
-// process knows that it has said since that it leaves, or has gone.
-func (d *Discovery) leftBefore(i *fleet.Instance, v objstore.Version) bool {
-	if !d.era.ofCopy(v) {
+// knownToHaveLeft reports whether this process knows that an instance has begun to drain or was
+// removed, while a registration that may stem from the restored snapshot says otherwise.
+func (d *Discovery) knownToHaveLeft(i *fleet.Instance, v objstore.Version) bool {
+	if !d.era.mayPredateRestore(v) {
 		return false
 	}
-	if went, gone := d.gone[i.ID]; gone {
-		return went.version.Era() < v.Era()
+	if r, ok := d.removed[i.ID]; ok {
+		return r.version.Era() < v.Era()
 	}
 	old := d.instances[i.ID]
 	return old != nil && old.Draining && !i.Draining && old.Born == i.Born && d.versions[i.ID].Era() < v.Era()
--- a/internal/discovery/era_test.go
+++ b/internal/discovery/era_test.go
@@ -14,24 +14,23 @@
 	"github.com/rockdoor/rockdoor/objstore"
 )
 
-// before is how much older the copy is with which the store comes back in these tests.
-const before = 300 * time.Millisecond
+// snapshotAge is how much older the snapshot is that the store is restored from in these tests.
+const snapshotAge = 300 * time.Millisecond
 
-// restored starts a process on a store, has it learn of changes, and has the store come back
-// from a copy that lacks them: i-drains was ready in it, i-gone was there, i-new was not, and
-// i-often had been changed less often, so that its next changes get revisions that were given
-// out before.
-func restored(t *testing.T) (*fleetstore.Server, func() *fleet.View) {
+// startRestored starts a process on a store, has it learn of changes, and then restores the store from a
+// snapshot that lacks these changes. In the snapshot i-drains is ready, i-gone exists and i-new does not,
+// and i-often has fewer changes, so that its next changes get revisions that were used before.
+func startRestored(t *testing.T) (*fleetstore.Server, func() *fleet.View) {
 	fake := fleetstore.New()
 	fake.SetEra(3)
 	setConfig(fake, 1)
 	for _, id := range []string{"i-stays", "i-drains", "i-gone", "i-often"} {
 		setInstance(fake, id, "ready")
 	}
-	see := startOn(t, fake, nil)
-	eventually(t, func() bool { return len(see().Usable("s")) == 4 })
-	time.Sleep(before)
-	copied := time.Now()
+	view := startOn(t, fake, nil)
+	eventually(t, func() bool { return len(view().Usable("s")) == 4 })
+	time.Sleep(snapshotAge)
+	taken := time.Now()
 	for n := range 20 {
 		setSlots(fake, "i-often", "ready", 5+n)
 	}
@@ -40,31 +39,31 @@
 	fake.Remove("servers", "i-gone")
 	setInstance(fake, "i-new", "ready")
 	eventually(t, func() bool {
-		return version(see()) == 2 && see().Takes("s", "i-new") && see().Instances["i-gone"] == nil
+		return version(view()) == 2 && view().Takes("s", "i-new") && view().Instances["i-gone"] == nil
 	})
-	require.False(t, see().Takes("s", "i-drains"))
-	fake.Restore(time.Since(copied) + before/10)
-	eventually(t, func() bool { return see().Era == 4 })
-	return fake, see
+	require.False(t, view().Takes("s", "i-drains"))
+	fake.Restore(time.Since(taken) + snapshotAge/10)
+	eventually(t, func() bool { return view().Era == 4 })
+	return fake, view
 }
 
-// A store that comes back from an older copy gives revisions out again. What it said then was
-// taken for older than what had been known, until its revisions had passed the former ones:
-// here an instance that says that it leaves went on getting requests.
+// A store that is restored from an older snapshot uses revisions again. Its data was taken for older than
+// the known data until its revisions had passed the earlier ones; here a draining instance went on getting
+// requests.
 func TestAStoreComesBackFromAnOlderCopy(t *testing.T) {
-	fake, see := restored(t)
+	fake, view := startRestored(t)
 	setInstance(fake, "i-often", "draining")
-	eventually(t, func() bool { return !see().Takes("s", "i-often") })
+	eventually(t, func() bool { return !view().Takes("s", "i-often") })
 	setInstance(fake, "i-later", "ready")
-	eventually(t, func() bool { return see().Takes("s", "i-later") })
+	eventually(t, func() bool { return view().Takes("s", "i-later") })
 }
 
-// The copy says that instances are ready that have said since that they leave, or have gone, and it has
-// an older configuration. None of this comes back.
+// The snapshot has instances as ready that have begun to drain or were removed since, and an older
+// configuration. None of this may come into force again.
 func TestWhatWasKnownDoesNotComeBackWithTheCopy(t *testing.T) {
-	_, see := restored(t)
-	for begun := time.Now(); time.Since(begun) < 2*lapseKept; time.Sleep(tick) {
-		v := see()
+	_, view := startRestored(t)
+	for start := time.Now(); time.Since(start) < 2*lapseKept; time.Sleep(tick) {
+		v := view()
 		require.False(t, v.Takes("s", "i-drains"))
 		require.False(t, v.Takes("s", "i-gone"))
 		require.Equal(t, int64(2), version(v))
@@ -72,63 +71,63 @@
 	}
 }
 
-// An instance that the copy lacks is used for as long as instances have to write again.
+// An instance that is missing from the snapshot is kept for the time that instances have to register again.
 func TestWhatTheCopyLacksHasTimeToBeWrittenAgain(t *testing.T) {
-	fake, see := restored(t)
-	require.True(t, see().Takes("s", "i-new"))
+	fake, view := startRestored(t)
+	require.True(t, view().Takes("s", "i-new"))
 	time.Sleep(lapseKept / 3)
-	require.True(t, see().Takes("s", "i-new"))
+	require.True(t, view().Takes("s", "i-new"))
 	setInstance(fake, "i-new", "ready")
 	time.Sleep(2 * lapseKept)
-	require.True(t, see().Takes("s", "i-new"), "it has written again")
+	require.True(t, view().Takes("s", "i-new"), "it has registered again")
 
-	_, see = restored(t)
-	eventually(t, func() bool { return see().Instances["i-new"] == nil })
+	_, view = startRestored(t)
+	eventually(t, func() bool { return view().Instances["i-new"] == nil })
 }
 
-// What the operator and the instances write anew counts, also under a number that was used before.
+// What the operator and the instances write after the restore counts, also if its number was used before.
 func TestWhatIsWrittenAnewCounts(t *testing.T) {
-	fake, see := restored(t)
+	fake, view := startRestored(t)
 	fake.Set("config", "main", map[string]any{"version": 2, "services": []map[string]any{{"name": "anew"}}})
-	eventually(t, func() bool { _, anew := see().Config.Services["anew"]; return anew })
+	eventually(t, func() bool { _, ok := view().Config.Services["anew"]; return ok })
 	setInstance(fake, "i-gone", "ready")
-	eventually(t, func() bool { return see().Takes("s", "i-gone") })
+	eventually(t, func() bool { return view().Takes("s", "i-gone") })
 	setConfig(fake, 3)
-	eventually(t, func() bool { return version(see()) == 3 })
+	eventually(t, func() bool { return version(view()) == 3 })
 }
 
-// Rules of place that an operator was told to be in force hold on until rules are applied again.
+// Rules that an operator was told are in force stay in force until rules are applied again.
 func TestRulesHoldWhereTheStoreComesBackOlder(t *testing.T) {
 	fake := fleetstore.New()
 	fake.SetEra(1)
-	see := startOn(t, fake, nil)
+	view := startOn(t, fake, nil)
 	fake.Set("rockdoor-rules", "main", map[string]any{"write": "w", "value": json.RawMessage(onlyA)})
-	eventually(t, func() bool { return see().Rules != nil })
-	time.Sleep(before / 3)
-	fake.Restore(before)
-	eventually(t, func() bool { return see().Era == 2 })
+	eventually(t, func() bool { return view().Rules != nil })
+	time.Sleep(snapshotAge / 3)
+	fake.Restore(snapshotAge)
+	eventually(t, func() bool { return view().Era == 2 })
 	time.Sleep(5 * apply)
-	require.False(t, permits(see(), "b"))
+	require.False(t, permits(view(), "b"))
 	fake.Set("rockdoor-rules", "main", map[string]any{"write": "w", "value": json.RawMessage(onlyB)})
-	eventually(t, func() bool { return permits(see(), "b") })
+	eventually(t, func() bool { return permits(view(), "b") })
 }
 
-// A process that knows of the store's return gets nothing from one that does not, as one that
-// is cut off or of a version that counts no eras: its copies are young, but they are of what
-// the store was before. It looks at the store itself.
+// A process that has seen the restore must ignore data from one that has not, such as a process that has
+// lost the store or whose software does not know eras: its data is young, but of the store before the
+// restore. The process must read the store directly.
 func TestCopiesOfAnEarlierEraAreNotWaitedFor(t *testing.T) {
 	fake := fleetstore.New()
 	fake.SetEra(2)
-	relay := make(copies)
-	see := followingOn(t, fake, relay)
+	relay := make(fakeRelay)
+	view := followingOn(t, fake, relay)
 	setConfig(fake, 1)
-	tell(relay, true, int(objstore.InEra(2, 30)), objstore.Event{Object: objstore.Object{
+	sendUpdate(relay, true, int(objstore.InEra(2, 30)), objstore.Event{Object: objstore.Object{
 		Key: "config/main", Version: objstore.Version(objstore.InEra(2, 30)), Value: []byte(`{"version": 1}`),
 	}})
-	eventually(t, func() bool { return version(see()) == 1 })
-	keepTelling(t, relay, func() discovery.Followed {
+	eventually(t, func() bool { return version(view()) == 1 })
+	sendRepeatedly(t, relay, func() discovery.Followed {
 		return discovery.Followed{Age: time.Millisecond, InstancesRevision: 7, Processes: 30, Schedulers: []members.Member{{Name: "other"}}}
 	})
 	setConfig(fake, 2)
-	require.Eventually(t, func() bool { return version(see()) == 2 }, within, tick)
+	require.Eventually(t, func() bool { return version(view()) == 2 }, within, tick)
 }
--- a/internal/discovery/flood_test.go
+++ b/internal/discovery/flood_test.go
@@ -9,55 +9,55 @@
 )
 
 const (
-	// floodFor is for how long changes come one after the other.
-	floodFor = time.Second
-	// mostAsked is how often a source may be asked meanwhile: every 80 ms, and at the ends.
-	mostAsked = 16
+	// burstDuration is how long changes follow one another.
+	burstDuration = time.Second
+	// maxRequests is the max number of requests per feed in this time: one every 80 ms, and a few at both ends.
+	maxRequests = 16
 )
 
-// TestAFloodOfChangesIsAskedForInParts has instances register much faster than a process asks for changes:
-// the calls to the store follow the time, not the instances.
+// TestAFloodOfChangesIsAskedForInParts has instances register much faster than a process polls: the number of
+// calls to the store must depend on the time, not on the number of instances.
 func TestAFloodOfChangesIsAskedForInParts(t *testing.T) {
 	fake, view := start(t)
 	setConfig(fake, 1)
 	setInstance(fake, "i-0", "ready")
 	eventually(t, func() bool { return view().Takes("s", "i-0") })
 	before, n := fake.Calls(), 0
-	for end := time.Now().Add(floodFor); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(burstDuration); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		n++
 		setInstance(fake, fmt.Sprint("i-", n), "ready")
 	}
 	eventually(t, func() bool { return len(view().Usable("s")) == n+1 })
-	others := 3 * int(floodFor/apply) * 2 // watches of configuration, rules and members
-	require.LessOrEqual(t, fake.Calls()-before, mostAsked+others)
-	require.Greater(t, n, 10*mostAsked)
+	others := 3 * int(burstDuration/apply) * 2 // watches of the configuration, rules and members
+	require.LessOrEqual(t, fake.Calls()-before, maxRequests+others)
+	require.Greater(t, n, 10*maxRequests)
 }
 
-// TestAFloodOfChangesIsFollowedInParts has a scheduler answer each question at once, with a change.
+// TestAFloodOfChangesIsFollowedInParts has a scheduler answer each request at once, with a change.
 func TestAFloodOfChangesIsFollowedInParts(t *testing.T) {
-	relay := make(copies)
+	relay := make(fakeRelay)
 	view := startFollowing(t, relay)
-	asked := 0
-	for end := time.After(floodFor); ; asked++ {
+	requests := 0
+	for end := time.After(burstDuration); ; requests++ {
 		select {
-		case relay <- followedAt(asked + 1):
+		case relay <- updateAt(requests + 1):
 			continue
 		case <-end:
 		}
 		break
 	}
-	require.LessOrEqual(t, asked, mostAsked)
-	eventually(t, func() bool { return len(view().Usable("s")) >= asked-1 })
+	require.LessOrEqual(t, requests, maxRequests)
+	eventually(t, func() bool { return len(view().Usable("s")) >= requests-1 })
 }
 
-// TestTheFirstChangeIsToldAtOnce measures how long one change takes after a calm.
+// TestTheFirstChangeIsToldAtOnce measures how long a single change takes after a quiet time.
 func TestTheFirstChangeIsToldAtOnce(t *testing.T) {
 	fake, view := start(t)
 	setConfig(fake, 1)
 	eventually(t, func() bool { return version(view()) == 1 })
 	time.Sleep(within / 10)
-	begun := time.Now()
+	start := time.Now()
 	setInstance(fake, "i-0", "ready")
 	eventually(t, func() bool { return view().Takes("s", "i-0") })
-	require.Less(t, time.Since(begun), within/25)
+	require.Less(t, time.Since(start), within/25)
 }
--- a/internal/discovery/follow.go
+++ b/internal/discovery/follow.go
@@ -15,136 +15,137 @@
 	"github.com/rockdoor/rockdoor/objstore"
 )
 
-// source names one kind of objects that is followed.
-type source string
+// feedName names a feed.
+type feedName string
 
-// changed is what a follower learned from one answer of the store.
-type changed struct {
-	feed source
-	// settled is true if another process told this: it has hidden what is secret, and decided
-	// what to make of registrations that went while the store was away.
-	settled bool
-	// reset is true if events holds everything that exists.
-	reset bool
-	// asked is when the question was sent to the store, confirmed is as of when its answer is
-	// known to hold: that it took longer than it was asked to wait may have been its way.
-	asked, confirmed bootclock.Instant
-	// revision is the one of the store up to which the events are complete.
+// feedUpdate holds the changes of one feed from one answer of the store or one update of a relay.
+type feedUpdate struct {
+	feed feedName
+	// relayed is true if the update came from another process. That process has removed the
+	// secrets, and has decided about registrations that expired during an outage of the store.
+	relayed bool
+	// full is true if events holds all existing objects.
+	full bool
+	// askedAt is when the request was sent to the store. confirmedAt is as of when its answer is
+	// known to hold: at most the wait after askedAt, since any time beyond may have been spent on
+	// the network.
+	askedAt, confirmedAt bootclock.Instant
+	// revision is the store's revision up to which the events are complete.
 	revision objstore.Revision
-	// events are in the order in which they happened: an object may go and come
-	// back in one answer.
+	// events are in the order in which they happened. One answer may delete an object and
+	// create it again.
 	events []objstore.Event
-	// decoded are instances of events that have been decoded already, by their keys.
+	// decoded holds instances of the events that have been decoded already, by key.
 	decoded map[string]*fleet.Instance
 }
 
-// lostStore says that a call of a feed failed.
-type lostStore struct {
-	feed source
+// feedFailure is the event that a store call of a feed failed.
+type feedFailure struct {
+	feed feedName
 	err  error
 }
 
-// follower keeps one kind of objects up to date through short watches. A watch
-// that is cut silently is noticed when its time is up.
+// follower keeps the objects of one feed up to date through short watches. The timeout of a
+// watch detects a connection that was cut silently.
 type follower struct {
-	feed   source
+	feed   feedName
 	prefix string
 	store  objstore.Store
-	// confirm is asked before an empty list of a store that may be stale counts: that can be
-	// older than its revision. It is nil where the list is never stale.
-	confirm objstore.Store
-	// wait returns how long the next watch waits.
+	// freshStore is asked to confirm an empty list of a store whose answers may be stale: the
+	// content of such a list can be older than its revision. It is nil if lists are never stale.
+	freshStore objstore.Store
+	// wait returns how long the next watch waits for changes.
 	wait func() time.Duration
-	// answerWithin is how long an answer may take beyond the wait.
-	answerWithin time.Duration
-	// retryMost is the longest pause between failed calls.
-	retryMost time.Duration
-	// gap is how far two calls lie apart at the least of which the first told of changes.
-	gap    time.Duration
-	events chan<- any
-	logger log.Logger
+	// answerTimeout is how long an answer may take beyond the wait.
+	answerTimeout time.Duration
+	// maxRetryDelay is the longest pause between failed calls.
+	maxRetryDelay time.Duration
+	// minInterval is the min time between two calls if the first one returned changes.
+	minInterval time.Duration
+	events      chan<- any
+	logger      log.Logger
 }
 
 const (
-	// retryFirst and retryMost bound the pause between failed calls. The store's
-	// return has to be seen well within the time that a configuration has.
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 400 * time.Millisecond
-	// probeWait is how long a watch waits after a failed one, so that the store's
-	// return is seen soon.
+	// initialRetryDelay and maxRetryDelay bound the pause between failed calls. The end of an
+	// outage has to be noticed well within the time in which a configuration must be in force.
+	initialRetryDelay = 100 * time.Millisecond
+	maxRetryDelay     = 400 * time.Millisecond
+	// probeWait is how long a watch waits after a failed one. It is short so that the end of
+	// an outage is noticed soon.
 	probeWait = 50 * time.Millisecond
-	// catchUpWait is how long a watch waits that brings a long list up to date: the least that a store
-	// takes.
+	// catchUpWait is how long the watch waits that brings a slow list up to date. It is the
+	// smallest wait that a store accepts.
 	catchUpWait = time.Millisecond
-	// listMost bounds a whole list; Options.Store bounds each of its pages. A list of 3,000
-	// engines has 60 pages, which take 12 s from a store that answers in 200 ms.
-	listMost = 15 * time.Second
+	// listTimeout bounds a whole list; Options.Store bounds each of its pages. A list of 3,000
+	// engines has 60 pages, which take 12 s if the store answers in 200 ms.
+	listTimeout = 15 * time.Second
 )
 
-// run follows until ctx ends.
+// run follows the feed until ctx ends.
 func (f *follower) run(ctx context.Context) {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval = retryFirst, f.retryMost
+	retry := backoff.NewExponentialBackOff()
+	retry.InitialInterval, retry.MaxInterval = initialRetryDelay, f.maxRetryDelay
 	rev, listed, failed := objstore.Revision(0), false, false
 	for ctx.Err() == nil {
 		var err error
-		news, asked := 0, bootclock.Now()
+		changes, asked := 0, bootclock.Now()
 		if listed {
-			rev, news, err = f.watch(ctx, rev, failed)
+			rev, changes, err = f.watch(ctx, rev, failed)
 		} else {
 			rev, err = f.list(ctx)
 		}
 		switch {
 		case err == nil:
 			listed, failed = true, false
-			pause.Reset()
-			if news > 0 {
-				pauseUntil(ctx, asked.Add(f.gap))
+			retry.Reset()
+			if changes > 0 {
+				sleepUntil(ctx, asked.Add(f.minInterval))
 			}
 			continue
 		case errors.Is(err, objstore.ErrWatchGap):
-			level.Info(f.logger).Log("msg", "watch has a gap, listing again", "feed", f.feed, "revision", rev)
+			level.Info(f.logger).Log("msg", "watch history is incomplete, listing again", "feed", f.feed, "revision", rev)
 			listed = false
 			continue
 		case ctx.Err() != nil:
 			return
 		}
 		failed = true
-		f.send(ctx, lostStore{f.feed, err})
+		f.send(ctx, feedFailure{f.feed, err})
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause.NextBackOff()):
+		case <-time.After(retry.NextBackOff()):
 		}
 	}
 }
 
-// look reads all objects once, and tells if the store does not answer. It returns no error if
-// ctx has ended.
-func (f *follower) look(ctx context.Context) error {
+// readOnce lists the objects once and sends an event if that fails. It returns no error if ctx
+// has ended.
+func (f *follower) readOnce(ctx context.Context) error {
 	_, err := f.list(ctx)
 	if err == nil || ctx.Err() != nil {
 		return nil
 	}
-	f.send(ctx, lostStore{f.feed, err})
+	f.send(ctx, feedFailure{f.feed, err})
 	return err
 }
 
-// list reads all objects once.
+// list reads all objects once and sends them as a full update.
 func (f *follower) list(ctx context.Context) (objstore.Revision, error) {
 	asked := bootclock.Now()
-	ctx, cancel := context.WithTimeout(ctx, listMost)
+	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	objects, rev, err := f.store.List(ctx, f.prefix)
-	if err == nil && len(objects) == 0 && f.confirm != nil {
-		objects, rev, err = f.confirm.List(ctx, f.prefix)
+	if err == nil && len(objects) == 0 && f.freshStore != nil {
+		objects, rev, err = f.freshStore.List(ctx, f.prefix)
 	}
 	if fault.Is(err, fault.NotFound) {
-		err = nil // a kind without objects
+		err = nil // no object of this kind exists
 	}
 	if err != nil {
 		return rev, err
 	}
-	c := listing(f.feed, objects, asked)
+	c := fullUpdate(f.feed, objects, asked)
 	c.revision = rev
 	if bootclock.Since(asked) > probeWait {
 		f.catchUp(ctx, &c)
@@ -153,37 +154,38 @@
 	return c.revision, nil
 }
 
-// catchUp adds to a list that took long what has changed since its first page. Without it the
-// list is as old as it took, and too old for those that follow this process: each listed by
-// itself. A failure leaves the list as it is; the watch that follows shows it.
-func (f *follower) catchUp(ctx context.Context, c *changed) {
+// catchUp adds the changes since the first page to a list that took long. Without them the list
+// would be as old as it took to read, too old for the processes that follow this one, and each
+// of them would list the objects itself. A failure leaves the list as it is; the next watch
+// reports it.
+func (f *follower) catchUp(ctx context.Context, c *feedUpdate) {
 	asked := bootclock.Now()
-	wctx, cancel := context.WithTimeout(ctx, f.answerWithin)
+	wctx, cancel := context.WithTimeout(ctx, f.answerTimeout)
 	defer cancel()
 	events, rev, err := f.store.Watch(wctx, f.prefix, c.revision, catchUpWait)
 	if err != nil {
-		level.Info(f.logger).Log("msg", "list not brought up to date", "feed", f.feed, "took", bootclock.Since(c.asked).Round(time.Millisecond), "err", err)
+		level.Info(f.logger).Log("msg", "slow list could not be brought up to date", "feed", f.feed, "took", bootclock.Since(c.askedAt).Round(time.Millisecond), "err", err)
 		return
 	}
 	c.events = append(c.events, events...)
-	c.asked, c.confirmed, c.revision = asked, asked, max(rev, c.revision)
+	c.askedAt, c.confirmedAt, c.revision = asked, asked, max(rev, c.revision)
 }
 
-// watch waits for changes and returns up to which revision they are known, and how many came.
+// watch waits for changes. It returns the revision up to which they are complete, and their number.
 func (f *follower) watch(ctx context.Context, after objstore.Revision, failed bool) (objstore.Revision, int, error) {
 	wait := f.wait()
 	if failed {
 		wait = probeWait
 	}
 	asked := bootclock.Now()
-	wctx, cancel := context.WithTimeout(ctx, wait+f.answerWithin)
+	wctx, cancel := context.WithTimeout(ctx, wait+f.answerTimeout)
 	defer cancel()
 	events, rev, err := f.store.Watch(wctx, f.prefix, after, wait)
 	if err != nil {
 		return after, 0, err
 	}
 	rev = max(rev, after)
-	f.send(ctx, changed{feed: f.feed, events: events, asked: asked, confirmed: min(bootclock.Now(), asked.Add(wait)), revision: rev})
+	f.send(ctx, feedUpdate{feed: f.feed, events: events, askedAt: asked, confirmedAt: min(bootclock.Now(), asked.Add(wait)), revision: rev})
 	return rev, len(events), nil
 }
 
--- a/internal/discovery/instances.go
+++ b/internal/discovery/instances.go
@@ -11,105 +11,110 @@
 )
 
 const (
-	// awayRecent is how long after a failed call a registration that goes counts
-	// as lapsed. It covers the pause between two calls.
-	awayRecent = time.Second
-	// lapseTick is how often lapsed instances are reviewed.
-	lapseTick = 100 * time.Millisecond
-	// goneKept is for how long it is remembered that an instance has gone, against word of
-	// it that is older.
-	goneKept = time.Minute
-	// lapseShare is the part of the time in which a change must have reached everybody for which an
-	// instance whose registration went is used at the most, from when the store confirmed it last.
-	// The rest is for two hops, each some tens of ms, and the way of a request, up to 0.5 s with a
-	// new connection.
-	lapseShare = 0.75
-	// leastAbsence is for how long calls must have failed for the store to have been away. A watch
-	// that it cut and a call that failed again are behind by then.
-	leastAbsence = 500 * time.Millisecond
-	// toldEach is up to how many registrations of one answer get a line each in the log,
-	// which takes 2,000 a second. Of 3,000 at a start it dropped what came after them.
-	toldEach = 200
+	// failureWindow is how long after a failed call a missing registration counts as expired
+	// in an outage of the store. It covers the pause between two calls.
+	failureWindow = time.Second
+	// expiryInterval is how often the expired instances are reviewed.
+	expiryInterval = 100 * time.Millisecond
+	// removalRetention is how long the removal of an instance is remembered, so that an older
+	// registration received later is ignored.
+	removalRetention = time.Minute
+	// expiredUseShare is the share of the propagation bound for which an instance stays in use
+	// after the store last confirmed its registration. The rest of the bound is for two relay
+	// hops of some tens of ms each, and for a request on its way, up to 0.5 s with a new
+	// connection.
+	expiredUseShare = 0.75
+	// minOutage is how long calls must have failed for this to count as an outage of the
+	// store. Any watch that was cut and one more failed call are over by then.
+	minOutage = 500 * time.Millisecond
+	// maxLoggedEach is the max number of registrations in one answer that are logged one by
+	// one. The log takes 2,000 lines a second; at a start with 3,000 registrations it dropped
+	// the lines after them.
+	maxLoggedEach = 200
 )
 
-// departure is an instance that has gone.
-type departure struct {
+// removal records that an instance was removed.
+type removal struct {
 	version objstore.Version
 	at      bootclock.Instant
 }
 
-// lapse is an instance whose registration went, perhaps since the store was away.
-type lapse struct {
-	// until is when it is dropped if it has not come back.
-	until bootclock.Instant
-	// absence is true if the store was away for all that is known here: the time then begins at
-	// the store's return.
-	absence bool
+// expiry records that an instance's registration is missing, perhaps because of an outage of the
+// store.
+type expiry struct {
+	// dropAt is when the instance is removed unless it has registered again.
+	dropAt bootclock.Instant
+	// outage is true if this process saw an outage of the store. The time to register again
+	// then counts from the end of the outage.
+	outage bool
 }
 
-// applyInstances takes in registrations. A copy of another process that was behind when this
-// one changed to it took engines out that had just registered, for up to a minute.
-func (d *Discovery) applyInstances(c changed) {
-	if c.reset {
+// applyInstances applies changes of registrations. Data from another process can be older than
+// this process's own: when a process changed to a scheduler that lagged behind, it removed engines
+// that had just registered, for up to a minute.
+func (d *Discovery) applyInstances(c feedUpdate) {
+	if c.full {
 		d.cur.Listed = true
 		listed := map[string]bool{}
 		for _, e := range c.events {
-			listed[nameOf(e.Object.Key)] = true
+			listed[objectName(e.Object.Key)] = true
 		}
 		for id := range d.instances {
-			// What another process has may be older than a registration that is known here.
-			if !listed[id] && (!c.settled || objstore.Version(c.revision) >= d.versions[id]) {
-				d.removeInstance(id, c.settled)
+			// A relayed list may be older than a registration that this process knows.
+			if !listed[id] && (!c.relayed || objstore.Version(c.revision) >= d.versions[id]) {
+				d.removeInstance(id, c.relayed)
 			}
 		}
 	}
 	d.cur.InstancesRevision = max(d.cur.InstancesRevision, c.revision)
-	bulk := len(c.events) > toldEach
-	news := 0
+	bulk := len(c.events) > maxLoggedEach
+	changed := 0
 	for _, e := range c.events {
 		if e.Deleted {
-			d.deleteInstance(e.Object, c.settled)
+			d.deleteInstance(e.Object, c.relayed)
 			continue
 		}
 		if d.putInstance(e.Object, c.decoded[e.Object.Key], !bulk) {
-			news++
+			changed++
 		}
 	}
 	if bulk {
-		level.Info(d.logger).Log("msg", "instances", "listed", len(c.events), "news", news, "revision", c.revision)
+		level.Info(d.logger).Log("msg", "instances", "listed", len(c.events), "news", changed, "revision", c.revision)
 	}
 }
 
-// deleteInstance takes in that a registration was deleted. One that has come back since, with
-// a newer version, stays; a deletion whose object cannot be read has no version.
-func (d *Discovery) deleteInstance(obj objstore.Object, settled bool) {
-	id := nameOf(obj.Key)
+// deleteInstance applies the deletion of a registration. It has no effect if the instance has
+// registered again since, with a newer version. The deletion of an object that could not be decoded
+// has version 0.
+func (d *Discovery) deleteInstance(obj objstore.Object, relayed bool) {
+	id := objectName(obj.Key)
 	if obj.Version != 0 && obj.Version < d.versions[id] {
 		return
 	}
-	d.removeInstance(id, settled)
+	d.removeInstance(id, relayed)
 }
 
-// putInstance takes in one registration, decoded if it has been already, and reports whether it is news.
-func (d *Discovery) putInstance(obj objstore.Object, i *fleet.Instance, tell bool) bool {
+// putInstance applies one registration, decoding it unless i is given. It reports whether the
+// instance is new or changed, and logs this if logged is true.
+func (d *Discovery) putInstance(obj objstore.Object, i *fleet.Instance, logged bool) bool {
 	var err error
 	if i == nil {
 		i, err = d.o.DecodeInstance(obj)
 	}
 	if err != nil {
-		level.Error(d.logger).Log("msg", "registration left out", "key", obj.Key, "revision", obj.Version, "err", err)
+		level.Error(d.logger).Log("msg", "registration ignored: it cannot be decoded", "key", obj.Key, "revision", obj.Version, "err", err)
 		d.count("registrations_rejected")
-		if id := nameOf(obj.Key); d.instances[id] != nil && obj.Version > d.versions[id] {
+		if id := objectName(obj.Key); d.instances[id] != nil && obj.Version > d.versions[id] {
 			d.versions[id] = obj.Version
-			d.drop(id, "registration cannot be read")
+			d.dropInstance(id, "registration cannot be decoded")
 		}
 		return false
 	}
-	if went, ok := d.gone[i.ID]; obj.Version < d.versions[i.ID] || ok && obj.Version <= went.version {
-		return false // word that is older than what is known, from another source
+	if r, ok := d.removed[i.ID]; obj.Version < d.versions[i.ID] || ok && obj.Version <= r.version {
+		return false // stale: from a source that lags behind
 	}
-	if d.leftBefore(i, obj.Version) {
-		level.Info(d.logger).Log("msg", "instance of the copy has left", "id", i.ID, "revision", obj.Version.Number(), "era", obj.Version.Era())
+	if d.knownToHaveLeft(i, obj.Version) {
+		level.Info(d.logger).Log("msg", "registration of the restored store ignored: the instance is known to be draining or removed", "id", i.ID, "revision", obj.Version.Number(), "era", obj.Version.Era())
 		return false
 	}
 	d.versions[i.ID] = obj.Version
@@ -117,122 +122,123 @@
 	if old != nil && *old == *i {
 		return false
 	}
-	d.instances[i.ID], d.touched[i.ID] = i, true
-	d.tell(objstore.Event{Object: obj})
-	delete(d.gone, i.ID)
-	delete(d.lapsed, i.ID)
-	if tell {
+	d.instances[i.ID], d.changedIDs[i.ID] = i, true
+	d.queueEvent(objstore.Event{Object: obj})
+	delete(d.removed, i.ID)
+	delete(d.expired, i.ID)
+	if logged {
 		level.Info(d.logger).Log("msg", "instance", "id", i.ID, "service", i.Service, "address", i.Address, "role", i.Role,
 			"draining", i.Draining, "known", old != nil, "revision", obj.Version)
 	}
 	return true
 }
 
-// removeInstance takes an instance out whose registration is gone. If it went
-// while the store was away it is kept for a while, since the platform then drops
-// registrations of instances that still run. One that was draining goes at once, and so
-// does one of which another process has settled this.
-func (d *Discovery) removeInstance(id string, settled bool) {
+// removeInstance removes an instance whose registration is missing. If the registration may have
+// expired in an outage of the store, the instance is kept for a while, since the platform then drops
+// registrations of instances that still run. A draining instance is removed at once, and so is one
+// about which another process has decided already.
+func (d *Discovery) removeInstance(id string, relayed bool) {
 	i := d.instances[id]
-	if i == nil || i.Lapsed && !settled {
+	if i == nil || i.Lapsed && !relayed {
 		return
 	}
-	if !settled && !i.Draining && (d.justRestored() || d.storeWasAway()) {
-		d.lapse(i)
+	if !relayed && !i.Draining && (d.recentlyRestored() || d.storeRecentlyFailed()) {
+		d.keepExpired(i)
 		return
 	}
 	reason := "registration removed"
-	if settled {
-		reason = "another process settled it"
+	if relayed {
+		reason = "another process removed it"
 	}
-	d.drop(id, reason)
+	d.dropInstance(id, reason)
 }
 
-// lapse keeps an instance for a while whose registration went. Calls of this process may have
-// failed while the store answered others, which take what is kept here for registered: so the time
-// counts from the store's last word that it was. Counted from when it was noticed, 50 of 96 requests
-// reached an instance beyond the bound, after three watchers had been cut off for 1.1 s.
-func (d *Discovery) lapse(i *fleet.Instance) {
+// keepExpired keeps an instance in use for a while after its registration has gone missing. The calls
+// of this process may have failed while the store answered other processes, and those that follow this
+// one take the instance for registered. The time therefore counts from when the store last confirmed
+// the registration. When it counted from when the loss was noticed, 50 of 96 requests reached an
+// instance beyond the propagation bound after three watchers had lost the store for 1.1 s.
+func (d *Discovery) keepExpired(i *fleet.Instance) {
 	now := bootclock.Now()
-	l := lapse{until: now.Add(d.o.LapseKept), absence: d.absence || d.justRestored()}
-	if !l.absence {
-		l.until = min(l.until, d.lapseFrom().Add(time.Duration(lapseShare*float64(d.o.Within))))
-	}
-	kept := *i
-	kept.Lapsed = true
-	d.instances[i.ID], d.touched[i.ID] = &kept, true
-	d.lapsed[i.ID] = l
-	level.Info(d.logger).Log("msg", "instance lapsed", "id", i.ID, "service", i.Service, "address", i.Address, "kept_for", l.until.Sub(now).Round(time.Millisecond),
-		"absence", l.absence, "counted_from", sinceOrNever(d.lapseFrom()), "confirmed", sinceOrNever(d.confirmedAt), "failed", sinceOrNever(d.failedAt), "back", sinceOrNever(d.backAt))
+	l := expiry{dropAt: now.Add(d.o.LapseKept), outage: d.outage || d.recentlyRestored()}
+	if !l.outage {
+		l.dropAt = min(l.dropAt, d.expiryStart().Add(time.Duration(expiredUseShare*float64(d.o.Within))))
+	}
+	expired := *i
+	expired.Lapsed = true
+	d.instances[i.ID], d.changedIDs[i.ID] = &expired, true
+	d.expired[i.ID] = l
+	level.Info(d.logger).Log("msg", "instance lapsed", "id", i.ID, "service", i.Service, "address", i.Address, "kept_for", l.dropAt.Sub(now).Round(time.Millisecond),
+		"absence", l.outage, "counted_from", ageOrNever(d.expiryStart()), "confirmed", ageOrNever(d.prevConfirmedAt), "failed", ageOrNever(d.failedAt), "back", ageOrNever(d.recoveredAt))
 }
 
-// lapseFrom returns from when on the time counts for which a lapsed instance is kept: the last answer of the
-// store to this process, or, if there was none, what another one said.
-func (d *Discovery) lapseFrom() bootclock.Instant {
-	if d.listedAt != 0 {
-		return d.listedAt
+// expiryStart returns the time from which the use of an expired instance counts: when the store last
+// confirmed the registrations to this process or, if it never did, to another one.
+func (d *Discovery) expiryStart() bootclock.Instant {
+	if d.prevOwnConfirmedAt != 0 {
+		return d.prevOwnConfirmedAt
 	}
-	return d.confirmedAt
+	return d.prevConfirmedAt
 }
 
-// returned judges an answer about the registrations after calls for them had failed. The store
-// counts as away only after a loss of the whole time in which a change must have reached everybody:
-// by then those that follow this process have asked the store themselves. After a loss of 2.5 s of
-// 3 s some had not, and took what was kept here for registered.
-func (d *Discovery) returned(now bootclock.Instant) {
-	loss := now.Sub(d.confirmedAt)
-	d.absence = loss >= d.o.Within && now.Sub(d.lostAt) >= leastAbsence
-	for id, l := range d.lapsed {
-		if d.absence && l.absence {
-			l.until = now.Add(d.o.LapseKept)
-			d.lapsed[id] = l
+// assessOutage decides, at the first answer about the registrations after failed calls, whether the
+// store had an outage. The failures must have lasted for the whole propagation bound: by then the
+// processes that follow this one have read the store directly. With failures of 2.5 s and a bound of
+// 3 s some had not, and took instances that this process only kept for registered ones.
+func (d *Discovery) assessOutage(now bootclock.Instant) {
+	unconfirmed := now.Sub(d.prevConfirmedAt)
+	d.outage = unconfirmed >= d.o.Within && now.Sub(d.failingSince) >= minOutage
+	for id, l := range d.expired {
+		if d.outage && l.outage {
+			l.dropAt = now.Add(d.o.LapseKept)
+			d.expired[id] = l
 		}
 	}
 }
 
-// sinceOrNever returns how long ago something was, for the log.
-func sinceOrNever(at bootclock.Instant) any {
+// ageOrNever returns how long ago an instant was, for the log.
+func ageOrNever(at bootclock.Instant) any {
 	if at == 0 {
 		return "never"
 	}
 	return bootclock.Since(at).Round(time.Millisecond)
 }
 
-func (d *Discovery) drop(id, reason string) {
+func (d *Discovery) dropInstance(id, reason string) {
 	i := d.instances[id]
-	d.gone[id] = departure{d.versions[id], bootclock.Now()}
+	d.removed[id] = removal{d.versions[id], bootclock.Now()}
 	delete(d.instances, id)
-	d.touched[id] = true
+	d.changedIDs[id] = true
 	delete(d.versions, id)
-	delete(d.lapsed, id)
-	d.tell(objstore.Event{Object: objstore.Object{Key: d.o.Prefixes.Instances + id}, Deleted: true})
+	delete(d.expired, id)
+	d.queueEvent(objstore.Event{Object: objstore.Object{Key: d.o.Prefixes.Instances + id}, Deleted: true})
 	level.Info(d.logger).Log("msg", "instance gone", "id", id, "service", i.Service, "address", i.Address, "reason", reason)
 }
 
-// storeWasAway reports whether a registration that goes now may have lapsed
-// because the store was away, as far as any feed has noticed.
-func (d *Discovery) storeWasAway() bool {
+// storeRecentlyFailed reports whether a registration that goes missing now may have expired because of
+// an outage of the store, which any feed may have noticed.
+func (d *Discovery) storeRecentlyFailed() bool {
 	if d.failedAt == 0 {
 		return false
 	}
-	return len(d.down) > 0 || bootclock.Since(d.failedAt) < awayRecent || bootclock.Since(d.backAt) < d.o.LapseKept
+	return len(d.failingFeeds) > 0 || bootclock.Since(d.failedAt) < failureWindow || bootclock.Since(d.recoveredAt) < d.o.LapseKept
 }
 
-// dropLapsed removes lapsed instances that did not come back in time.
-func (d *Discovery) dropLapsed() {
+// dropExpired removes the expired instances that did not register again in time.
+func (d *Discovery) dropExpired() {
 	dropped := false
-	for id, l := range d.lapsed {
-		if l.absence && d.down[feedInstances] {
-			continue // it cannot come back yet
+	for id, l := range d.expired {
+		if l.outage && d.failingFeeds[feedInstances] {
+			continue // a new registration could not be seen yet
 		}
-		if bootclock.Now() >= l.until {
-			d.drop(id, "lapsed and not back")
+		if bootclock.Now() >= l.dropAt {
+			d.dropInstance(id, "expired and not registered again")
 			dropped = true
 		}
 	}
-	for id, went := range d.gone {
-		if bootclock.Since(went.at) > goneKept {
-			delete(d.gone, id)
+	for id, r := range d.removed {
+		if bootclock.Since(r.at) > removalRetention {
+			delete(d.removed, id)
 		}
 	}
 	if dropped {
--- a/internal/discovery/mode.go
+++ b/internal/discovery/mode.go
@@ -15,79 +15,77 @@
 	"github.com/rockdoor/rockdoor/objstore"
 )
 
-// mode says from where a process learns of the deployment.
+// mode says where a process gets its view of the deployment from.
 type mode int
 
 const (
-	// undecided processes do not know the other ones yet.
+	// undecided processes do not know the fleet yet.
 	undecided mode = iota
 	// watching processes watch the store.
 	watching
-	// following processes follow a scheduler, or, if they are one, a watcher.
+	// following processes follow a scheduler or, if they are schedulers, a watcher.
 	following
 )
 
 const (
-	// joinRetry is how often the list of members is read at a start until it is known to
-	// be no older than the start itself; joinMost is for how long. Lists that may be stale
-	// are seconds old.
-	joinRetry = 300 * time.Millisecond
-	joinMost  = 3 * time.Second
-	// settledStart is how much earlier than this process another must have started for
-	// the fleet to be no new one.
-	settledStart = 5 * time.Second
-	// reviewEvery is how often it is reviewed which schedulers are silent.
-	reviewEvery = 500 * time.Millisecond
-	// appointedFor is for how long a process stays a watcher that another one named,
-	// whatever it sees itself.
-	appointedFor = 20 * time.Second
+	// joinRetry is how often a starting process reads the list of members until the list is
+	// conclusive, and joinTimeout for how long at most. Stale lists are seconds old.
+	joinRetry   = 300 * time.Millisecond
+	joinTimeout = 3 * time.Second
+	// establishedAfter is how much earlier than this process another one must have started for
+	// the fleet to count as an established one.
+	establishedAfter = 5 * time.Second
+	// reviewInterval is how often the schedulers are checked for unresponsive ones.
+	reviewInterval = 500 * time.Millisecond
+	// appointedDuration is how long a process that another one named a watcher remains one,
+	// even if its own data says otherwise.
+	appointedDuration = 20 * time.Second
 )
 
-// join reads the directory, or else the members until it is known enough of the fleet to decide how to go on. A
-// process that is new must not take a list for whole that is older than its own
-// registration.
+// join reads the directory or, if there is no usable one, the members until the list is conclusive. A
+// new process must not take a list that is older than its own registration for complete.
 func (d *Discovery) join(ctx context.Context) {
 	dir, err := d.readDirectory(ctx)
 	if err == nil {
 		d.send(ctx, directoryRead{dir})
 		return
 	}
-	level.Info(d.logger).Log("msg", "no directory, listing members", "err", err)
-	begun := bootclock.Now()
+	level.Info(d.logger).Log("msg", "no usable directory, listing the members", "err", err)
+	start := bootclock.Now()
 	f := d.follower(feedMembers)
 	for ctx.Err() == nil {
 		asked := bootclock.Now()
-		lctx, cancel := context.WithTimeout(ctx, listMost)
+		lctx, cancel := context.WithTimeout(ctx, listTimeout)
 		objects, _, err := f.store.List(lctx, f.prefix)
 		cancel()
-		late := bootclock.Since(begun) > joinMost
+		timedOut := bootclock.Since(start) > joinTimeout
 		switch {
 		case err != nil && !fault.Is(err, fault.NotFound):
-			f.send(ctx, lostStore{feedMembers, err})
-		case late || d.knowsFleet(members.Parse(objects)):
-			f.send(ctx, listing(feedMembers, objects, asked))
+			f.send(ctx, feedFailure{feedMembers, err})
+		case timedOut || d.isListConclusive(members.Parse(objects)):
+			f.send(ctx, fullUpdate(feedMembers, objects, asked))
 			return
 		}
-		pause(ctx, joinRetry)
+		sleep(ctx, joinRetry)
 	}
 }
 
-// knowsFleet reports whether a list shows that the fleet is large, that it has been there
-// for a while, or that the list is as new as this process's own registration.
-func (d *Discovery) knowsFleet(all []members.Member) bool {
+// isListConclusive reports whether a list shows that the fleet is large or established, or is at least
+// as new as this process's own registration.
+func (d *Discovery) isListConclusive(all []members.Member) bool {
 	if len(all) > members.FullMesh {
 		return true
 	}
 	return slices.ContainsFunc(all, func(m members.Member) bool {
-		return m.Name == d.o.Self.Name || m.StartedBefore(d.o.Self, settledStart)
+		return m.Name == d.o.Self.Name || m.StartedBefore(d.o.Self, establishedAfter)
 	})
 }
 
-// nameSchedulers works out the schedulers from the members.
-func (d *Discovery) nameSchedulers() {
+// updateSchedulers determines the schedulers from the members.
+func (d *Discovery) updateSchedulers() {
 	all := slices.Collect(maps.Values(d.members))
 	mesh := members.Schedulers(all, nil)
-	schedulers := members.Schedulers(all, d.passOver)
+	schedulers := members.Schedulers(all, d.isExcluded)
 	for _, m := range schedulers {
 		if !members.Contain(mesh, m.Name) {
 			mesh = append(mesh, m)
@@ -96,10 +94,10 @@
 	d.setSchedulers(schedulers, members.Watchers(schedulers, d.cur.Processes), mesh)
 }
 
-// passOver reports whether another scheduler takes the place of one.
-func (d *Discovery) passOver(name string) bool { return name != d.o.Self.Name && d.o.Silent(name) }
+// isExcluded reports whether a member is unresponsive, so that another one takes its place as scheduler.
+func (d *Discovery) isExcluded(name string) bool { return name != d.o.Self.Name && d.o.Silent(name) }
 
-// setSchedulers takes in who the schedulers are.
+// setSchedulers sets the schedulers, the watchers and the mesh, and logs a change.
 func (d *Discovery) setSchedulers(all, watchers, mesh []members.Member) {
 	same := sameNames(all, d.cur.Schedulers) && sameNames(watchers, d.cur.Watchers)
 	d.cur.Schedulers, d.cur.Watchers, d.cur.Mesh = all, watchers, mesh
@@ -113,21 +111,21 @@
 	return slices.Equal(members.Names(a), members.Names(b))
 }
 
-// reviewSchedulers takes in which schedulers are silent.
+// reviewSchedulers determines the schedulers anew, as some may have become unresponsive or responsive.
 func (d *Discovery) reviewSchedulers(ctx context.Context) {
 	if d.mode != watching || len(d.members) == 0 {
-		return // a process that joined by the directory has not listed the members yet
+		return // a process that joined from the directory has not listed the members yet
 	}
-	d.dropUnlisted()
-	d.nameSchedulers()
+	d.dropUnlistedMembers()
+	d.updateSchedulers()
 	d.chooseMode(ctx)
-	d.keepDirectory(ctx)
+	d.updateDirectory(ctx)
 	d.publish()
 }
 
 // chooseMode changes to the mode that this process should be in.
 func (d *Discovery) chooseMode(ctx context.Context) {
-	next := d.wantedMode()
+	next := d.nextMode()
 	if next == d.mode {
 		return
 	}
@@ -135,15 +133,15 @@
 		d.stopMode()
 	}
 	if d.mode == following && next == watching && d.cur.Processes > members.FullMesh {
-		d.appointed = bootclock.Now() // not by one that has not seen the whole of a new fleet
+		d.appointedAt = bootclock.Now() // in a small fleet the other process may not have seen all members yet
 	}
 	level.Info(d.logger).Log("msg", "mode", "watching", next == watching, "processes", d.cur.Processes)
 	d.mode = next
-	clear(d.down)
+	clear(d.failingFeeds)
 	var mctx context.Context
 	mctx, d.stopMode = context.WithCancel(ctx)
 	if d.o.Relay != nil {
-		go d.copyWhileStoreIsLost(mctx)
+		go d.fetchWhileStoreUnreachable(mctx)
 	}
 	if next == following {
 		go d.followSchedulers(mctx)
@@ -152,46 +150,46 @@
 	d.watchStore(mctx)
 }
 
-func (d *Discovery) wantedMode() mode {
+func (d *Discovery) nextMode() mode {
 	switch {
 	case !d.joined:
 		return undecided
 	case len(d.cur.Schedulers) == 0 || members.Contain(d.cur.Watchers, d.o.Self.Name):
 		return watching
-	case d.mode == watching && d.appointed != 0 && bootclock.Since(d.appointed) < appointedFor:
+	case d.mode == watching && d.appointedAt != 0 && bootclock.Since(d.appointedAt) < appointedDuration:
 		return watching
 	}
 	return following
 }
 
-// watchStore follows the store.
+// watchStore starts a follower of the store for each feed.
 func (d *Discovery) watchStore(ctx context.Context) {
-	for _, s := range []source{feedConfig, feedInstances, feedRules, feedMembers} {
+	for _, s := range []feedName{feedConfig, feedInstances, feedRules, feedMembers} {
 		go d.follower(s).run(ctx)
 	}
 }
 
-// AnswerWithin returns how long one answer of the store may take where a change must be in
-// force within apply.
+// AnswerWithin returns the timeout of one answer of the store if a change must be in force
+// within apply.
 func AnswerWithin(apply time.Duration) time.Duration {
-	return time.Duration(answerShare * float64(apply))
+	return time.Duration(answerTimeoutShare * float64(apply))
 }
 
-// follower returns a follower of one kind of objects.
-func (d *Discovery) follower(s source) *follower {
-	f := &follower{feed: s, prefix: d.prefixOf(s), store: d.o.Store, wait: d.wait, answerWithin: AnswerWithin(d.o.Apply), retryMost: retryMost, gap: d.gap(), events: d.events, logger: d.logger}
+// follower returns a follower of a feed.
+func (d *Discovery) follower(s feedName) *follower {
+	f := &follower{feed: s, prefix: d.prefixOf(s), store: d.o.Store, wait: d.watchWait, answerTimeout: AnswerWithin(d.o.Apply), maxRetryDelay: maxRetryDelay, minInterval: d.minInterval(), events: d.events, logger: d.logger}
 	switch s {
 	case feedRules:
-		f.store, f.wait, f.retryMost = d.o.Stale, d.slowWait, retryMost*slowFactor
-		f.confirm = d.o.Store
+		f.store, f.wait, f.maxRetryDelay = d.o.Stale, d.slowWatchWait, maxRetryDelay*slowWatchFactor
+		f.freshStore = d.o.Store
 	case feedMembers:
-		f.store, f.wait, f.retryMost = d.o.Stale, d.slowWait, retryMost*slowFactor
+		f.store, f.wait, f.maxRetryDelay = d.o.Stale, d.slowWatchWait, maxRetryDelay*slowWatchFactor
 	}
 	return f
 }
 
-// prefixOf returns where the objects of a feed are in the store.
-func (d *Discovery) prefixOf(s source) string {
+// prefixOf returns the key prefix of a feed's objects.
+func (d *Discovery) prefixOf(s feedName) string {
 	switch s {
 	case feedConfig:
 		return d.o.Prefixes.Config
@@ -203,31 +201,36 @@
 	return d.o.Prefixes.Members
 }
 
-// ownWait is how long a watch waits in a fleet in which all watch.
-func (d *Discovery) ownWait() time.Duration { return time.Duration(waitShare * float64(d.o.Settle)) }
+// baseWait is how long a watch waits in a fleet in which every process watches the store.
+func (d *Discovery) baseWait() time.Duration {
+	return time.Duration(watchWaitShare * float64(d.o.Settle))
+}
 
-// wait is how long a watch of the configuration or the instances waits now.
-func (d *Discovery) wait() time.Duration {
-	wait := d.ownWait()
+// watchWait is how long the next watch of the configuration or the instances waits.
+func (d *Discovery) watchWait() time.Duration {
+	wait := d.baseWait()
 	if d.View().Processes > members.FullMesh {
-		wait = min(wait, time.Duration(sharedShare*float64(d.o.Within)))
+		wait = min(wait, time.Duration(relayedWaitShare*float64(d.o.Within)))
 	}
 	if d.o.Prove > 0 {
-		wait = min(wait, time.Duration(proveShare*float64(d.o.Prove)))
+		wait = min(wait, time.Duration(stalenessWaitShare*float64(d.o.Prove)))
 	}
 	return wait
 }
 
-// gapShare is the part of Within that lies between two questions of which the first was answered with
-// changes. The first change after a calm is told at once, and those of a flood in as many messages at any
-// number of instances: 10,000 that registered 490 a second were as many messages to each process.
-const gapShare = 0.04
+// minIntervalShare is the share of the propagation bound between two requests if the first one
+// returned changes. The first change after a quiet time is sent at once, and the number of messages in
+// a burst does not depend on the number of changes: when 10,000 instances registered at 490 a second,
+// each process received as many messages.
+const minIntervalShare = 0.04
 
-// gap is how far two questions lie apart while changes come.
-func (d *Discovery) gap() time.Duration { return time.Duration(gapShare * float64(d.o.Within)) }
+// minInterval is the min time between two requests while changes arrive.
+func (d *Discovery) minInterval() time.Duration {
+	return time.Duration(minIntervalShare * float64(d.o.Within))
+}
 
-// slowWait is how long a watch of rules or members waits.
-func (d *Discovery) slowWait() time.Duration { return d.ownWait() * slowFactor }
+// slowWatchWait is how long a watch of rules or members waits.
+func (d *Discovery) slowWatchWait() time.Duration { return d.baseWait() * slowWatchFactor }
 
 func (d *Discovery) send(ctx context.Context, event any) {
 	select {
@@ -236,23 +239,23 @@
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// pauseUntil waits until a time, if that is to come.
-func pauseUntil(ctx context.Context, at bootclock.Instant) {
-	if left := at.Sub(bootclock.Now()); left > 0 {
-		pause(ctx, left)
+// sleepUntil waits until the given instant or until ctx ends.
+func sleepUntil(ctx context.Context, at bootclock.Instant) {
+	if remaining := at.Sub(bootclock.Now()); remaining > 0 {
+		sleep(ctx, remaining)
 	}
 }
 
-// listing is the change that a whole list is.
-func listing(s source, objects []objstore.Object, asked bootclock.Instant) changed {
-	c := changed{feed: s, reset: true, asked: asked, confirmed: asked}
+// fullUpdate returns the update for a complete list of a feed's objects.
+func fullUpdate(s feedName, objects []objstore.Object, asked bootclock.Instant) feedUpdate {
+	c := feedUpdate{feed: s, full: true, askedAt: asked, confirmedAt: asked}
 	for _, obj := range objects {
 		c.events = append(c.events, objstore.Event{Object: obj})
 	}
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -9,35 +9,38 @@
 )
 
 const (
-	// decodePiece is how many registrations are decoded at a time, decodePause the pause after them: 1 ms of a core
-	// in 11, half of what a small host has.
-	decodePiece = 100
+	// decodeBatch is how many registrations are decoded at a time, and decodePause the pause
+	// after each batch. A batch takes 1 ms, so that decoding uses 1/11 of a core, half of what a
+	// small host has.
+	decodeBatch = 100
 	decodePause = 10 * time.Millisecond
-	// decodeShare is the part of Within that the pauses take at the most, as no change is heard of in them.
-	decodeShare = 0.2
+	// decodePauseShare is the max share of the propagation bound for all pauses together, since
+	// no changes are received during them.
+	decodePauseShare = 0.2
 )
 
-// decodeAhead decodes the registrations of a process's first copy in small pieces, where it serves already: at once
-// they keep a small host from its requests for half a second. The copy gets older by that.
-func (d *Discovery) decodeAhead(ctx context.Context, f *Followed) {
+// decodeInBatches decodes the registrations of the first full snapshot in small batches if the process
+// already serves requests: decoding them at once keeps a small host from its requests for half a
+// second. The age of the snapshot grows accordingly.
+func (d *Discovery) decodeInBatches(ctx context.Context, f *Followed) {
 	v := d.View()
 	if !f.Full || !v.Ready() || v.Listed {
 		return
 	}
-	begun := bootclock.Now()
-	pieces := time.Duration(len(f.Events)/decodePiece + 1)
-	wait := min(decodePause, d.tooOld(decodeShare)/pieces)
+	start := bootclock.Now()
+	batches := time.Duration(len(f.Events)/decodeBatch + 1)
+	wait := min(decodePause, d.shareOfBound(decodePauseShare)/batches)
 	f.decoded = make(map[string]*fleet.Instance, len(f.Events))
 	for n, e := range f.Events {
-		if e.Deleted || kindOf(e.Object.Key) != d.o.Prefixes.Instances {
+		if e.Deleted || keyPrefix(e.Object.Key) != d.o.Prefixes.Instances {
 			continue
 		}
-		if i, err := d.o.DecodeInstance(e.Object); err == nil { // one that cannot be read is logged when it is taken in
+		if i, err := d.o.DecodeInstance(e.Object); err == nil { // an error is logged when the update is applied
 			f.decoded[e.Object.Key] = i
 		}
-		if n%decodePiece == decodePiece-1 {
-			pause(ctx, wait)
+		if n%decodeBatch == decodeBatch-1 {
+			sleep(ctx, wait)
 		}
 	}
-	f.Age += bootclock.Since(begun)
+	f.Age += bootclock.Since(start)
 }
--- a/internal/discovery/relay.go
+++ b/internal/discovery/relay.go
@@ -17,66 +17,71 @@
 )
 
 const (
-	// aloneAfter is for how long no scheduler must have answered before a process looks at
-	// the store itself, alonePause how long it waits between two looks, up to twice as long
-	// at random.
-	aloneAfter = 1500 * time.Millisecond
-	alonePause = time.Second
-	// aloneRefused is for how long a process that is not ready waits for schedulers that answer
-	// that they are not either: those that watch the store list 3,000 engines in 0.5 s, ten
-	// times as many in 5.
-	aloneRefused = 5 * time.Second
-	// aloneEach is how far the looks of processes that are not ready lie apart, per process and for each
-	// aloneInstances: a list of 3,000 engines is 60 calls and 1 MB, so at most 6,000 calls and 100 MB a second,
-	// at any number of engines.
-	aloneEach      = 10 * time.Millisecond
-	aloneInstances = 3000
-	// copyEach is the same for copies of all instances from schedulers by processes that serve already. A copy
-	// keeps a small host from its requests for most of a second.
-	copyEach = time.Millisecond
-	// headShare is the part of Within after which the configuration and the rules are asked for again until then.
-	headShare = 0.1
-	// missedAfter is for how long no scheduler must have answered a process for it to look
-	// whether it is still registered. Registrations of processes that nobody hears are removed
-	// after ten times as long.
-	missedAfter = time.Minute
-	// schedulerCopyShare and copyShare are the parts of Within from which on a copy is too old
-	// for a scheduler and for another process. Copies get half as old where nothing is lost, and
-	// a fresher one is looked for from 0.6 on; the rest of Within is for the store's answer.
-	schedulerCopyShare = 0.65
-	copyShare          = 0.8
-	// lookRetry is how long a process waits at the least, and at the most twice as long, until
-	// it looks again, lookFailedRetry after a question without an answer: then the schedulers
-	// most likely have none either, and will tell when they do.
-	lookRetry       = 500 * time.Millisecond
-	lookFailedRetry = 2500 * time.Millisecond
-	// followRetry is how long a process waits after no scheduler could be followed, and up to
-	// twice as long at random.
+	// directReadAfter is how long no scheduler must have answered before a process reads the
+	// store directly. directReadPause is the min time between two such reads; the actual time
+	// is random, up to twice as long, and longer by a jitter while the view is incomplete.
+	directReadAfter = 1500 * time.Millisecond
+	directReadPause = time.Second
+	// directReadAfterNotReady is how long a process that is not ready waits for schedulers
+	// that answer that they are not ready either. Watchers need 0.5 s to list 3,000 engines,
+	// and 5 s for ten times as many.
+	directReadAfterNotReady = 5 * time.Second
+	// directReadInterval is the time, per process and per instancesPerInterval instances, by
+	// which the direct reads of processes that are not ready are spread. A list of 3,000
+	// engines is 60 calls and 1 MB, so that the store gets at most 6,000 calls and 100 MB a
+	// second with any number of engines.
+	directReadInterval   = 10 * time.Millisecond
+	instancesPerInterval = 3000
+	// snapshotInterval is the same for processes that already serve requests and fetch all
+	// instances from a scheduler. Decoding these keeps a small host from its requests for most
+	// of a second.
+	snapshotInterval = time.Millisecond
+	// partialPollShare is the share of the propagation bound after which a process with a
+	// partial snapshot polls the configuration and the rules again.
+	partialPollShare = 0.1
+	// registrationCheckAfter is how long no scheduler must have answered a process before it
+	// checks its registration. The registrations of unresponsive processes are removed after
+	// ten times as long.
+	registrationCheckAfter = time.Minute
+	// schedulerMaxAgeShare and maxAgeShare are the shares of the propagation bound from which
+	// on data is too old for a scheduler and for another process. Without faults it reaches
+	// half that age, and from a share of 0.6 on a scheduler with fresher data is looked for.
+	// The rest of the bound is for the answer of the store.
+	schedulerMaxAgeShare = 0.65
+	maxAgeShare          = 0.8
+	// directReadRetry is the min time between two direct reads because of old data; the actual
+	// time is random and up to twice as long. failedReadRetry is the same after a read that
+	// failed: the store then most likely does not answer the schedulers either, and these send
+	// an update once it does.
+	directReadRetry = 500 * time.Millisecond
+	failedReadRetry = 2500 * time.Millisecond
+	// followRetry is the min pause after no scheduler could be followed; the actual pause is
+	// random and up to twice as long.
 	followRetry = 100 * time.Millisecond
 )
 
-// Relay follows schedulers.
+// Relay fetches updates from schedulers.
 type Relay interface {
-	// Follow returns what has changed since a position, as soon as something has or after
-	// a short while. It fails if no scheduler answers.
+	// Follow returns the changes since a position, as soon as there are any or after a short
+	// wait. It fails if no scheduler answers.
 	Follow(ctx context.Context, after feed.Position) (Followed, error)
-	// Newer returns all that another scheduler has, if it is fresher than what this process
-	// has, of an age. The error is of kind NotFound if none of those that were asked is.
+	// Newer returns a full snapshot from a scheduler whose data is fresher than the given age.
+	// The error is of kind NotFound if none of the schedulers asked has one.
 	Newer(ctx context.Context, age time.Duration) (Followed, error)
 }
 
-// Followed is what a scheduler says of the deployment.
+// Followed is an update that a scheduler sends about the deployment.
 type Followed struct {
 	feed.Update
 	// Age is how long ago the store confirmed to the scheduler that there was nothing newer.
 	Age time.Duration
-	// ProvenAt is until when the configuration is proven to have been the newest one, by the
-	// clock of this process.
+	// ProvenAt is the latest time at which the configuration is known to have been the newest
+	// one, on the clock of this process.
 	ProvenAt bootclock.Instant
-	// StoreUp is false while the store does not answer there.
+	// StoreUp is false if the store does not answer the process that the update comes from.
 	StoreUp   bool
 	Processes int
-	// Head is true if Events are only the configuration and the rules.
+	// Head is true for a partial snapshot: Events hold only the configuration and the rules.
 	Head bool
 	// InstancesRevision is the store's revision up to which the scheduler knows the
 	// registrations.
@@ -85,212 +90,213 @@
 	Watchers          []members.Member
 	Mesh              []members.Member
 
-	// decoded are the instances of Events that have been decoded already, by their keys.
+	// decoded holds instances of Events that have been decoded already, by key.
 	decoded map[string]*fleet.Instance
 }
 
-// before reports whether a copy is of a process that has not seen an era of the store.
-func (f *Followed) before(era int64) bool {
+// predatesEra reports whether the sender has not yet seen the given era of the store.
+func (f *Followed) predatesEra(era int64) bool {
 	return f.InstancesRevision != 0 && f.InstancesRevision.Era() < era
 }
 
-// followed is a Followed as an event.
-type followed struct{ Followed }
+// schedulerUpdate is the event of an update from the scheduler that this process follows.
+type schedulerUpdate struct{ Followed }
 
-// copied is a Followed of a process that this one does not follow.
-type copied struct{ Followed }
+// fetchedSnapshot is the event of a snapshot from a process that this one does not follow.
+type fetchedSnapshot struct{ Followed }
 
-// followSchedulers follows schedulers until ctx ends. While none answers it looks at the
-// store now and then.
+// followSchedulers follows schedulers until ctx ends. While none answers it reads the store directly
+// from time to time.
 func (d *Discovery) followSchedulers(ctx context.Context) {
 	var at feed.Position
-	var lookNext bootclock.Instant
+	var nextRead bootclock.Instant
 	answered := bootclock.Now()
 	for ctx.Err() == nil {
 		asked := bootclock.Now()
 		f, err := d.o.Relay.Follow(ctx, at)
 		if err == nil {
-			if bootclock.Since(answered) > missedAfter {
+			if bootclock.Since(answered) > registrationCheckAfter {
 				d.o.Missing()
 			}
 			at, answered = f.Position, bootclock.Now()
-			d.decodeAhead(ctx, &f)
-			d.send(ctx, followed{f})
-			lookNext = d.lookItself(ctx, f, lookNext)
+			d.decodeInBatches(ctx, &f)
+			d.send(ctx, schedulerUpdate{f})
+			nextRead = d.readStoreIfStale(ctx, f, nextRead)
 			if f.Head {
-				pause(ctx, d.tooOld(headShare))
+				sleep(ctx, d.shareOfBound(partialPollShare))
 				continue
 			}
 			if len(f.Events) > 0 {
-				pauseUntil(ctx, asked.Add(d.gap()))
+				sleepUntil(ctx, asked.Add(d.minInterval()))
 			}
 			continue
 		}
-		if bootclock.Since(answered) < d.patience(err) {
-			pause(ctx, followRetry+rand.N(followRetry))
+		if bootclock.Since(answered) < d.directReadDelay(err) {
+			sleep(ctx, followRetry+rand.N(followRetry))
 			continue
 		}
 		level.Warn(d.logger).Log("msg", "no scheduler answers", "for", bootclock.Since(answered).Round(time.Millisecond), "err", err)
-		at = feed.Position{} // what the store says takes its place
-		for _, s := range []source{feedMembers, feedConfig, feedInstances, feedRules} {
-			_ = d.follower(s).look(ctx) // a failure is an event
+		at = feed.Position{} // the next update must be a full one, as the store's data replaces this one
+		for _, s := range []feedName{feedMembers, feedConfig, feedInstances, feedRules} {
+			_ = d.follower(s).readOnce(ctx) // a failure is sent as an event
 		}
-		pause(ctx, alonePause+rand.N(alonePause+d.spread()))
+		sleep(ctx, directReadPause+rand.N(directReadPause+d.directReadJitter()))
 	}
 }
 
-// patience returns for how long no scheduler must have answered before this process looks at
-// the store itself: one that is ready soon, since what it has gets old; others, of which there
-// are many at a time after a loss of all, each at its part of the time over which they spread.
-func (d *Discovery) patience(err error) time.Duration {
-	after := aloneAfter
+// directReadDelay returns how long no scheduler must have answered before this process reads the store
+// directly. The delay is short for a process with a complete view, since its data gets old. After a
+// restart of the whole fleet many processes have none; each of them adds its share of the jitter.
+func (d *Discovery) directReadDelay(err error) time.Duration {
+	after := directReadAfter
 	if !d.View().Complete() && fault.Is(err, fault.Denied) {
-		after = aloneRefused
+		after = directReadAfterNotReady
 	}
-	return after + d.ownPart(d.spread())
+	return after + d.ownJitter(d.directReadJitter())
 }
 
-// partOf returns the part of a time over which processes spread that is a process's own. It
-// follows from the name, since random numbers of processes that start together may be alike.
-func partOf(name string) float64 {
+// jitterFraction returns the fraction of a jitter interval after which a process acts. It is derived
+// from the name, since random numbers of processes that start together may be alike.
+func jitterFraction(name string) float64 {
 	return float64(xxhash.Sum64String("spread\x00"+name)) / (1 << 64)
 }
 
-// ownPart returns when it is this process's turn in a time over which all spread.
-func (d *Discovery) ownPart(spread time.Duration) time.Duration {
-	return time.Duration(partOf(d.o.Self.Name) * float64(spread))
+// ownJitter returns this process's delay within a jitter interval of the given length.
+func (d *Discovery) ownJitter(interval time.Duration) time.Duration {
+	return time.Duration(jitterFraction(d.o.Self.Name) * float64(interval))
 }
 
-// spread returns over how long a time the looks of all processes that do not know the instances spread.
-func (d *Discovery) spread() time.Duration {
+// directReadJitter returns the time over which the processes without the instances spread their direct
+// reads.
+func (d *Discovery) directReadJitter() time.Duration {
 	if d.View().Complete() {
 		return 0
 	}
-	return d.spreadBy(aloneEach)
+	return d.jitterRange(directReadInterval)
 }
 
-// spreadBy returns over how long a time spreads what each process does with all instances, at a time for each
-// process and aloneInstances.
-func (d *Discovery) spreadBy(each time.Duration) time.Duration {
+// jitterRange returns the time over which the processes of the fleet spread an action on all instances,
+// given the time that each process takes per instancesPerInterval instances.
+func (d *Discovery) jitterRange(perProcess time.Duration) time.Duration {
 	v := d.View()
-	instances := max(int64(len(v.Instances)), d.expected.Load(), aloneInstances)
-	return time.Duration(int64(v.Processes) * instances / aloneInstances * int64(each))
+	instances := max(int64(len(v.Instances)), d.expectedInstances.Load(), instancesPerInterval)
+	return time.Duration(int64(v.Processes) * instances / instancesPerInterval * int64(perProcess))
 }
 
-// lookItself asks the store if what this process follows is too old, or has not been proven
-// to be the newest for too long: those that watch the store for all may be cut off from it,
-// and this process may not be. Without it, engines that had left got requests 0.03 s beyond the
-// bound in a fleet of 65 whose three watchers were cut off, and rules of place stayed as they were
-// until the cut had ended. f is what it was told last. It looks from next on, and returns when
-// it may do so again.
-func (d *Discovery) lookItself(ctx context.Context, f Followed, next bootclock.Instant) bootclock.Instant {
+// readStoreIfStale reads the store directly if the data that this process receives is too old, or the
+// configuration too stale: the watchers may have lost the store while this process still reaches it.
+// Without it, in a fleet of 65 whose three watchers were cut off, draining engines received requests
+// up to 0.03 s beyond the propagation bound, and rules on placement did not change until the watchers
+// were back. f is the latest update. No read takes place before next; the result is the earliest time
+// of the next read.
+func (d *Discovery) readStoreIfStale(ctx context.Context, f Followed, next bootclock.Instant) bootclock.Instant {
 	v := d.View()
-	age, proof := v.Age(), v.ProofAge()
-	if !f.before(v.Era) { // what is left out makes this process no younger
-		age, proof = min(age, f.Age), min(proof, bootclock.Since(f.ProvenAt))
+	age, staleness := v.Age(), v.ProofAge()
+	if !f.predatesEra(v.Era) { // an update of an earlier era is ignored and does not refresh the data
+		age, staleness = min(age, f.Age), min(staleness, bootclock.Since(f.ProvenAt))
 	}
-	var wanted []source
+	var wanted []feedName
 	switch {
 	case bootclock.Now() < next:
-	case age > d.oldest(v):
-		wanted = []source{feedInstances, feedConfig, feedRules}
-	case d.o.Prove > 0 && proof > time.Duration(proveAloneShare*float64(d.o.Prove)):
-		wanted = []source{feedConfig}
+	case age > d.maxAge(v):
+		wanted = []feedName{feedInstances, feedConfig, feedRules}
+	case d.o.Prove > 0 && staleness > time.Duration(directReadStalenessShare*float64(d.o.Prove)):
+		wanted = []feedName{feedConfig}
 	}
 	if wanted == nil {
 		return next
 	}
-	pause := lookRetry
-	level.Info(d.logger).Log("msg", "copy is too old, looking at the store", "age", age.Round(time.Millisecond), "proof_age", proof.Round(time.Millisecond))
+	pause := directReadRetry
+	level.Info(d.logger).Log("msg", "relayed data is too old, reading the store directly", "age", age.Round(time.Millisecond), "proof_age", staleness.Round(time.Millisecond))
 	for _, s := range wanted {
-		if err := d.follower(s).look(ctx); err != nil {
-			level.Warn(d.logger).Log("msg", "store does not answer either", "feed", s, "age", age.Round(time.Millisecond), "proof_age", proof.Round(time.Millisecond), "err", err)
-			pause = lookFailedRetry
+		if err := d.follower(s).readOnce(ctx); err != nil {
+			level.Warn(d.logger).Log("msg", "direct read of the store failed", "feed", s, "age", age.Round(time.Millisecond), "proof_age", staleness.Round(time.Millisecond), "err", err)
+			pause = failedReadRetry
 			break
 		}
 	}
 	return bootclock.Now().Add(pause + rand.N(pause))
 }
 
-// copyWhileStoreIsLost has a process that the store does not answer, and whose copy is too old,
-// copy from others, as these may be answered: the store may turn some processes away and serve
-// the others. Watchers that were turned away had a configuration of 9.2 s ago where the others
-// of 295 hosts had one of 0.6 s. The others look at the store at the same age, so the first
-// question is often too early; it is a short message, and is soon asked again.
-func (d *Discovery) copyWhileStoreIsLost(ctx context.Context) {
+// fetchWhileStoreUnreachable fetches snapshots from other processes while the store does not answer
+// this one and its data is too old. The store may reject the calls of some processes and serve the
+// others: rejected watchers had a configuration that was 9.2 s old while the other processes of 295
+// hosts had one of 0.6 s. Other processes read the store directly at the same age, so the first request
+// often comes too early; it is a short message and is soon repeated.
+func (d *Discovery) fetchWhileStoreUnreachable(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause(ctx, lookRetry+rand.N(lookRetry))
+		sleep(ctx, directReadRetry+rand.N(directReadRetry))
 		v := d.View()
-		if d.storeLost.Load() && v.Age() >= d.oldest(v) {
-			d.copyNewer(ctx, v.Age())
+		if d.storeUnreachable.Load() && v.Age() >= d.maxAge(v) {
+			d.fetchFresher(ctx, v.Age())
 		}
 	}
 }
 
-// copyNewer asks others for what is fresher than what this process has, of an age.
-func (d *Discovery) copyNewer(ctx context.Context, age time.Duration) {
+// fetchFresher fetches a snapshot that is fresher than this process's data, which has the given age.
+func (d *Discovery) fetchFresher(ctx context.Context, age time.Duration) {
 	f, err := d.o.Relay.Newer(ctx, age)
 	if err != nil {
-		level.Info(d.logger).Log("msg", "nobody has a fresher copy", "age", age.Round(time.Millisecond), "err", err)
+		level.Info(d.logger).Log("msg", "no other process has fresher data", "age", age.Round(time.Millisecond), "err", err)
 		return
 	}
-	level.Info(d.logger).Log("msg", "copied from another process", "age", age.Round(time.Millisecond), "new_age", f.Age)
-	d.send(ctx, copied{f})
+	level.Info(d.logger).Log("msg", "snapshot fetched from another process", "age", age.Round(time.Millisecond), "new_age", f.Age)
+	d.send(ctx, fetchedSnapshot{f})
 }
 
-// oldest returns how old a copy may get before a process looks itself. Schedulers are the
-// first: the others follow them, and have what they find at once.
-func (d *Discovery) oldest(v *fleet.View) time.Duration {
+// maxAge returns the age from which on a process reads the store directly. Schedulers do so first,
+// since other processes follow them and receive the result at once.
+func (d *Discovery) maxAge(v *fleet.View) time.Duration {
 	if v.Scheduling {
-		return d.tooOld(schedulerCopyShare)
+		return d.shareOfBound(schedulerMaxAgeShare)
 	}
-	return d.tooOld(copyShare)
+	return d.shareOfBound(maxAgeShare)
 }
 
-// tooOld returns the age that is a share of the bound.
-func (d *Discovery) tooOld(share float64) time.Duration {
+// shareOfBound returns the given share of the propagation bound.
+func (d *Discovery) shareOfBound(share float64) time.Duration {
 	return time.Duration(share * float64(d.o.Within))
 }
 
-// adopt takes in what a scheduler says.
-func (d *Discovery) adopt(f Followed) {
+// applySchedulerUpdate applies an update from a scheduler that this process follows.
+func (d *Discovery) applySchedulerUpdate(f Followed) {
 	if d.mode != following {
 		return
 	}
-	if f.Age < d.tooOld(schedulerCopyShare) && len(d.down) > 0 {
-		clear(d.down)
-		d.backAt = bootclock.Now()
+	if f.Age < d.shareOfBound(schedulerMaxAgeShare) && len(d.failingFeeds) > 0 {
+		clear(d.failingFeeds)
+		d.recoveredAt = bootclock.Now()
 	}
-	d.takeIn(f)
+	d.applyRelayUpdate(f)
 	d.cur.StoreUp = f.StoreUp
 	d.cur.Processes = f.Processes
 	d.setSchedulers(f.Schedulers, f.Watchers, f.Mesh)
 	if f.Head && d.cur.CopyAt == 0 {
-		d.cur.CopyAt = bootclock.Now().Add(d.ownPart(d.spreadBy(copyEach)))
+		d.cur.CopyAt = bootclock.Now().Add(d.ownJitter(d.jitterRange(snapshotInterval)))
 	}
 }
 
-// takeIn takes in the copy of another process.
-func (d *Discovery) takeIn(f Followed) {
-	d.seeEra(f.InstancesRevision, "another process")
-	if f.before(d.era.number) {
+// applyRelayUpdate applies an update or a snapshot from another process.
+func (d *Discovery) applyRelayUpdate(f Followed) {
+	d.observeEra(f.InstancesRevision, "another process")
+	if f.predatesEra(d.era.number) {
 		return
 	}
 	at := bootclock.Now().Add(-f.Age)
 	d.cur.ConfigAt, d.cur.InstancesAt = max(d.cur.ConfigAt, at), max(d.cur.InstancesAt, at)
 	d.cur.ProvenAt = max(d.cur.ProvenAt, f.ProvenAt)
 	d.cur.Headed = true
-	for _, s := range []source{feedConfig, feedInstances, feedRules} {
+	for _, s := range []feedName{feedConfig, feedInstances, feedRules} {
 		if f.Head && s == feedInstances {
 			continue
 		}
-		c := changed{feed: s, reset: f.Full, settled: true, revision: f.InstancesRevision, decoded: f.decoded}
+		c := feedUpdate{feed: s, full: f.Full, relayed: true, revision: f.InstancesRevision, decoded: f.decoded}
 		for _, e := range f.Events {
-			if kindOf(e.Object.Key) == d.prefixOf(s) {
+			if keyPrefix(e.Object.Key) == d.prefixOf(s) {
 				c.events = append(c.events, e)
 			}
 		}
-		if c.reset || len(c.events) > 0 {
+		if c.full || len(c.events) > 0 {
 			d.apply(c)
 		}
 	}
--- a/internal/discovery/relay_test.go
+++ b/internal/discovery/relay_test.go
@@ -16,16 +16,16 @@
 	"github.com/rockdoor/rockdoor/objstore"
 )
 
-// copies is a relay that hands out what a test puts in.
-type copies chan discovery.Followed
+// fakeRelay is a relay that returns the updates that a test sends on the channel.
+type fakeRelay chan discovery.Followed
 
 // Newer implements discovery.Relay.
-func (c copies) Newer(context.Context, time.Duration) (discovery.Followed, error) {
-	return discovery.Followed{}, fault.New(fault.NotFound, "no other scheduler has a fresher copy", "none in a test")
+func (c fakeRelay) Newer(context.Context, time.Duration) (discovery.Followed, error) {
+	return discovery.Followed{}, fault.New(fault.NotFound, "no other scheduler has a fresher copy", "not in this test")
 }
 
 // Follow implements discovery.Relay.
-func (c copies) Follow(ctx context.Context, _ feed.Position) (discovery.Followed, error) {
+func (c fakeRelay) Follow(ctx context.Context, _ feed.Position) (discovery.Followed, error) {
 	select {
 	case f := <-c:
 		return f, nil
@@ -34,66 +34,65 @@
 	}
 }
 
-// tell has a process hear from the scheduler that it follows.
-func tell(relay copies, full bool, revision int, events ...objstore.Event) {
-	relay <- followedWith(full, revision, events...)
+// sendUpdate delivers an update from the scheduler that the process follows.
+func sendUpdate(relay fakeRelay, full bool, revision int, events ...objstore.Event) {
+	relay <- updateWith(full, revision, events...)
 }
 
-func followedWith(full bool, revision int, events ...objstore.Event) discovery.Followed {
+func updateWith(full bool, revision int, events ...objstore.Event) discovery.Followed {
 	return discovery.Followed{
 		Update: feed.Update{Full: full, Events: events}, InstancesRevision: objstore.Revision(revision), Processes: 30, Schedulers: []members.Member{{Name: "other"}},
 	}
 }
 
-// followedAt is what a scheduler says after one more instance has registered.
-func followedAt(revision int) discovery.Followed {
-	return followedWith(false, revision, registered(fmt.Sprint("i-", revision), revision))
+// updateAt returns an update in which one more instance has registered.
+func updateAt(revision int) discovery.Followed {
+	return updateWith(false, revision, registered(fmt.Sprint("i-", revision), revision))
 }
 
-// registered is the registration of an instance that is ready.
+// registered returns the registration of a ready instance.
 func registered(id string, version int) objstore.Event {
 	return objstore.Event{Object: objstore.Object{Key: "servers/" + id, Version: objstore.Version(version), Value: []byte(`{"service": "s", "address": "10.0.0.1:80", "phase": "ready", "slots": 4}`)}}
 }
 
-// configAt is a configuration whose version is that of its object too.
+// configAt returns a configuration whose version equals that of its object.
 func configAt(version int) objstore.Event {
 	return objstore.Event{Object: objstore.Object{Key: "config/main", Version: objstore.Version(version), Value: fmt.Appendf(nil, `{"version": %d}`, version)}}
 }
 
-// TestACopyThatIsBehindTakesNothingOut has a process change to a scheduler whose copy is older
-// than a registration that it knows: the instance stays, and a copy that is newer takes it
-// out for good.
+// TestACopyThatIsBehindTakesNothingOut has a process change to a scheduler whose data is older than a
+// registration that the process knows. The instance must stay; newer data must remove it for good.
 func TestACopyThatIsBehindTakesNothingOut(t *testing.T) {
-	relay := make(copies)
+	relay := make(fakeRelay)
 	view := startFollowing(t, relay)
-	tell(relay, true, 10, registered("i-1", 5), registered("i-2", 10))
+	sendUpdate(relay, true, 10, registered("i-1", 5), registered("i-2", 10))
 	eventually(t, func() bool { return len(view().Usable("s")) == 2 })
-	tell(relay, true, 9, registered("i-1", 5), registered("i-3", 9))
+	sendUpdate(relay, true, 9, registered("i-1", 5), registered("i-3", 9))
 	eventually(t, func() bool { return view().Takes("s", "i-3") })
-	require.True(t, view().Takes("s", "i-2"), "the copy may not have it yet")
-	tell(relay, true, 11, registered("i-1", 5), registered("i-3", 9))
+	require.True(t, view().Takes("s", "i-2"), "the scheduler may not have received it yet")
+	sendUpdate(relay, true, 11, registered("i-1", 5), registered("i-3", 9))
 	eventually(t, func() bool { return !view().Takes("s", "i-2") })
-	tell(relay, true, 9, registered("i-1", 5), registered("i-2", 10), registered("i-4", 9))
+	sendUpdate(relay, true, 9, registered("i-1", 5), registered("i-2", 10), registered("i-4", 9))
 	eventually(t, func() bool { return view().Takes("s", "i-4") })
-	require.False(t, view().Takes("s", "i-2"), "it has gone")
+	require.False(t, view().Takes("s", "i-2"), "it has been removed")
 }
 
-// tellOlder has a process hear, until the test ends, what a scheduler has that was cut off from
-// the store at a time: a copy that gets older and older.
-func tellOlder(t *testing.T, relay copies, cut time.Time, events ...objstore.Event) {
-	keepTelling(t, relay, func() discovery.Followed {
+// sendAgingUpdates delivers, until the test ends, the updates of a scheduler that lost the store at the
+// time cut, so that its data gets older and older.
+func sendAgingUpdates(t *testing.T, relay fakeRelay, cut time.Time, events ...objstore.Event) {
+	sendRepeatedly(t, relay, func() discovery.Followed {
 		return discovery.Followed{Age: time.Since(cut), InstancesRevision: 1, Processes: 30, Schedulers: []members.Member{{Name: "other"}}, Update: feed.Update{Events: events}}
 	})
 }
 
-// keepTelling has a process hear, until the test ends, what a scheduler has.
-func keepTelling(t *testing.T, relay copies, has func() discovery.Followed) {
+// sendRepeatedly delivers the results of update until the test ends.
+func sendRepeatedly(t *testing.T, relay fakeRelay, update func() discovery.Followed) {
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
 	go func() {
 		for {
 			select {
-			case relay <- has():
+			case relay <- update():
 				time.Sleep(10 * time.Millisecond)
 			case <-stop:
 				return
@@ -102,17 +101,17 @@
 	}()
 }
 
-// TestAllWatchersAreCutOff has those that a process follows answer it with copies that get
-// older and older, as watchers do that are cut off from the store: the process learns of a
-// change from the store itself within the bound, and does not ask it all the time.
+// TestAllWatchersAreCutOff covers watchers that have lost the store, so that a process which follows
+// them receives data that gets older and older. The process must learn of a change from the store within
+// the propagation bound, without reading the store all the time.
 func TestAllWatchersAreCutOff(t *testing.T) {
-	relay := make(copies)
+	relay := make(fakeRelay)
 	fake := fleetstore.New()
 	view := followingOn(t, fake, relay)
 	setConfig(fake, 2)
 	setInstance(fake, "i-1", "draining")
 	cut := time.Now()
-	tellOlder(t, relay, cut,
+	sendAgingUpdates(t, relay, cut,
 		configAt(1),
 		registered("i-1", 1),
 	)
@@ -121,73 +120,74 @@
 	before := fake.Calls()
 	time.Sleep(within / 2)
 	require.LessOrEqual(t, fake.Calls()-before, 6)
-	require.Equal(t, int64(2), version(view()), "older copies change nothing")
+	require.Equal(t, int64(2), version(view()), "older data changes nothing")
 	require.False(t, view().Takes("s", "i-1"))
 }
 
-// deaf is a relay in which no scheduler answers.
-type deaf struct{}
+// unavailableRelay is a relay for which no scheduler answers.
+type unavailableRelay struct{}
 
 // Follow implements discovery.Relay.
-func (deaf) Follow(context.Context, feed.Position) (discovery.Followed, error) {
-	return discovery.Followed{}, fault.New(fault.Unavailable, "no scheduler answers", "none in a test")
+func (unavailableRelay) Follow(context.Context, feed.Position) (discovery.Followed, error) {
+	return discovery.Followed{}, fault.New(fault.Unavailable, "no scheduler answers", "not in this test")
 }
 
 // Newer implements discovery.Relay.
-func (deaf) Newer(context.Context, time.Duration) (discovery.Followed, error) {
-	return discovery.Followed{}, fault.New(fault.Unavailable, "no scheduler answers", "none in a test")
+func (unavailableRelay) Newer(context.Context, time.Duration) (discovery.Followed, error) {
+	return discovery.Followed{}, fault.New(fault.Unavailable, "no scheduler answers", "not in this test")
 }
 
-// A watcher keeps a registration that lapsed while the store was away, since the platform then
-// drops those of instances that still run. A process that looked at the store itself took them
-// out at once: of its failed looks nobody was told, so that the store had not been away.
+// Registrations that expire in an outage of the store must stay in use for a while, since the platform
+// then drops those of instances that still run. A process that read the store directly removed them at
+// once: its failed reads were not recorded as an outage.
 func TestLapsedAsAProcessSeesItThatLooksItself(t *testing.T) {
-	relay := make(copies)
+	relay := make(fakeRelay)
 	fake := fleetstore.New()
 	view := followingOn(t, fake, relay)
 	setConfig(fake, 1)
 	setInstance(fake, "i-1", "ready")
 	cut := time.Now()
-	tellOlder(t, relay, cut,
+	sendAgingUpdates(t, relay, cut,
 		configAt(1),
 		registered("i-1", 1),
 	)
 	eventually(t, func() bool { return view().Takes("s", "i-1") })
 	fake.SetFaults(fleetstore.Faults{Down: true})
-	time.Sleep(within + within/10 - time.Since(cut)) // it has looked in vain
+	time.Sleep(within + within/10 - time.Since(cut)) // it has read the store without success
 	fake.Remove("servers", "i-1")
 	fake.SetFaults(fleetstore.Faults{})
 	require.Eventually(t, func() bool { return view().InstancesAge() < within/2 }, 4*within, time.Millisecond)
-	require.NotNil(t, view().Instances["i-1"], "it went at once")
+	require.NotNil(t, view().Instances["i-1"], "it was removed at once")
 	eventually(t, func() bool { return view().Instances["i-1"] == nil })
 }
 
-// stillHas is a relay in which another process keeps an instance that has gone, as one does that has lost the
-// store too, and is young otherwise.
-type stillHas struct {
-	deaf
+// staleSnapshotRelay is a relay that returns a fresh snapshot which still contains a removed instance, as
+// from a process that keeps it because it has lost the store too.
+type staleSnapshotRelay struct {
+	unavailableRelay
 	instance objstore.Event
 }
 
 // Newer implements discovery.Relay.
-func (s stillHas) Newer(context.Context, time.Duration) (discovery.Followed, error) {
-	return followedWith(true, 1, s.instance), nil
+func (s staleSnapshotRelay) Newer(context.Context, time.Duration) (discovery.Followed, error) {
+	return updateWith(true, 1, s.instance), nil
 }
 
-// Two watchers had lost the store for a moment, in which an instance went. One was back and kept it for less
-// than a tick; the other copied just then, and counted the time for which it may keep the instance from the age
-// of that copy: 13 of 96 requests reached the instance beyond the bound.
+// Two watchers lost the store for a moment, in which an instance was removed. One recovered and kept the
+// instance for less than a tick. The other fetched a snapshot from it in this time, and counted the time
+// for which it may keep the instance from the age of the snapshot: 13 of 96 requests reached the instance
+// beyond the propagation bound.
 func TestACopyDoesNotProlongWhatHasLapsed(t *testing.T) {
 	fake := fleetstore.New()
 	setInstance(fake, "i-1", "ready")
-	view := startOn(t, fake, stillHas{instance: registered("i-1", 1)})
+	view := startOn(t, fake, staleSnapshotRelay{instance: registered("i-1", 1)})
 	eventually(t, func() bool { return view().Takes("s", "i-1") })
 	fake.SetFaults(fleetstore.Faults{DownKind: "servers"})
 	eventually(t, func() bool { return !view().StoreUp })
 	fake.Remove("servers", "i-1")
 	removed := time.Now()
 	eventually(t, func() bool { return view().InstancesAge() > within/2 })
-	require.Eventually(t, func() bool { return view().InstancesAge() < within/4 }, 2*within, time.Millisecond, "it copies")
+	require.Eventually(t, func() bool { return view().InstancesAge() < within/4 }, 2*within, time.Millisecond, "a snapshot is fetched")
 	require.True(t, view().Takes("s", "i-1"))
 	fake.SetFaults(fleetstore.Faults{})
 	eventually(t, func() bool { return view().StoreUp })
@@ -195,49 +195,49 @@
 	require.False(t, view().Takes("s", "i-1"), "it left %s ago", time.Since(removed))
 }
 
-// A process changed from a scheduler to one that was behind, and then heard from this one that
-// an earlier registration of an instance, which had come back since, was removed. It took the
-// instance out and left the newer registration out too, as of a version that had gone.
+// A process changed to a scheduler that lagged behind, and received from it the removal of an earlier
+// registration of an instance that had registered again since. The process removed the instance, and then
+// ignored the newer registration as one of a removed version.
 func TestAnOlderRemovalLeavesANewerRegistration(t *testing.T) {
-	relay := make(copies)
+	relay := make(fakeRelay)
 	view := startFollowing(t, relay)
-	tell(relay, true, 12, registered("i-1", 12))
+	sendUpdate(relay, true, 12, registered("i-1", 12))
 	eventually(t, func() bool { return view().Takes("s", "i-1") })
-	tell(relay, true, 6, registered("i-1", 5))
+	sendUpdate(relay, true, 6, registered("i-1", 5))
 	gone := registered("i-1", 5)
 	gone.Deleted, gone.Object.Value = true, nil
-	tell(relay, false, 8, gone)
-	tell(relay, false, 12, registered("i-1", 12), registered("i-2", 12))
+	sendUpdate(relay, false, 8, gone)
+	sendUpdate(relay, false, 12, registered("i-1", 12), registered("i-2", 12))
 	eventually(t, func() bool { return view().Takes("s", "i-2") })
 	require.True(t, view().Takes("s", "i-1"))
 }
 
-// refusing is a relay whose schedulers answer that they are not ready.
-type refusing struct{}
+// notReadyRelay is a relay whose schedulers answer that they are not ready.
+type notReadyRelay struct{}
 
 // Follow implements discovery.Relay.
-func (refusing) Follow(context.Context, feed.Position) (discovery.Followed, error) {
-	return discovery.Followed{}, fault.New(fault.Denied, "scheduler is not ready", "none in a test")
+func (notReadyRelay) Follow(context.Context, feed.Position) (discovery.Followed, error) {
+	return discovery.Followed{}, fault.New(fault.Denied, "scheduler is not ready", "not in this test")
 }
 
 // Newer implements discovery.Relay.
-func (refusing) Newer(context.Context, time.Duration) (discovery.Followed, error) {
-	return discovery.Followed{}, fault.New(fault.Denied, "scheduler is not ready", "none in a test")
+func (notReadyRelay) Newer(context.Context, time.Duration) (discovery.Followed, error) {
+	return discovery.Followed{}, fault.New(fault.Denied, "scheduler is not ready", "not in this test")
 }
 
-// TestAProcessWaitsForSchedulersThatStart checks that a process that is not ready leaves the
-// store alone while the schedulers say that they are not ready either, but not for ever.
+// TestAProcessWaitsForSchedulersThatStart checks that a process that is not ready does not read the store
+// while the schedulers answer that they are not ready either, and that it does so after a while.
 func TestAProcessWaitsForSchedulersThatStart(t *testing.T) {
 	fake := fleetstore.New()
 	setConfig(fake, 1)
 	for n := range members.FullMesh + 2 {
 		setMember(t, fake, fmt.Sprint("m-", n))
 	}
-	view := startOn(t, fake, refusing{})
-	time.Sleep(soon / 2)
+	view := startOn(t, fake, notReadyRelay{})
+	time.Sleep(testTimeout / 2)
 	before := fake.Calls()
-	time.Sleep(soon)
+	time.Sleep(testTimeout)
 	require.Equal(t, before, fake.Calls())
 	require.False(t, view().Ready())
-	require.Eventually(t, func() bool { return view().Ready() }, 3*soon, 10*tick)
+	require.Eventually(t, func() bool { return view().Ready() }, 3*testTimeout, 10*tick)
 }
--- a/internal/discovery/rules.go
+++ b/internal/discovery/rules.go
@@ -10,13 +10,14 @@
 	"github.com/rockdoor/rockdoor/objstore"
 )
 
-// applyRules adopts newer rules. The copy of another process may be older than what is known
-// here: rules only move up, and an object without a value says that there are none, since a
-// copy that lacks the object may just not have heard of any.
-func (d *Discovery) applyRules(c changed) {
-	isRules := func(e objstore.Event) bool { return nameOf(e.Object.Key) == mainName }
-	if c.reset && !c.settled && !slices.ContainsFunc(c.events, isRules) {
-		d.putRules(objstore.Object{Key: d.o.Prefixes.Rules + mainName, Version: objstore.Version(c.revision)})
+// applyRules adopts newer rules. Data from another process may be older than this process's own, so
+// rules only change to a higher version. A relayed snapshot without the object does not mean that
+// there are no rules, since its sender may not have received any yet; an object with an empty value
+// does.
+func (d *Discovery) applyRules(c feedUpdate) {
+	isRules := func(e objstore.Event) bool { return objectName(e.Object.Key) == mainObject }
+	if c.full && !c.relayed && !slices.ContainsFunc(c.events, isRules) {
+		d.putRules(objstore.Object{Key: d.o.Prefixes.Rules + mainObject, Version: objstore.Version(c.revision)})
 	}
 	for _, e := range c.events {
 		switch {
@@ -29,8 +30,8 @@
 	}
 }
 
-// deleteRules takes in that the rules were deleted. The object's version may still be that of
-// its last change, and the deletion has a later one.
+// deleteRules applies the deletion of the rules. The object may still have the version of its last
+// change; the deletion then counts as a later version.
 func (d *Discovery) deleteRules(obj objstore.Object) {
 	if obj.Version < d.rulesObject.Version {
 		return
@@ -38,21 +39,22 @@
 	d.putRules(objstore.Object{Key: obj.Key, Version: max(obj.Version, d.rulesObject.Version+1)})
 }
 
-// keepRules leaves the rules in force that an operator was told to be, where the store came
-// back from a copy that may be older. They hold until an operator applies rules again.
+// keepRules keeps the rules in force if the store was restored from a snapshot with rules that may be
+// older: an operator was told that the current ones are in force. They stay until an operator applies
+// rules again.
 func (d *Discovery) keepRules(obj objstore.Object) {
 	if !bytes.Equal(obj.Value, d.rulesObject.Value) {
-		level.Error(d.logger).Log("msg", "rules of the store's copy left out, apply the rules again", "revision", obj.Version.Number(), "era", obj.Version.Era(), "in_force", d.rulesObject.Version.Number())
+		level.Error(d.logger).Log("msg", "rules of the restored store ignored because they may be outdated; apply the rules again", "revision", obj.Version.Number(), "era", obj.Version.Era(), "in_force", d.rulesObject.Version.Number())
 	}
 }
 
-// putRules adopts rules, or, without a value, that there are none, if that is newer. Rules
-// that cannot be read leave the last good ones in force.
+// putRules adopts rules, or their removal if the value is empty, if the version is newer. If the rules
+// cannot be decoded, the last valid ones stay in force.
 func (d *Discovery) putRules(obj objstore.Object) {
 	if obj.Version <= d.rulesObject.Version {
 		return
 	}
-	if d.rulesObject.Version.Era() < obj.Version.Era() && d.era.ofCopy(obj.Version) {
+	if d.rulesObject.Version.Era() < obj.Version.Era() && d.era.mayPredateRestore(obj.Version) {
 		d.keepRules(obj)
 		return
 	}
@@ -60,7 +62,7 @@
 	if len(obj.Value) > 0 {
 		var err error
 		if rules, err = fleet.ParseRules(obj.Value); err != nil {
-			level.Error(d.logger).Log("msg", "rules left out", "revision", obj.Version, "err", err)
+			level.Error(d.logger).Log("msg", "rules ignored: they cannot be decoded", "revision", obj.Version, "err", err)
 			return
 		}
 	}
@@ -71,5 +73,5 @@
 		level.Info(d.logger).Log("msg", "rules removed", "revision", obj.Version)
 	}
 	d.cur.Rules, d.rulesObject = rules, obj
-	d.tell(objstore.Event{Object: obj})
+	d.queueEvent(objstore.Event{Object: obj})
 }
--- a/internal/discovery/rules_test.go
+++ b/internal/discovery/rules_test.go
@@ -38,18 +38,17 @@
 	return ok
 }
 
-// Rules say where requests may run. A process that leaves a scheduler for another one gets all
-// that this one has, and that may be older: the watchers may have been cut off from the store
-// one after the other. The configuration then only moved up, but the rules were taken as they
-// came, and requests ran where the newest rules forbid it. The log of the process read
-// "rules in force revision=10" and after it "rules in force revision=5", or "rules removed".
+// A process that changes to another scheduler receives a full snapshot, which may be older than its own
+// data if the watchers lost the store one after the other. Only the configuration was then kept from going
+// back to an older version; older rules were applied, and requests ran where the newest rules forbid it.
+// The log had "rules in force revision=10" and after it "rules in force revision=5" or "rules removed".
 func TestRulesOnlyMoveUp(t *testing.T) {
-	relay := make(copies)
+	relay := make(fakeRelay)
 	view := startFollowing(t, relay)
 	configs := 0
 	whole := func(events ...objstore.Event) {
 		configs++
-		tell(relay, true, 1, append(events, configAt(configs))...)
+		sendUpdate(relay, true, 1, append(events, configAt(configs))...)
 		eventually(t, func() bool { return version(view()) == int64(configs) })
 	}
 	whole(rulesAt(5, onlyB))
@@ -57,34 +56,34 @@
 	whole(rulesAt(10, onlyA))
 	require.False(t, permits(view(), "b"))
 	whole(rulesAt(5, onlyB))
-	require.False(t, permits(view(), "b"), "the rules went back")
+	require.False(t, permits(view(), "b"), "the rules went back to an older version")
 	whole()
-	require.False(t, permits(view(), "b"), "this copy has not heard of any rules")
+	require.False(t, permits(view(), "b"), "a snapshot without rules removes none")
 	whole(rulesAt(12, onlyB))
 	require.False(t, permits(view(), "a"))
 }
 
-// TestRemovedRulesStayRemoved has a process hear from one scheduler that the rules were removed
-// and from another one, which is behind, of the rules that there were.
+// TestRemovedRulesStayRemoved has one scheduler report that the rules were removed, and another one, which
+// lags behind, send the former rules.
 func TestRemovedRulesStayRemoved(t *testing.T) {
-	relay := make(copies)
+	relay := make(fakeRelay)
 	view := startFollowing(t, relay)
-	tell(relay, true, 1, rulesAt(5, onlyB))
+	sendUpdate(relay, true, 1, rulesAt(5, onlyB))
 	eventually(t, func() bool { return view().Rules != nil })
-	tell(relay, true, 1, rulesAt(7, ""))
+	sendUpdate(relay, true, 1, rulesAt(7, ""))
 	eventually(t, func() bool { return view().Rules == nil })
-	tell(relay, true, 1, rulesAt(5, onlyB))
-	tell(relay, true, 1, rulesAt(6, onlyA))
-	tell(relay, true, 1, rulesAt(9, onlyA))
+	sendUpdate(relay, true, 1, rulesAt(5, onlyB))
+	sendUpdate(relay, true, 1, rulesAt(6, onlyA))
+	sendUpdate(relay, true, 1, rulesAt(9, onlyA))
 	eventually(t, func() bool { return view().Rules != nil })
 	require.False(t, permits(view(), "b"))
 }
 
-// All watchers are cut off from the store while the operator changes the rules. Processes
-// that follow them looked at the store themselves for the configuration and the registrations,
-// but not for the rules, and kept the old ones until the cut had ended.
+// All watchers lose the store while the operator changes the rules. Processes that follow them read the
+// configuration and the registrations from the store directly, but not the rules, and kept the old rules
+// until the watchers were back.
 func TestRulesChangeWhileAllWatchersAreCutOff(t *testing.T) {
-	relay := make(copies)
+	relay := make(fakeRelay)
 	fake := fleetstore.New()
 	setRules := func(text string) {
 		fake.Set("rockdoor-rules", "main", map[string]any{"write": "w", "value": json.RawMessage(text)})
@@ -92,7 +91,7 @@
 	setRules(onlyA)
 	view := followingOn(t, fake, relay)
 	cut := time.Now()
-	tellOlder(t, relay, cut,
+	sendAgingUpdates(t, relay, cut,
 		configAt(1),
 		rulesAt(1, onlyA),
 	)
@@ -100,52 +99,51 @@
 	setRules(onlyB)
 	require.Eventually(t, func() bool { return permits(view(), "b") }, within-time.Since(cut), tick)
 	time.Sleep(within / 2)
-	require.True(t, permits(view(), "b"), "older copies change nothing")
+	require.True(t, permits(view(), "b"), "older data changes nothing")
 	require.False(t, permits(view(), "a"))
 	fake.Remove("rockdoor-rules", "main")
 	require.Eventually(t, func() bool { return view().Rules == nil }, within, tick)
 	time.Sleep(within / 2)
-	require.Nil(t, view().Rules, "copies that still have them change nothing")
+	require.Nil(t, view().Rules, "snapshots that still contain the rules change nothing")
 }
 
 func rulesAt(version int, text string) objstore.Event {
 	return objstore.Event{Object: objstore.Object{Key: platform.RulesPrefix + "main", Version: objstore.Version(version), Value: []byte(text)}}
 }
 
-// A process that came up while the newest rules could not be read by its version, since a
-// newer one had written them, took their version for the one in force. The last good rules,
-// which its scheduler has and enforces, then were older and left out, and everything was
-// permitted: "rules left out revision=20" was the last line about rules in its log.
+// A process started when the newest rules had been written by a newer software version and could not be
+// decoded. It recorded their version as the one in force, and then ignored the last valid rules, which its
+// scheduler has and enforces, as older ones. Without rules it permitted everything.
 func TestRulesThatCannotBeReadLeaveTheLastGoodOnes(t *testing.T) {
-	relay := make(copies)
+	relay := make(fakeRelay)
 	view := startFollowing(t, relay)
-	tell(relay, true, 1, rulesAt(20, `{"selectors": {"*": "domain=a"}, "newer": 1}`))
-	tell(relay, true, 1, rulesAt(10, onlyA))
+	sendUpdate(relay, true, 1, rulesAt(20, `{"selectors": {"*": "domain=a"}, "newer": 1}`))
+	sendUpdate(relay, true, 1, rulesAt(10, onlyA))
 	eventually(t, func() bool { return view().Rules != nil })
 	require.False(t, permits(view(), "b"))
 }
 
-// emptyLists answers lists of rules that may be stale with nothing, as of a revision that is
-// newer than the rules.
-type emptyLists struct {
+// emptyListServer answers lists of rules that may be stale with an empty list whose revision is newer than
+// the rules.
+type emptyListServer struct {
 	*fleetstore.Server
 	on atomic.Bool
 }
 
-func (s *emptyLists) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *emptyListServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	if s.on.Load() && strings.HasSuffix(r.URL.Path, "/rockdoor-rules") && q.Has("stale_ok") && !q.Has("watch") {
-		_, _ = w.Write([]byte(`{"items": [], "has_more": false, "current_rev": 60}`)) // a caller that is gone needs no answer
+		_, _ = w.Write([]byte(`{"items": [], "has_more": false, "current_rev": 60}`)) // an error means that the client has disconnected
 		return
 	}
 	s.Server.ServeHTTP(w, r)
 }
 
-// Rules are read from answers that may be seconds old, and such an answer may name a newer
-// revision than its content has. One without rules, of revision 60, made a process leave out
-// the rules of revision 31 ever after, and permit everything.
+// Rules are read with answers that may be seconds old, and such an answer can have a newer revision than
+// its content. After one without rules and with revision 60 a process ignored the rules of revision 31 for
+// good, and permitted everything.
 func TestAStaleListWithoutRulesTakesNoneOut(t *testing.T) {
-	fake := &emptyLists{Server: fleetstore.New()}
+	fake := &emptyListServer{Server: fleetstore.New()}
 	for range 30 {
 		setConfig(fake.Server, 1)
 	}
@@ -157,45 +155,44 @@
 	view := startOn(t, fake, nil)
 	eventually(t, func() bool { return version(view()) == 1 && view().Rules != nil })
 	require.False(t, permits(view(), "b"))
-	fake.Forget() // watches end, and all is listed again
+	fake.Forget() // ends the watches, so that everything is listed again
 	time.Sleep(apply)
 	require.NotNil(t, view().Rules)
 }
 
-// TestRulesThatAreRemovedByACopyStayRemoved has a removal followed by an older copy.
+// TestRulesThatAreRemovedByACopyStayRemoved has a relayed removal followed by an older snapshot.
 func TestRulesThatAreRemovedByACopyStayRemoved(t *testing.T) {
-	relay := make(copies)
+	relay := make(fakeRelay)
 	view := startFollowing(t, relay)
-	tell(relay, true, 1, rulesAt(5, onlyB))
+	sendUpdate(relay, true, 1, rulesAt(5, onlyB))
 	eventually(t, func() bool { return view().Rules != nil })
 	gone := rulesAt(5, "")
 	gone.Deleted = true
-	tell(relay, false, 1, gone)
+	sendUpdate(relay, false, 1, gone)
 	eventually(t, func() bool { return view().Rules == nil })
-	tell(relay, true, 1, rulesAt(5, onlyB), configAt(1))
+	sendUpdate(relay, true, 1, rulesAt(5, onlyB), configAt(1))
 	eventually(t, func() bool { return version(view()) == 1 })
 	require.Nil(t, view().Rules)
 }
 
-// TestOlderWordOfRulesChangesNothing has a process hear of a removal that is older than its
-// rules, and of a copy without rules that knows newer registrations.
+// TestOlderWordOfRulesChangesNothing has a process receive a removal that is older than its rules, and a
+// snapshot without rules but with newer registrations.
 func TestOlderWordOfRulesChangesNothing(t *testing.T) {
-	relay := make(copies)
+	relay := make(fakeRelay)
 	view := startFollowing(t, relay)
-	tell(relay, true, 1, rulesAt(10, onlyA))
+	sendUpdate(relay, true, 1, rulesAt(10, onlyA))
 	eventually(t, func() bool { return view().Rules != nil })
 	gone := rulesAt(5, "")
 	gone.Deleted = true
-	tell(relay, false, 1, gone, configAt(1))
+	sendUpdate(relay, false, 1, gone, configAt(1))
 	eventually(t, func() bool { return version(view()) == 1 })
 	require.NotNil(t, view().Rules)
-	tell(relay, true, 100, configAt(2))
+	sendUpdate(relay, true, 100, configAt(2))
 	eventually(t, func() bool { return version(view()) == 2 })
 	require.NotNil(t, view().Rules)
 }
 
-// TestFollowersHearThatRulesWereRemoved checks what a process that watches the store has for
-// those that follow it.
+// TestFollowersHearThatRulesWereRemoved checks the feed that a watching process has for its followers.
 func TestFollowersHearThatRulesWereRemoved(t *testing.T) {
 	fake := fleetstore.New()
 	d := discoveryOn(t, fake, nil, nil)
