--- a/members/members.go
+++ b/members/members.go
@@ -1,7 +1,7 @@
-// Package members keeps the list of rockdoor processes. A process registers
-// through the object API; the list reaches everybody by the mirror. Who is
-// alive is learned from heartbeats between a bounded number of neighbours, so
-// the cost per process does not grow with the fleet.
+// Package members maintains the list of rockdoor processes. A process registers through the
+// object API, and the mirror distributes the list to all processes. Which members are alive is
+// learned from heartbeats between a bounded number of gossip peers, so that the cost per process
+// does not grow with the fleet.
 package members
 
 import (
@@ -20,27 +20,28 @@
 	"github.com/rockdoor/rockdoor/wallclock"
 )
 
-// KeyPrefix is where the members of the completion service register.
+// KeyPrefix is the key prefix of the members of the completion service.
 const KeyPrefix = "state/members/"
 
 const (
-	// NeighboursEach is how many neighbours a process chooses; it is chosen by
-	// about as many others. Fleets of up to FullMesh processes all meet.
+	// NeighboursEach is how many gossip peers a process chooses. About as many others choose
+	// it. In fleets of up to FullMesh processes every process exchanges heartbeats with all others.
 	NeighboursEach = 6
 	FullMesh       = 16
 	// WatchersPerDomain is how many processes of a failure domain watch the store.
 	WatchersPerDomain = 2
-	// SchedulersPerDomain is how many processes of a failure domain work for the others of
-	// a fleet of more than FullMesh: one, and one that stands by.
+	// SchedulersPerDomain is how many processes of a failure domain schedule for the others in
+	// a fleet of more than FullMesh processes: one and a standby.
 	SchedulersPerDomain = 2
-	// MostWatchers is how many of them watch the store; the others follow these.
+	// MostWatchers is the max number of schedulers that watch the store in such a fleet; the
+	// other schedulers follow these.
 	MostWatchers = 3
 )
 
 // Member is the registration of one run of a process.
 type Member struct {
 	Name string `json:"name"`
-	// Incarnation orders the runs of one name; it rises with each start.
+	// Incarnation orders the runs of processes of one name; it rises with each start.
 	Incarnation string `json:"incarnation"`
 	Host        string `json:"host"`
 	Domain      string `json:"domain"`
@@ -48,27 +49,26 @@
 	Peer   string `json:"peer"`
 	Admin  string `json:"admin"`
 	Listen string `json:"listen"`
-	// Weight is how much work the process can take on for others, in shares of a core.
+	// Weight is the capacity of the process to schedule for others, as a share of a CPU core.
 	Weight float64 `json:"weight,omitempty"`
 }
 
-// NewIncarnation returns an incarnation that is later than all earlier ones of
-// hosts whose clocks agree to the millisecond.
+// NewIncarnation returns an incarnation that is greater than all earlier ones from hosts whose
+// clocks agree to the millisecond.
 func NewIncarnation() string {
 	return ulid.MustNew(ulid.Timestamp(wallclock.Now()), ulid.DefaultEntropy()).String()
 }
 
-// StartedBefore reports whether m started that much before other, as far as the clocks of
-// their hosts agree.
+// StartedBefore reports whether m started at least the given time before other, as far as the
+// clocks of their hosts agree.
 func (m Member) StartedBefore(other Member, by time.Duration) bool {
 	a, err := ulid.Parse(m.Incarnation)
 	b, err2 := ulid.Parse(other.Incarnation)
 	return err == nil && err2 == nil && a.Timestamp().Add(by).Before(b.Timestamp())
 }
 
-// Parse reads registrations from objects whose keys end in their names, ordered
-// by name.
-// Objects that cannot be read are skipped.
+// Parse decodes registrations whose keys end in the members' names, sorted by name. Objects that
+// cannot be decoded are skipped.
 func Parse(objs []objstore.Object) []Member {
 	var ms []Member
 	for _, o := range objs {
@@ -80,14 +80,14 @@
 	return ms
 }
 
-// Decode reads one registration. It reports false if the object is none.
+// Decode decodes one registration. It reports false if the object is not a valid one.
 func Decode(o objstore.Object) (Member, bool) {
 	var m Member
 	err := json.Unmarshal(o.Value, &m)
 	return m, err == nil && strings.HasSuffix(o.Key, "/"+m.Name)
 }
 
-// Names returns the names of members in their order.
+// Names returns the names of the members, in the same order.
 func Names(ms []Member) []string {
 	out := make([]string, 0, len(ms))
 	for _, m := range ms {
@@ -96,15 +96,15 @@
 	return out
 }
 
-// Register writes self to the store, below prefix. It replaces an earlier incarnation and
-// fails with Conflict if a later one is registered.
+// Register writes self to the store under prefix. It replaces an earlier incarnation, and fails
+// with Conflict if a later one is registered.
 func Register(ctx context.Context, s objstore.Store, prefix string, self Member) error {
 	value, err := json.Marshal(self)
 	if err != nil {
 		return fault.Wrap(err, fault.Internal, "member cannot be encoded", "report this as a defect")
 	}
 	key := prefix + self.Name
-	// Most often nothing is registered under the name, and one call is enough.
+	// Usually nothing is registered under the name, so that one call is enough.
 	if _, err = s.Put(ctx, key, value, 0, self.Incarnation); err == nil {
 		return nil
 	}
@@ -118,16 +118,16 @@
 			return nil
 		}
 		if old.Incarnation > self.Incarnation {
-			return fault.Newf(fault.Conflict, "stop one of the two processes or give it another name",
-				"a later process named %s is registered from %s", self.Name, old.Peer)
+			return fault.Newf(fault.Conflict, "stop one of the two processes or rename it",
+				"a process named %s that started later is registered from %s", self.Name, old.Peer)
 		}
 	}
 	_, err = objstore.PutSettled(ctx, s, key, value, obj.Version, self.Incarnation)
 	return err
 }
 
-// Unregister removes the registration of m below prefix if it is still the one
-// in force.
+// Unregister removes the registration of m under prefix unless another incarnation has replaced
+// it.
 func Unregister(ctx context.Context, s objstore.Store, prefix string, m Member) error {
 	obj, err := s.Get(ctx, prefix+m.Name)
 	if fault.Is(err, fault.NotFound) {
@@ -136,22 +136,22 @@
 	if err != nil {
 		return err
 	}
-	var now Member
-	if json.Unmarshal(obj.Value, &now) == nil && now.Incarnation != m.Incarnation {
+	var current Member
+	if json.Unmarshal(obj.Value, &current) == nil && current.Incarnation != m.Incarnation {
 		return nil
 	}
 	return s.Delete(ctx, obj.Key, obj.Version)
 }
 
-// Contain reports whether one of the members has a name.
+// Contain reports whether one of the members has the given name.
 func Contain(all []Member, name string) bool {
 	return slices.ContainsFunc(all, func(m Member) bool { return m.Name == name })
 }
 
-// Neighbours returns the members that self exchanges heartbeats with on its own
-// initiative: all of a small fleet, else the NeighboursEach with the highest
-// hash of the pair. The graph is random and differs at every process, so news
-// reaches all in a few hops and no process has more to do than another.
+// Neighbours returns the gossip peers to which self sends heartbeats on its own initiative: all
+// members of a small fleet, otherwise the NeighboursEach with the highest hash of the pair of
+// names. The graph is random, so that updates reach all members in a few hops and the load is
+// spread evenly.
 func Neighbours(all []Member, self string) []Member {
 	others := slices.DeleteFunc(slices.Clone(all), func(m Member) bool { return m.Name == self })
 	if len(all) <= FullMesh {
@@ -170,42 +170,42 @@
 	return xxhash.Sum64String(a + "\x00" + b)
 }
 
-// Rank returns how many of the names have a higher hash with key than self has.
-// Processes that know the same names so agree on who does what, without a word.
+// Rank returns how many of the other names have a higher hash with key than self. Processes that
+// know the same names thus agree on who does a task without exchanging messages.
 func Rank(key, self string, names []string) int {
-	mine, higher := xxhash.Sum64String(key+"\x00"+self), 0
+	own, higher := xxhash.Sum64String(key+"\x00"+self), 0
 	for _, n := range names {
-		if n != self && xxhash.Sum64String(key+"\x00"+n) > mine {
+		if n != self && xxhash.Sum64String(key+"\x00"+n) > own {
 			higher++
 		}
 	}
 	return higher
 }
 
-// IsWatcher reports whether self is one of the watchers of its failure domain,
-// given the members that are believed alive.
+// IsWatcher reports whether self is one of the watchers of its failure domain, given the members
+// that are believed alive.
 func IsWatcher(alive []Member, self Member) bool {
-	var near []string
+	var sameDomain []string
 	for _, m := range alive {
 		if m.Domain == self.Domain {
-			near = append(near, m.Name)
+			sameDomain = append(sameDomain, m.Name)
 		}
 	}
-	return Rank("watch", self.Name, near) < WatchersPerDomain
+	return Rank("watch", self.Name, sameDomain) < WatchersPerDomain
 }
 
-// Schedulers returns the members that work for the others, ordered by failure domain and
-// preference: all of a fleet of up to FullMesh, else in each domain those with the largest
-// weight, and among equals those with the highest hash, so that all that know the same
-// members name the same ones. Members for which passOver holds are left out; nil leaves
-// none out.
-func Schedulers(all []Member, passOver func(name string) bool) []Member {
+// Schedulers returns the members that schedule for the others, ordered by failure domain and
+// preference: all members of a fleet of up to FullMesh processes, otherwise the preferred
+// SchedulersPerDomain of each failure domain. Preferred are those with the largest weight, and
+// among equals those with the highest hash, so that processes that know the same members choose
+// the same schedulers. Members for which excluded returns true are left out; excluded may be nil.
+func Schedulers(all []Member, excluded func(name string) bool) []Member {
 	candidates := slices.Clone(all)
-	if passOver != nil {
-		candidates = slices.DeleteFunc(candidates, func(m Member) bool { return passOver(m.Name) })
+	if excluded != nil {
+		candidates = slices.DeleteFunc(candidates, func(m Member) bool { return excluded(m.Name) })
 	}
 	slices.SortFunc(candidates, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(a.Domain, b.Domain), preferred(a, b))
+		return cmp.Or(cmp.Compare(a.Domain, b.Domain), comparePreference(a, b))
 	})
 	if len(all) <= FullMesh {
 		return candidates
@@ -217,25 +217,25 @@
 	})
 }
 
-// preferred orders members of a failure domain by who is to work for the others first.
-func preferred(a, b Member) int {
-	return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(scheduleScore(b.Name), scheduleScore(a.Name)), cmp.Compare(a.Name, b.Name))
+// comparePreference orders the members of a failure domain by how well they suit as schedulers.
+func comparePreference(a, b Member) int {
+	return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(schedulerScore(b.Name), schedulerScore(a.Name)), cmp.Compare(a.Name, b.Name))
 }
 
-// WouldSchedule reports whether a member is one of those that work for the others in a large fleet, if
-// schedulers do now: it is one of them, goes before one of its failure domain, or these are too few.
+// WouldSchedule reports whether m would be a scheduler of a large fleet, given its current
+// schedulers: fewer than SchedulersPerDomain of its failure domain are preferred to it.
 func (m Member) WouldSchedule(schedulers []Member) bool {
-	before := 0
+	preferred := 0
 	for _, s := range schedulers {
-		if s.Domain == m.Domain && s.Name != m.Name && preferred(s, m) < 0 {
-			before++
+		if s.Domain == m.Domain && s.Name != m.Name && comparePreference(s, m) < 0 {
+			preferred++
 		}
 	}
-	return before < SchedulersPerDomain
+	return preferred < SchedulersPerDomain
 }
 
-// Watchers returns those of the schedulers that watch the store: all of a fleet of up to
-// FullMesh processes, else a few, in different failure domains as far as there are any.
+// Watchers returns the schedulers that watch the store: all of them in a fleet of up to FullMesh
+// processes, otherwise up to MostWatchers, in different failure domains if possible.
 func Watchers(schedulers []Member, processes int) []Member {
 	if processes <= FullMesh {
 		return schedulers
@@ -249,37 +249,38 @@
 		}
 	}
 	for _, part := range [][]Member{first, second} {
-		slices.SortFunc(part, func(a, b Member) int { return cmp.Compare(scheduleScore(b.Name), scheduleScore(a.Name)) })
+		slices.SortFunc(part, func(a, b Member) int { return cmp.Compare(schedulerScore(b.Name), schedulerScore(a.Name)) })
 	}
 	out := append(first, second...)
 	return out[:min(MostWatchers, len(out))]
 }
 
-func scheduleScore(name string) uint64 { return xxhash.Sum64String("schedule\x00" + name) }
+func schedulerScore(name string) uint64 { return xxhash.Sum64String("schedule\x00" + name) }
 
-// Health is what a process believes about a member.
+// Health is what a process believes about the state of a member.
 type Health string
 
-// Healths of a member.
+// States of a member.
 const (
-	// Unheard members are neighbours that have not been heard yet.
+	// Unheard members are gossip peers from which no heartbeat has arrived yet.
 	Unheard Health = "unheard"
 	Alive   Health = "alive"
-	// Presumed members are no neighbours; nobody says that they are silent.
+	// Presumed members are not gossip peers, and no process reports them unresponsive.
 	Presumed Health = "presumed"
-	// Suspected members have missed heartbeats. They may be paused or cut off.
+	// Suspected members have missed heartbeats. They may be paused or disconnected.
 	Suspected Health = "suspected"
-	// Leaving members have said that they stop.
+	// Leaving members have announced that they are stopping.
 	Leaving Health = "leaving"
 )
 
-// Living reports whether a member is believed to serve.
+// Living reports whether the member is believed to serve requests.
 func (h Health) Living() bool { return h == Alive || h == Presumed }
 
-// SuspectAfter is how many heartbeat intervals may pass without word.
+// SuspectAfter is the number of heartbeat intervals without a heartbeat after which a member is
+// suspected.
 const SuspectAfter = 4
 
-// HealthAt returns the health of a member last heard at the given age.
+// HealthAt returns the health of a gossip peer whose last heartbeat has the given age.
 func HealthAt(heard bool, age, interval time.Duration, leaving bool) Health {
 	switch {
 	case !heard:
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -12,7 +12,7 @@
 	"github.com/rockdoor/rockdoor/objstore/memstore"
 )
 
-func fleet(n, domains int) []Member {
+func newFleet(n, domains int) []Member {
 	ms := make([]Member, n)
 	for i := range ms {
 		ms[i] = Member{Name: fmt.Sprintf("entry-%d", i), Domain: fmt.Sprintf("d%d", i%domains)}
@@ -22,7 +22,7 @@
 
 func TestNeighboursAreBoundedAndConnectTheFleet(t *testing.T) {
 	for _, n := range []int{1, 2, 8, 16, 17, 128, 610} {
-		ms := fleet(n, 11)
+		ms := newFleet(n, 11)
 		edges := map[string][]string{}
 		for _, m := range ms {
 			chosen := Neighbours(ms, m.Name)
@@ -33,10 +33,10 @@
 			}
 		}
 		for name, e := range edges {
-			// Each edge costs bytes at both ends; the budget of a process is 6 KB/s.
+			// Each edge costs traffic at both ends; the budget of a process is 6 KB/s.
 			require.LessOrEqual(t, len(e), max(2*FullMesh, 3*NeighboursEach), "edges of %s in a fleet of %d", name, n)
 		}
-		hops := reach(edges, ms[0].Name)
+		hops := hopCounts(edges, ms[0].Name)
 		require.Len(t, hops, n)
 		for _, h := range hops {
 			require.LessOrEqual(t, h, 5, "hops in a fleet of %d", n)
@@ -44,13 +44,13 @@
 	}
 }
 
-func reach(edges map[string][]string, from string) map[string]int {
+func hopCounts(edges map[string][]string, from string) map[string]int {
 	hops := map[string]int{from: 0}
-	for todo := []string{from}; len(todo) > 0; todo = todo[1:] {
-		for _, next := range edges[todo[0]] {
+	for queue := []string{from}; len(queue) > 0; queue = queue[1:] {
+		for _, next := range edges[queue[0]] {
 			if _, ok := hops[next]; !ok {
-				hops[next] = hops[todo[0]] + 1
-				todo = append(todo, next)
+				hops[next] = hops[queue[0]] + 1
+				queue = append(queue, next)
 			}
 		}
 	}
@@ -58,7 +58,7 @@
 }
 
 func TestWatchersPerDomain(t *testing.T) {
-	ms := fleet(610, 11)
+	ms := newFleet(610, 11)
 	watchers := map[string]int{}
 	for _, m := range ms {
 		if IsWatcher(ms, m) {
@@ -74,28 +74,27 @@
 func TestLaterIncarnationWins(t *testing.T) {
 	ctx := context.Background()
 	s := memstore.New()
-	old, now := Member{Name: "a", Incarnation: "1"}, Member{Name: "a", Incarnation: "2"}
+	old, current := Member{Name: "a", Incarnation: "1"}, Member{Name: "a", Incarnation: "2"}
 	require.NoError(t, Register(ctx, s, KeyPrefix, old))
-	require.NoError(t, Register(ctx, s, KeyPrefix, now))
-	require.NoError(t, Register(ctx, s, KeyPrefix, now), "again")
+	require.NoError(t, Register(ctx, s, KeyPrefix, current))
+	require.NoError(t, Register(ctx, s, KeyPrefix, current), "again")
 	require.True(t, fault.Is(Register(ctx, s, KeyPrefix, old), fault.Conflict))
-	require.NoError(t, Unregister(ctx, s, KeyPrefix, old), "not its own any more")
+	require.NoError(t, Unregister(ctx, s, KeyPrefix, old), "no longer its registration")
 	objs, _, _ := s.List(ctx, KeyPrefix)
-	require.Equal(t, []Member{now}, Parse(objs))
-	require.NoError(t, Unregister(ctx, s, KeyPrefix, now))
-	require.NoError(t, Unregister(ctx, s, KeyPrefix, now), "already gone")
+	require.Equal(t, []Member{current}, Parse(objs))
+	require.NoError(t, Unregister(ctx, s, KeyPrefix, current))
+	require.NoError(t, Unregister(ctx, s, KeyPrefix, current), "already removed")
 	objs, _, _ = s.List(ctx, KeyPrefix)
 	require.Empty(t, objs)
 }
 
-// TestSchedulersAreFewAndTheSameForAll checks who works for the others in fleets of several
-// sizes.
+// TestSchedulersAreFewAndTheSameForAll checks the schedulers and watchers of fleets of several sizes.
 func TestSchedulersAreFewAndTheSameForAll(t *testing.T) {
-	small := fleet(FullMesh, 3)
+	small := newFleet(FullMesh, 3)
 	require.Len(t, Schedulers(small, nil), FullMesh)
 	require.Len(t, Watchers(small, FullMesh), FullMesh)
 	for _, n := range []int{24, 65, 295, 610} {
-		all := fleet(n, 5)
+		all := newFleet(n, 5)
 		heavy := map[string]bool{}
 		for i := range all {
 			if i%8 == 0 {
@@ -111,24 +110,24 @@
 		for _, m := range watchers {
 			domains[m.Domain]++
 		}
-		require.Len(t, domains, MostWatchers, "one in a domain")
+		require.Len(t, domains, MostWatchers, "one in each failure domain")
 		if n > 100 {
 			for _, m := range chosen {
-				require.True(t, heavy[m.Name], "hosts with more are preferred")
+				require.True(t, heavy[m.Name], "hosts with a larger weight are preferred")
 			}
 		}
 		slices.Reverse(all)
-		require.Equal(t, chosen, Schedulers(all, nil), "whatever the order of the list")
+		require.Equal(t, chosen, Schedulers(all, nil), "independent of the order of the list")
 
-		gone := chosen[0].Name
-		next := Schedulers(all, func(name string) bool { return name == gone })
-		require.Len(t, next, len(chosen), "another one takes the place of one that is silent")
+		unresponsive := chosen[0].Name
+		next := Schedulers(all, func(name string) bool { return name == unresponsive })
+		require.Len(t, next, len(chosen), "another one replaces an unresponsive one")
 		require.Equal(t, chosen[1:2], next[0:1])
 	}
 }
 
-// TestWhoWouldSchedule compares what a member finds from the schedulers alone with what the list of all
-// members says.
+// TestWhoWouldSchedule compares the result from the schedulers alone with the schedulers chosen from the
+// list of all members.
 func TestWhoWouldSchedule(t *testing.T) {
 	var all []Member
 	for n := range 60 {
@@ -138,8 +137,8 @@
 	for _, m := range all {
 		require.Equal(t, Contain(schedulers, m.Name), m.WouldSchedule(schedulers), m.Name)
 	}
-	silent := schedulers[0].Name
-	replaced := Schedulers(all, func(name string) bool { return name == silent })
-	require.True(t, schedulers[0].WouldSchedule(replaced), "one that is back")
-	require.True(t, Member{Name: "new", Domain: "9"}.WouldSchedule(schedulers), "the first of its domain")
+	unresponsive := schedulers[0].Name
+	replaced := Schedulers(all, func(name string) bool { return name == unresponsive })
+	require.True(t, schedulers[0].WouldSchedule(replaced), "a scheduler that has recovered")
+	require.True(t, Member{Name: "new", Domain: "9"}.WouldSchedule(schedulers), "the first member of its failure domain")
 }
