--- a/mirror/example_test.go
+++ b/mirror/example_test.go
@@ -10,7 +10,7 @@
 	"github.com/rockdoor/rockdoor/objstore/memstore"
 )
 
-// One copy reads the store, a second one copies from the first.
+// One mirror reads the store, a second one replicates from the first.
 func Example() {
 	ctx := context.Background()
 	store := memstore.New()
--- a/mirror/keeper.go
+++ b/mirror/keeper.go
@@ -16,42 +16,42 @@
 
 // Timing of a Keeper.
 const (
-	// WatchWait is how long a watcher's call waits for changes. It bounds the
-	// age of a proof.
+	// WatchWait is how long a watcher's call waits for changes. It bounds the staleness of a
+	// watcher's mirror.
 	WatchWait = time.Second
-	// selfCheckAge is the age at which a process that is no watcher reads the
-	// store itself.
-	selfCheckAge    = 3 * time.Second
-	selfCheckJitter = 2 * time.Second
-	idlePoll        = 200 * time.Millisecond
-	maxRetryDelay   = 2 * time.Second
+	// directReadAge is the age of the mirror from which on a process that is not a watcher reads
+	// the store directly.
+	directReadAge    = 3 * time.Second
+	directReadJitter = 2 * time.Second
+	idlePollInterval = 200 * time.Millisecond
+	maxRetryDelay    = 2 * time.Second
 )
 
-// Keeper moves a mirror forward from the store.
+// Keeper updates a mirror from the store.
 type Keeper struct {
 	mirror *Mirror
 	store  objstore.Store
 	logger log.Logger
-	// isWatcher says whether this process is one of the few that watch.
+	// isWatcher reports whether this process is one of the few that watch the store.
 	isWatcher func() bool
 }
 
-// NewKeeper returns a keeper of m. isWatcher must be safe for concurrent use.
+// NewKeeper returns a Keeper of m. isWatcher must be safe for concurrent use.
 func NewKeeper(m *Mirror, store objstore.Store, isWatcher func() bool, logger log.Logger) *Keeper {
 	return &Keeper{mirror: m, store: store, isWatcher: isWatcher, logger: log.With(logger, "component", "mirror")}
 }
 
-// Run keeps the mirror until ctx ends.
+// Run keeps the mirror up to date until ctx ends.
 func (k *Keeper) Run(ctx context.Context) error {
 	retry := backoff.NewExponentialBackOff()
 	retry.MaxInterval = maxRetryDelay
 	for ctx.Err() == nil {
 		if !k.due() {
-			sleep(ctx, idlePoll)
+			sleep(ctx, idlePollInterval)
 			continue
 		}
 		if err := k.Refresh(ctx, WatchWait); err != nil {
-			level.Debug(k.logger).Log("msg", "store not read", "err", err)
+			level.Debug(k.logger).Log("msg", "could not read the store", "err", err)
 			sleep(ctx, retry.NextBackOff())
 			continue
 		}
@@ -60,12 +60,12 @@
 	return nil
 }
 
-// due reports whether this process has to read the store now.
+// due reports whether this process must read the store now.
 func (k *Keeper) due() bool {
 	if k.isWatcher() {
 		return true
 	}
-	return k.mirror.Age() > selfCheckAge+rand.N(selfCheckJitter)
+	return k.mirror.Age() > directReadAge+rand.N(directReadJitter)
 }
 
 func sleep(ctx context.Context, d time.Duration) {
@@ -77,8 +77,8 @@
 	}
 }
 
-// Refresh reads the store once: the whole prefix if the mirror is empty or has
-// missed changes, else what has changed, waiting up to wait for a change.
+// Refresh reads the store once. It lists the whole prefix if the mirror is empty or has missed
+// changes; otherwise it waits for changes, up to wait.
 func (k *Keeper) Refresh(ctx context.Context, wait time.Duration) error {
 	before := bootclock.Now()
 	rev := k.mirror.Revision()
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -1,10 +1,10 @@
-// Package mirror keeps a read-only copy of a small prefix of the object API in
-// every process at a cost to the store that does not grow with the fleet. A few
-// watchers read the store; all others copy from peers. Each copy is exact as of
-// one revision and only moves forward.
+// Package mirror keeps a read-only replica of a small key prefix of the object API in every
+// process, at a cost to the store that does not grow with the fleet. A few watchers read the store;
+// all other processes replicate from peers. A replica is exact as of one revision, and its revision
+// never goes back.
 //
-// A copy also knows its age: how long ago it was last proven, at some process,
-// that the store held nothing newer. Proofs travel with the copies.
+// A replica also knows its age: the time since the store last confirmed, to any process, that it
+// held nothing newer. Confirmations travel with the replicated data.
 package mirror
 
 import (
@@ -18,43 +18,43 @@
 	"github.com/rockdoor/rockdoor/objstore"
 )
 
-// logLength is how many recent events are kept to serve deltas.
-const logLength = 1024
+// maxLogLength is how many recent events are kept to answer requests for deltas.
+const maxLogLength = 1024
 
-// None is the revision of a mirror that has no copy yet.
+// None is the revision of an empty mirror.
 const None objstore.Revision = -1
 
-// Never is the age of a copy that was never proven.
+// Never is the age of a mirror that was never confirmed.
 const Never = time.Duration(1<<63 - 1)
 
-// Delta carries a copy, or what changed in it, from one process to another.
+// Delta carries a snapshot of a mirror, or the changes since a revision, to another process.
 type Delta struct {
-	// Base is the revision that the events follow on. It is ignored if Full.
+	// Base is the revision that the events follow. It is ignored if Full is true.
 	Base objstore.Revision
 	// Revision is the revision up to which the delta is complete.
 	Revision objstore.Revision
-	// Age is the age of the sender's proof.
+	// Age is the time since the store confirmed the sender's data.
 	Age time.Duration
-	// Full is true if Events hold the whole copy.
+	// Full is true if Events hold all objects.
 	Full   bool
 	Events []objstore.Event
 }
 
-// Mirror is the copy. It is safe for concurrent use.
+// Mirror is a replica of the objects below a key prefix. It is safe for concurrent use.
 type Mirror struct {
 	prefix string
 
-	mu       sync.RWMutex
-	rev      objstore.Revision
-	objects  map[string]objstore.Object
-	log      []objstore.Event
-	logBase  objstore.Revision // the log holds all events after it
-	proven   bool
-	provenAt bootclock.Instant
-	changed  chan struct{} // closed and replaced at each change
+	mu          sync.RWMutex
+	rev         objstore.Revision
+	objects     map[string]objstore.Object
+	log         []objstore.Event
+	logBase     objstore.Revision // the log holds all events after this revision
+	confirmed   bool
+	confirmedAt bootclock.Instant
+	changed     chan struct{} // closed and replaced at each change
 }
 
-// New returns an empty mirror of the keys below prefix.
+// New returns an empty mirror of the keys that start with prefix.
 func New(prefix string) *Mirror {
 	return &Mirror{prefix: prefix, objects: map[string]objstore.Object{}, rev: None, logBase: None, changed: make(chan struct{})}
 }
@@ -62,14 +62,14 @@
 // Prefix returns the prefix of the mirrored keys.
 func (m *Mirror) Prefix() string { return m.prefix }
 
-// Revision returns the revision of the copy, or None.
+// Revision returns the revision of the mirror, or None.
 func (m *Mirror) Revision() objstore.Revision {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.rev
 }
 
-// Age returns how long ago it was proven that nothing newer existed.
+// Age returns the time since the store last confirmed that it held nothing newer.
 func (m *Mirror) Age() time.Duration {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -77,10 +77,10 @@
 }
 
 func (m *Mirror) age() time.Duration {
-	if !m.proven {
+	if !m.confirmed {
 		return Never
 	}
-	return bootclock.Since(m.provenAt)
+	return bootclock.Since(m.confirmedAt)
 }
 
 // Changed returns a channel that is closed at the next change.
@@ -90,7 +90,7 @@
 	return m.changed
 }
 
-// Get returns one object of the copy.
+// Get returns the object with the given key.
 func (m *Mirror) Get(key string) (objstore.Object, bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -98,7 +98,7 @@
 	return o, ok
 }
 
-// List returns the objects whose key starts with prefix, ordered by key.
+// List returns the objects whose keys start with prefix, ordered by key.
 func (m *Mirror) List(prefix string) []objstore.Object {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -112,7 +112,8 @@
 	return out
 }
 
-// Since returns what a copy at revision after lacks.
+// Since returns the changes since the given revision, or all objects if the log does not reach
+// back that far.
 func (m *Mirror) Since(after objstore.Revision) Delta {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -132,8 +133,8 @@
 	return d
 }
 
-// Apply brings the copy forward to a delta. It returns true if the copy moved.
-// A delta that is older than the copy, or does not connect to it, has no effect.
+// Apply applies a delta and reports whether the revision rose. A delta that is older than the
+// mirror, or that starts after the mirror's revision, has no effect.
 func (m *Mirror) Apply(d Delta) bool {
 	now := bootclock.Now()
 	m.mu.Lock()
@@ -141,7 +142,7 @@
 	if d.Revision == None || d.Revision < m.rev || (!d.Full && d.Base > m.rev) {
 		return false
 	}
-	m.prove(now, d.Age)
+	m.recordConfirmation(now, d.Age)
 	if d.Revision == m.rev {
 		return false
 	}
@@ -156,24 +157,24 @@
 	return true
 }
 
-// Confirm records that a copy of the same revision elsewhere has the given age.
+// Confirm records that a mirror of the same revision in another process has the given age.
 func (m *Mirror) Confirm(rev objstore.Revision, age time.Duration) {
 	now := bootclock.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if rev == m.rev {
-		m.prove(now, age)
+		m.recordConfirmation(now, age)
 	}
 }
 
-// prove moves the time of the last proof forward. The caller holds m.mu.
-func (m *Mirror) prove(now bootclock.Instant, age time.Duration) {
+// recordConfirmation moves the time of the last confirmation forward. The caller holds m.mu.
+func (m *Mirror) recordConfirmation(now bootclock.Instant, age time.Duration) {
 	if age == Never {
 		return
 	}
 	at := now.Add(-age)
-	if !m.proven || at > m.provenAt {
-		m.proven, m.provenAt = true, at
+	if !m.confirmed || at > m.confirmedAt {
+		m.confirmed, m.confirmedAt = true, at
 	}
 }
 
@@ -197,7 +198,7 @@
 		}
 		m.log = append(m.log, e)
 	}
-	if drop := len(m.log) - logLength; drop > 0 {
+	if drop := len(m.log) - maxLogLength; drop > 0 {
 		m.logBase = m.log[drop-1].Revision
 		m.log = slices.Clone(m.log[drop:])
 	}
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -15,13 +15,13 @@
 	"github.com/rockdoor/rockdoor/objstore/memstore"
 )
 
-// Copies that follow the store or each other, in any order and with gaps, never
-// go back and are exact as of their revision.
+// Mirrors that follow the store or each other, in any order and with gaps, are exact as of their
+// revision, which never goes back.
 func TestMirrorsAreExactAndNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := context.Background()
 		store := memstore.New()
-		truth := map[objstore.Revision]string{0: "[]"}
+		expected := map[objstore.Revision]string{0: "[]"}
 		mirrors := []*Mirror{New("s/"), New("s/"), New("s/")}
 		keepers := make([]*Keeper, len(mirrors))
 		for i, m := range mirrors {
@@ -34,13 +34,13 @@
 			case "write":
 				key := fmt.Sprintf("s/%d", rapid.IntRange(0, 3).Draw(t, "key"))
 				old, _ := store.Get(ctx, key)
-				obj, err := store.Put(ctx, key, []byte(fmt.Sprint(len(truth))), old.Version, "")
+				obj, err := store.Put(ctx, key, []byte(fmt.Sprint(len(expected))), old.Version, "")
 				require.NoError(t, err)
-				truth[objstore.Revision(obj.Version)] = contents(store)
+				expected[objstore.Revision(obj.Version)] = contents(store)
 			case "delete":
 				if objs, rev, _ := store.List(ctx, "s/"); len(objs) > 0 {
 					require.NoError(t, store.Delete(ctx, objs[0].Key, objs[0].Version))
-					truth[rev+1] = contents(store)
+					expected[rev+1] = contents(store)
 				}
 			case "read":
 				require.NoError(t, keepers[i].Refresh(ctx, 0))
@@ -53,8 +53,8 @@
 			}
 			if now := mirrors[i].Revision(); now < before {
 				t.Fatalf("revision went back from %d to %d", before, now)
-			} else if now != None && fmt.Sprint(values(mirrors[i].List("s/"))) != truth[now] {
-				t.Fatalf("at revision %d the copy holds %v, the store held %s", now, values(mirrors[i].List("s/")), truth[now])
+			} else if now != None && fmt.Sprint(values(mirrors[i].List("s/"))) != expected[now] {
+				t.Fatalf("at revision %d the mirror holds %v, the store held %s", now, values(mirrors[i].List("s/")), expected[now])
 			}
 		}
 	})
@@ -77,15 +77,15 @@
 	m := New("s/")
 	require.Equal(t, Never, m.Age())
 	m.Apply(Delta{Revision: 5, Full: true, Age: Never})
-	require.Equal(t, Never, m.Age(), "a copy without a proof")
+	require.Equal(t, Never, m.Age(), "a snapshot without a confirmation")
 	m.Confirm(4, 0)
-	require.Equal(t, Never, m.Age(), "a proof of another revision")
+	require.Equal(t, Never, m.Age(), "a confirmation of another revision")
 	m.Confirm(5, time.Hour)
 	require.GreaterOrEqual(t, m.Age(), time.Hour)
 	m.Confirm(5, time.Minute)
 	require.Less(t, m.Age(), 2*time.Minute)
 	m.Confirm(5, time.Hour)
-	require.Less(t, m.Age(), 2*time.Minute, "an older proof")
+	require.Less(t, m.Age(), 2*time.Minute, "an older confirmation")
 }
 
 func TestWatchGapIsHealedByAList(t *testing.T) {
@@ -102,5 +102,5 @@
 	}
 	require.NoError(t, k.Refresh(ctx, 0))
 	require.EqualValues(t, 5000, m.Revision())
-	require.Less(t, bootclock.Since(m.provenAt), time.Minute)
+	require.Less(t, bootclock.Since(m.confirmedAt), time.Minute)
 }
