--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -1,6 +1,6 @@
-// Package feed keeps the newest version of a set of objects for processes that copy it: a
-// copy states the position up to which it is complete and gets what has changed since, each
-// object once, however often it changed.
+// Package feed keeps the newest version of a set of objects for followers in other processes. A
+// follower sends the position up to which its replica is complete, and receives the objects that
+// have changed since, each one once, however often it changed.
 package feed
 
 import (
@@ -11,87 +11,88 @@
 	"github.com/rockdoor/rockdoor/objstore"
 )
 
-// maxRemoved is how many removals are remembered. A copy that is older gets everything. At
-// a replacement of each engine of a large fleet there are some hundred.
+// maxRemoved is how many removals are remembered. An older follower receives a full update. The
+// replacement of every engine of a large fleet makes some hundred removals.
 const maxRemoved = 512
 
-// Position is up to where a copy of a feed is complete. The zero Position is that of a copy
-// with nothing in it.
+// Position says up to where a replica of a feed is complete. The zero Position is that of an empty
+// replica.
 type Position struct {
-	// Run names the feed; positions of two runs don't compare.
+	// Run identifies the run of the process that has the feed; positions of different runs are
+	// not comparable.
 	Run string
 	At  uint64
 }
 
-// Update is what a copy lacks.
+// Update holds the changes since a position.
 type Update struct {
 	Position Position
-	// Full is true if Events hold everything that there is.
+	// Full is true if Events hold all existing objects.
 	Full bool
-	// Events are in the order of the changes. An event that is not a removal holds the
-	// object as it is now.
+	// Events are in the order of the changes. Unless it is a removal, an event holds the current
+	// version of the object.
 	Events []objstore.Event
 }
 
-// Feed is the set of objects. It is safe for concurrent use.
+// Feed is a set of objects and the log of their changes. It is safe for concurrent use.
 type Feed struct {
-	run string
+	runID string
 
-	mu sync.Mutex
-	at uint64
+	mu       sync.Mutex
+	sequence uint64
 	// changes has the newest change of each key.
 	changes map[string]change
-	// order has all changes in their order, also some that later ones of their key have replaced.
-	order []ordered
-	// removed are the keys of removals in their order, floor the position of the newest
-	// removal that has been forgotten.
-	removed []string
-	floor   uint64
-	changed chan struct{}
+	// log has the changes in their order, including some that later changes have superseded.
+	log []keyPosition
+	// removed are the keys of the removals in their order. forgottenUpTo is the sequence number
+	// of the newest removal that has been forgotten.
+	removed       []string
+	forgottenUpTo uint64
+	changed       chan struct{}
 }
 
-// change is the newest change of one key.
+// change is the newest change of a key.
 type change struct {
-	event objstore.Event
-	at    uint64
+	event    objstore.Event
+	sequence uint64
 }
 
-// ordered is the position of a change of a key.
-type ordered struct {
-	key string
-	at  uint64
+// keyPosition is an entry of the log: the key and the sequence number of a change.
+type keyPosition struct {
+	key      string
+	sequence uint64
 }
 
-// New returns an empty feed. run differs for each start of a process.
+// New returns an empty feed. run must differ for each start of a process.
 func New(run string) *Feed {
-	return &Feed{run: run, changes: map[string]change{}, changed: make(chan struct{})}
+	return &Feed{runID: run, changes: map[string]change{}, changed: make(chan struct{})}
 }
 
-// Put adds an object or replaces it.
+// Put adds or replaces an object.
 func (f *Feed) Put(obj objstore.Object) { f.Apply([]objstore.Event{{Object: obj}}) }
 
-// Remove takes an object out. The key alone stays.
+// Remove removes an object. Its key is remembered for a while so that followers receive the removal.
 func (f *Feed) Remove(key string) {
 	f.Apply([]objstore.Event{{Object: objstore.Object{Key: key}, Deleted: true}})
 }
 
-// Apply takes in changes in their order. Those that copy see all of them or none, so that copies which ask
-// after a flood of changes are at the same position, and one packed update serves them all.
+// Apply applies changes in their order. Followers see all of them or none, so that those that poll
+// after a burst of changes are at the same position and can share one encoded update.
 func (f *Feed) Apply(events []objstore.Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	before := f.at
+	before := f.sequence
 	for _, e := range events {
 		f.add(e)
 	}
 	f.compact()
-	if f.at > before {
+	if f.sequence > before {
 		close(f.changed)
 		f.changed = make(chan struct{})
 	}
 }
 
-// add takes in one change. The caller holds the lock.
+// add applies one change. The caller holds the lock.
 func (f *Feed) add(e objstore.Event) {
 	if e.Deleted {
 		c, known := f.changes[e.Object.Key]
@@ -100,70 +101,71 @@
 		}
 		e.Object = objstore.Object{Key: e.Object.Key, Version: c.event.Object.Version}
 	}
-	f.at++
-	f.changes[e.Object.Key] = change{e, f.at}
-	f.order = append(f.order, ordered{e.Object.Key, f.at})
+	f.sequence++
+	f.changes[e.Object.Key] = change{e, f.sequence}
+	f.log = append(f.log, keyPosition{e.Object.Key, f.sequence})
 	if e.Deleted {
 		f.removed = append(f.removed, e.Object.Key)
-		f.forget()
+		f.forgetRemovals()
 	}
 }
 
-// forget drops the oldest removals beyond the bound. The caller holds the lock.
-func (f *Feed) forget() {
+// forgetRemovals drops the oldest removals beyond maxRemoved. The caller holds the lock.
+func (f *Feed) forgetRemovals() {
 	for len(f.removed) > maxRemoved {
 		key := f.removed[0]
 		f.removed = f.removed[1:]
 		if c := f.changes[key]; c.event.Deleted {
-			f.floor = max(f.floor, c.at)
+			f.forgottenUpTo = max(f.forgottenUpTo, c.sequence)
 			delete(f.changes, key)
 		}
 	}
 }
 
-// leastOrder is from how many changes on replaced ones are dropped.
-const leastOrder = 1024
+// minCompactLength is the length of the log from which on superseded changes are dropped.
+const minCompactLength = 1024
 
-// compact drops the replaced changes once most are. The caller holds the lock.
+// compact drops the superseded changes once they are half of the log. The caller holds the lock.
 func (f *Feed) compact() {
-	if len(f.order) < leastOrder || len(f.order) < 2*len(f.changes) {
+	if len(f.log) < minCompactLength || len(f.log) < 2*len(f.changes) {
 		return
 	}
-	f.order = slices.DeleteFunc(f.order, func(o ordered) bool { return f.changes[o.key].at != o.at })
+	f.log = slices.DeleteFunc(f.log, func(o keyPosition) bool { return f.changes[o.key].sequence != o.sequence })
 }
 
-// Since returns what a copy at a position lacks, and a channel that is closed at the next
-// change. It costs what the copy lacks, not what there is: hundreds of copies ask after each change.
+// Since returns the changes since a position, and a channel that is closed at the next change. Its
+// cost depends on the number of these changes, not of all objects: hundreds of followers poll after
+// each change.
 func (f *Feed) Since(p Position) (Update, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	u := Update{Position: Position{f.run, f.at}}
-	u.Full = p.Run != f.run || p.At < f.floor || p.At > f.at
-	lacks := f.order
+	u := Update{Position: Position{f.runID, f.sequence}}
+	u.Full = p.Run != f.runID || p.At < f.forgottenUpTo || p.At > f.sequence
+	missing := f.log
 	if !u.Full {
-		lacks = f.after(p.At)
+		missing = f.after(p.At)
 	}
-	for _, o := range lacks {
+	for _, o := range missing {
 		c := f.changes[o.key]
-		if c.at == o.at && !(u.Full && c.event.Deleted) {
+		if c.sequence == o.sequence && !(u.Full && c.event.Deleted) {
 			u.Events = append(u.Events, c.event)
 		}
 	}
 	return u, f.changed
 }
 
-// Run names the feed.
-func (f *Feed) Run() string { return f.run }
+// Run returns the ID of the run of the process that has the feed.
+func (f *Feed) Run() string { return f.runID }
 
-// At returns the position of the newest change.
+// At returns the sequence number of the newest change.
 func (f *Feed) At() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.at
+	return f.sequence
 }
 
-// after returns the changes after a position. The caller holds the lock.
-func (f *Feed) after(at uint64) []ordered {
-	first := sort.Search(len(f.order), func(n int) bool { return f.order[n].at > at })
-	return f.order[first:]
+// after returns the changes after a sequence number. The caller holds the lock.
+func (f *Feed) after(sequence uint64) []keyPosition {
+	first := sort.Search(len(f.log), func(n int) bool { return f.log[n].sequence > sequence })
+	return f.log[first:]
 }
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -36,21 +36,21 @@
 	f.Put(object("a", 3))
 	f.Put(object("a", 4))
 	f.Remove("b")
-	f.Remove("never there")
+	f.Remove("never added")
 	<-changed
 	next, _ := f.Since(first.Position)
 	require.False(t, next.Full)
-	require.Equal(t, []string{"a4", "b2-"}, keys(next), "each object once, as it is now")
+	require.Equal(t, []string{"a4", "b2-"}, keys(next), "each object once, in its current version")
 	none, _ := f.Since(next.Position)
 	require.Empty(t, none.Events)
 
 	other, _ := f.Since(Position{Run: "r0", At: 5})
-	require.True(t, other.Full, "positions of another run don't compare")
+	require.True(t, other.Full, "positions of another run are not comparable")
 	require.Equal(t, []string{"a4"}, keys(other))
 }
 
-// TestRemovalsAreForgotten checks the bound: a copy that is older than the forgotten
-// removals gets everything instead.
+// TestRemovalsAreForgotten checks that a follower whose position is older than the forgotten removals
+// receives a full update.
 func TestRemovalsAreForgotten(t *testing.T) {
 	f := New("r1")
 	f.Put(object("stays", 1))
@@ -66,8 +66,8 @@
 	require.Len(t, f.changes, maxRemoved+1)
 }
 
-// TestAChangeCostsWhatItIs has copies of 100 and of 10,000 objects ask after one change: what is looked
-// at is that change at both sizes.
+// TestAChangeCostsWhatItIs has followers of feeds with 100 and with 10,000 objects poll after one change. In
+// both cases only this change may be examined.
 func TestAChangeCostsWhatItIs(t *testing.T) {
 	for _, objects := range []int{100, 10_000} {
 		f := feedOf(objects)
@@ -80,16 +80,16 @@
 	}
 }
 
-// TestReplacedChangesAreDropped changes one object again and again.
+// TestReplacedChangesAreDropped changes one object many times.
 func TestReplacedChangesAreDropped(t *testing.T) {
 	f := feedOf(10)
 	start, _ := f.Since(Position{})
-	for n := range 10 * leastOrder {
+	for n := range 10 * minCompactLength {
 		f.Put(object("3", n))
 	}
-	require.LessOrEqual(t, len(f.order), leastOrder)
+	require.LessOrEqual(t, len(f.log), minCompactLength)
 	u, _ := f.Since(start.Position)
-	require.Equal(t, []string{fmt.Sprint("3", 10*leastOrder-1)}, keys(u))
+	require.Equal(t, []string{fmt.Sprint("3", 10*minCompactLength-1)}, keys(u))
 }
 
 func feedOf(objects int) *Feed {
@@ -100,7 +100,7 @@
 	return f
 }
 
-// BenchmarkSince asks for one change of a feed of 10,000 objects.
+// BenchmarkSince polls for one change of a feed of 10,000 objects.
 func BenchmarkSince(b *testing.B) {
 	f := feedOf(10_000)
 	all, _ := f.Since(Position{})
