--- a/bootclock/bootclock.go
+++ b/bootclock/bootclock.go
@@ -1,7 +1,6 @@
-// Package bootclock reads a clock that also counts the time in which the
-// process was stopped or the host was suspended. Leases and ages are measured
-// on it, since the wall clock can be set and the monotonic clock of the
-// language's runtime stands still in a suspend.
+// Package bootclock reads a clock that keeps running while the process is stopped or the host is
+// suspended. Leases and ages are measured with it, since the wall clock can be set and the
+// monotonic clock of the Go runtime stops during a suspend.
 package bootclock
 
 import (
@@ -10,10 +9,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Instant is a time since the host was booted. It has no meaning on another host.
+// Instant is a time since the boot of the host. It has no meaning on other hosts.
 type Instant time.Duration
 
-// Now returns the present instant.
+// Now returns the current instant.
 func Now() Instant {
 	var ts unix.Timespec
 	// The call cannot fail for this clock on Linux 2.6.39 and later.
@@ -21,7 +20,7 @@
 	return Instant(ts.Nano())
 }
 
-// Since returns the time that has passed since i.
+// Since returns the time elapsed since i.
 func Since(i Instant) time.Duration { return time.Duration(Now() - i) }
 
 // Add returns the instant d after i.
--- a/truetime/truetime_test.go
+++ b/truetime/truetime_test.go
@@ -10,13 +10,13 @@
 	"github.com/rockdoor/rockdoor/bootclock"
 )
 
-// host is a clock whose parts a test sets.
-func host(wall *time.Time, boot *bootclock.Instant) *Clock {
+// newTestClock returns a clock that reads the given wall and boot-time clocks.
+func newTestClock(wall *time.Time, boot *bootclock.Instant) *Clock {
 	return newClock(func() time.Time { return *wall }, func() bootclock.Instant { return *boot })
 }
 
-// TestAMinorityOfWrongClocksDoesNotCount checks that the time stays between those of the
-// right clocks, whichever others are wrong, the own one as well, and however they jump.
+// TestAMinorityOfWrongClocksDoesNotCount checks that the time stays between those of the right clocks,
+// whichever other clocks are wrong or jump, including the host's own.
 func TestAMinorityOfWrongClocksDoesNotCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		right := rapid.IntRange(2, 5).Draw(t, "right")
@@ -30,7 +30,7 @@
 			walls = append(walls, true0.Add(time.Duration(rapid.IntRange(-9000, 9000).Draw(t, "jump"))*time.Millisecond))
 		}
 		own := rapid.IntRange(0, len(walls)-1).Draw(t, "own")
-		c := host(&walls[own], &boot)
+		c := newTestClock(&walls[own], &boot)
 		for n, w := range walls {
 			if n != own {
 				c.HearPeer(string(rune('a'+n)), w)
@@ -42,26 +42,26 @@
 
 func TestTheSourceGoesFirstWhileItIsHeard(t *testing.T) {
 	wall, boot := time.Unix(1000, 0), bootclock.Instant(time.Hour)
-	c := host(&wall, &boot)
+	c := newTestClock(&wall, &boot)
 	c.HearSource(time.Unix(2000, 0))
 	boot = boot.Add(time.Second)
 	wall = time.Unix(3000, 0)
 	require.Equal(t, time.Unix(2001, 0), c.Now())
-	boot = boot.Add(heardFor)
-	require.InDelta(t, 1011, float64(c.Now().Unix()), 1, "its own clock, which was set meanwhile")
+	boot = boot.Add(sampleLifetime)
+	require.InDelta(t, 1011, float64(c.Now().Unix()), 1, "the host's own clock, which was set meanwhile")
 }
 
-// TestAClockThatIsSetIsFollowedSlowly has the clocks of half of the hosts jump, which a median
-// alone follows, and back, and one that drifts.
+// TestAClockThatIsSetIsFollowedSlowly has the clock of one of two hosts, which a median alone would follow,
+// jump and jump back, while the other one drifts.
 func TestAClockThatIsSetIsFollowedSlowly(t *testing.T) {
 	boot := bootclock.Instant(time.Hour)
 	start := time.Unix(1_000_000, 0)
 	passed := func() time.Duration { return boot.Sub(bootclock.Instant(time.Hour)) }
 	var jump, drift time.Duration
 	own := start
-	c := host(&own, &boot)
+	c := newTestClock(&own, &boot)
 	other := start
-	peer := host(&other, &boot)
+	peer := newTestClock(&other, &boot)
 	for step := range 400 {
 		boot = boot.Add(100 * time.Millisecond)
 		drift += 5 * time.Microsecond
--- a/wallclock/lab.go
+++ b/wallclock/lab.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// offset reads the file each time, so that a test can set the clock at any moment. The clock
-// is right while there is no such file, or none that can be read.
+// offset reads the file at each call, so that a test can change the clock at any time. The offset is 0
+// if the file does not exist or cannot be parsed.
 func offset() time.Duration {
 	text, err := os.ReadFile(os.Getenv(FileVariable))
 	if err != nil {
--- a/wallclock/wallclock.go
+++ b/wallclock/wallclock.go
@@ -1,11 +1,11 @@
-// Package wallclock tells the time of day. A build with the tag labclock, for tests only, tells
-// one that is wrong by what a file says, as the clock of a host is that was set badly.
+// Package wallclock reads the host's wall clock. Builds with the tag labclock, for tests only, add an
+// offset from a file, to simulate a host whose clock is set wrong.
 package wallclock
 
 import "time"
 
-// FileVariable names the environment variable with the file that says by how much the clock is
-// wrong, such as -3.5s. Only builds with the tag read it.
+// FileVariable is the environment variable with the path of the file that holds the offset, such as
+// -3.5s. Only builds with the tag labclock read it.
 const FileVariable = "ROCKDOOR_LAB_CLOCK"
 
 // Now returns the time of day by the host's clock.
