--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -125,7 +125,8 @@
 	changedIDs map[string]bool
 	// pendingEvents are changes that have not been added to the feed yet.
 	pendingEvents []objstore.Event
-	// versions are the versions of the instances, removed those of the removed ones at removal.
+	// versions has the version of each instance, and removed the version and time of each
+	// recent removal.
 	versions map[string]objstore.Version
 	removed  map[string]removal
 	// rulesObject is the stored object of the rules in force. An empty value means that there
@@ -153,13 +154,14 @@
 	failingSince bootclock.Instant
 	failedAt     bootclock.Instant
 	recoveredAt  bootclock.Instant
-	// prevConfirmedAt is as of when the registrations were known to be current before the
-	// store's last answer about them, from this process's own reads or from a relay.
+	// prevConfirmedAt is the time as of which the registrations were known to be current before
+	// the store's last answer about them, through this process's own reads or through a relay.
 	prevConfirmedAt bootclock.Instant
 	// prevOwnConfirmedAt is the same for this process's own reads alone. An update from another
 	// process may contain registrations that had expired and that this process still used.
 	prevOwnConfirmedAt bootclock.Instant
-	// ownConfirmedAt is as of when this process's own reads last confirmed the registrations.
+	// ownConfirmedAt is the time as of which this process's own reads last confirmed the
+	// registrations.
 	ownConfirmedAt bootclock.Instant
 	// outage is true if the last answer about the registrations ended an outage of the store:
 	// registrations missing from it may have expired because of the outage.
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	apply     = 200 * time.Millisecond
-	lapseKept = 300 * time.Millisecond
+	apply            = 200 * time.Millisecond
+	expiredRetention = 300 * time.Millisecond
 	// within is the propagation bound: the time in which a change must have reached all processes.
 	within      = 2 * time.Second
 	testTimeout = 2 * time.Second
@@ -87,7 +87,7 @@
 			Config: platform.ConfigPrefix, Instances: platform.InstancePrefix, Rules: platform.RulesPrefix, Members: platform.MemberPrefix, Directory: platform.DirectoryPrefix,
 		},
 		DecodeConfig: platform.DecodeConfig, DecodeInstance: platform.DecodeInstance,
-		Apply: apply, Settle: apply, Within: within, LapseKept: lapseKept, Metrics: metrics.NewRegistry(), Logger: log.NewNopLogger(),
+		Apply: apply, Settle: apply, Within: within, LapseKept: expiredRetention, Metrics: metrics.NewRegistry(), Logger: log.NewNopLogger(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -189,13 +189,13 @@
 	fake.Remove("servers", "i-3")
 	fake.SetFaults(fleetstore.Faults{})
 	eventually(t, func() bool { return view().StoreUp })
-	time.Sleep(lapseKept / 4)
+	time.Sleep(expiredRetention / 4)
 	require.Len(t, view().Usable("s"), 2, "both may register again")
 	require.Nil(t, view().Instances["i-3"], "a draining instance is not kept")
 	setInstance(fake, "i-1", "ready")
 	eventually(t, func() bool { return len(view().Usable("s")) == 1 })
 	require.True(t, view().Takes("s", "i-1"))
-	time.Sleep(lapseKept)
+	time.Sleep(expiredRetention)
 	require.True(t, view().Takes("s", "i-1"))
 }
 
@@ -212,7 +212,7 @@
 	setInstance(fake, "i-1", "ready")
 	fake.SetFaults(fleetstore.Faults{})
 	eventually(t, func() bool { return view().StoreUp })
-	time.Sleep(lapseKept + apply)
+	time.Sleep(expiredRetention + apply)
 	require.True(t, view().Takes("s", "i-1"))
 }
 
@@ -225,7 +225,7 @@
 	fake.SetFaults(fleetstore.Faults{DownKind: "config"})
 	eventually(t, func() bool { return !view().StoreUp })
 	fake.Remove("servers", "i-1")
-	time.Sleep(lapseKept / 3)
+	time.Sleep(expiredRetention / 3)
 	require.True(t, view().Takes("s", "i-1"), "it may register again")
 	eventually(t, func() bool { return !view().Takes("s", "i-1") })
 }
--- a/internal/discovery/era_test.go
+++ b/internal/discovery/era_test.go
@@ -62,7 +62,7 @@
 // configuration. None of this may come into force again.
 func TestWhatWasKnownDoesNotComeBackWithTheCopy(t *testing.T) {
 	_, view := startRestored(t)
-	for start := time.Now(); time.Since(start) < 2*lapseKept; time.Sleep(tick) {
+	for start := time.Now(); time.Since(start) < 2*expiredRetention; time.Sleep(tick) {
 		v := view()
 		require.False(t, v.Takes("s", "i-drains"))
 		require.False(t, v.Takes("s", "i-gone"))
@@ -75,10 +75,10 @@
 func TestWhatTheCopyLacksHasTimeToBeWrittenAgain(t *testing.T) {
 	fake, view := startRestored(t)
 	require.True(t, view().Takes("s", "i-new"))
-	time.Sleep(lapseKept / 3)
+	time.Sleep(expiredRetention / 3)
 	require.True(t, view().Takes("s", "i-new"))
 	setInstance(fake, "i-new", "ready")
-	time.Sleep(2 * lapseKept)
+	time.Sleep(2 * expiredRetention)
 	require.True(t, view().Takes("s", "i-new"), "it has registered again")
 
 	_, view = startRestored(t)
--- a/internal/discovery/mode.go
+++ b/internal/discovery/mode.go
@@ -111,7 +111,7 @@
 	return slices.Equal(members.Names(a), members.Names(b))
 }
 
-// reviewSchedulers determines the schedulers anew, as some may have become unresponsive or responsive.
+// reviewSchedulers updates the schedulers, as some may have become unresponsive or have recovered.
 func (d *Discovery) reviewSchedulers(ctx context.Context) {
 	if d.mode != watching || len(d.members) == 0 {
 		return // a process that joined from the directory has not listed the members yet
@@ -133,7 +133,8 @@
 		d.stopMode()
 	}
 	if d.mode == following && next == watching && d.cur.Processes > members.FullMesh {
-		d.appointedAt = bootclock.Now() // in a small fleet the other process may not have seen all members yet
+		// A fleet that seems small may be a new one of which the other process has not seen all members.
+		d.appointedAt = bootclock.Now()
 	}
 	level.Info(d.logger).Log("msg", "mode", "watching", next == watching, "processes", d.cur.Processes)
 	d.mode = next
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -10,8 +10,8 @@
 
 const (
 	// decodeBatch is how many registrations are decoded at a time, and decodePause the pause
-	// after each batch. A batch takes 1 ms, so that decoding uses 1/11 of a core, half of what a
-	// small host has.
+	// after each batch. A batch takes 1 ms, so that decoding uses 1/11 of a core, half of the
+	// CPU of a small host.
 	decodeBatch = 100
 	decodePause = 10 * time.Millisecond
 	// decodePauseShare is the max share of the propagation bound for all pauses together, since
--- a/internal/discovery/relay.go
+++ b/internal/discovery/relay.go
@@ -221,8 +221,8 @@
 // fetchWhileStoreUnreachable fetches snapshots from other processes while the store does not answer
 // this one and its data is too old. The store may reject the calls of some processes and serve the
 // others: rejected watchers had a configuration that was 9.2 s old while the other processes of 295
-// hosts had one of 0.6 s. Other processes read the store directly at the same age, so the first request
-// often comes too early; it is a short message and is soon repeated.
+// hosts had one of 0.6 s. Other processes read the store directly at the same age, so that the first
+// request often finds no fresher data; it is a short message and is soon repeated.
 func (d *Discovery) fetchWhileStoreUnreachable(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, directReadRetry+rand.N(directReadRetry))
