--- a/duty/duty.go
+++ b/duty/duty.go
@@ -48,11 +48,11 @@
 	Self   members.Member
 	// TTL is the life of the lease, Apart the time that must pass between the calls of two
 	// holders.
-	TTL, Apart time.Duration
+	TTL, HandoverDelay time.Duration
 	// View returns the latest view. Only schedulers, which know the load, do duties.
 	View func() *fleet.View
-	// Heard returns the other gateways that are heard.
-	Heard func() []string
+	// LivePeers returns the other gateways that are heard.
+	LivePeers func() []string
 	// Now is the clock; that of the host if it is nil.
 	Now    func() bootclock.Instant
 	Logger log.Logger
@@ -106,10 +106,10 @@
 	case held && g.Token != a.token:
 		a.token, a.since = g.Token, a.o.Now()
 		a.acted = a.acted && g.Resumed && a.former.resumed()
-		level.Info(a.logger).Log("msg", "authority", "token", g.Token, "acts_after", a.o.Apart)
+		level.Info(a.logger).Log("msg", "authority", "token", g.Token, "acts_after", a.o.HandoverDelay)
 	}
 	alone := g.Token == firstToken || a.acted
-	may := held && (alone || a.o.Now().Sub(a.since) >= a.o.Apart)
+	may := held && (alone || a.o.Now().Sub(a.since) >= a.o.HandoverDelay)
 	a.acted = a.acted || may
 	return Grant{Holder: a.o.Self.Name, Token: g.Token, lease: a.lessee}, may
 }
@@ -197,5 +197,5 @@
 }
 
 func (a *Authority) candidate() bool {
-	return a.o.View().Scheduling && members.Rank(shard, a.o.Self.Name, a.o.Heard()) < candidates
+	return a.o.View().Scheduling && members.Rank(shard, a.o.Self.Name, a.o.LivePeers()) < candidates
 }
--- a/duty/duty_test.go
+++ b/duty/duty_test.go
@@ -45,8 +45,8 @@
 	t.Helper()
 	store := platform.NewStore(address)
 	a := duty.New(duty.Options{
-		Store: store, Prefix: platform.LeasePrefix, Self: members.Member{Name: name, Incarnation: name}, TTL: testTTL, Apart: testApart,
-		View: func() *fleet.View { return &fleet.View{Scheduling: scheduling()} }, Heard: func() []string { return nil }, Logger: log.NewNopLogger(),
+		Store: store, Prefix: platform.LeasePrefix, Self: members.Member{Name: name, Incarnation: name}, TTL: testTTL, HandoverDelay: testApart,
+		View: func() *fleet.View { return &fleet.View{Scheduling: scheduling()} }, LivePeers: func() []string { return nil }, Logger: log.NewNopLogger(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
--- a/duty/model_test.go
+++ b/duty/model_test.go
@@ -203,8 +203,8 @@
 func (p *process) newest(ctx context.Context) {
 	member := members.Member{Name: p.machine, Incarnation: p.run}
 	a := duty.New(duty.Options{
-		Store: link{p.w.store, p}, Self: member, TTL: modelTTL, Apart: modelApart, View: p.view,
-		Heard: func() []string { return nil }, Now: p.now, Logger: log.NewNopLogger(),
+		Store: link{p.w.store, p}, Self: member, TTL: modelTTL, HandoverDelay: modelApart, View: p.view,
+		LivePeers: func() []string { return nil }, Now: p.now, Logger: log.NewNopLogger(),
 	})
 	now := func() time.Time { return time.Now().Add(p.skew) }
 	ledger := usage.NewLedger(usage.Source{Process: p.machine, Incarnation: p.run}, modelWindow, now)
@@ -259,7 +259,7 @@
 	p.gate()
 	phase := int(time.Now().Unix() / 7)
 	prices := map[string]float64{}
-	v := &fleet.View{Scheduling: !p.w.is(demoted, p.machine), Listed: true, StoreUp: true, Instances: map[string]*fleet.Instance{}}
+	v := &fleet.View{Scheduling: !p.w.is(demoted, p.machine), InstancesKnown: true, StoreUp: true, Instances: map[string]*fleet.Instance{}}
 	for n := range modelDomains {
 		domain := fmt.Sprint("d", n)
 		prices[domain] = 1
@@ -274,7 +274,7 @@
 	}
 	p.w.mu.Unlock()
 	v.Config = &fleet.Config{Services: map[string]fleet.Service{
-		"plain": {Name: "plain", Scaling: &fleet.Scaling{Least: 1, Most: 6, Startup: time.Second, SpotPrice: 0.2, Prices: prices}},
+		"plain": {Name: "plain", Scaling: &fleet.Scaling{MinEngines: 1, MaxEngines: 6, Startup: time.Second, SpotPrice: 0.2, Prices: prices}},
 		"model": {Name: "model", KVCapacity: 1, RoleChange: 50 * time.Millisecond},
 	}}
 	v.Index()
@@ -285,9 +285,9 @@
 func (p *process) load(id string) placement.Load {
 	var l placement.Load
 	if time.Now().Unix()/9%2 == 0 {
-		l.Unread[0].Prompts = 100
+		l.Pending[0].Prompts = 100
 	} else {
-		l.Requests, l.Long = 8, 8
+		l.Requests, l.LongResponses = 8, 8
 	}
 	return l
 }
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -39,7 +39,7 @@
 // readDirectory returns the directory. The error is of kind NotFound if there is no usable one.
 func (d *Discovery) readDirectory(ctx context.Context) (directory, error) {
 	var dir directory
-	ctx, cancel := context.WithTimeout(ctx, AnswerWithin(d.o.Apply))
+	ctx, cancel := context.WithTimeout(ctx, StoreCallTimeout(d.o.ApplyLimit))
 	defer cancel()
 	obj, err := d.o.Stale.Get(ctx, d.directoryKey())
 	if err != nil {
@@ -48,10 +48,10 @@
 	if err := json.Unmarshal(obj.Value, &dir); err != nil {
 		return dir, fault.Wrap(err, fault.NotFound, "directory of the fleet cannot be decoded", "the members are listed instead")
 	}
-	if dir.Processes <= members.FullMesh || len(dir.Schedulers) == 0 {
+	if dir.Processes <= members.MaxFullMesh || len(dir.Schedulers) == 0 {
 		return dir, fault.New(fault.NotFound, "directory is of a small fleet or names no schedulers", "the members are listed instead")
 	}
-	if d.o.Self.WouldSchedule(dir.Schedulers) {
+	if d.o.Self.IsSchedulerCandidate(dir.Schedulers) {
 		return dir, fault.New(fault.NotFound, "this process may become a scheduler and needs the list of members", "the members are listed instead")
 	}
 	return dir, nil
@@ -90,7 +90,7 @@
 // large fleet.
 func (d *Discovery) updateDirectory(ctx context.Context) {
 	first := len(d.cur.Watchers) > 0 && d.cur.Watchers[0].Name == d.o.Self.Name
-	if !first || d.cur.Processes <= members.FullMesh {
+	if !first || d.cur.Processes <= members.MaxFullMesh {
 		return
 	}
 	current := directory{Processes: d.cur.Processes, Instances: len(d.instances), Schedulers: d.cur.Schedulers, Watchers: members.Names(d.cur.Watchers)}
@@ -118,7 +118,7 @@
 	if err == nil && bytes.Equal(old.Value, value) {
 		return
 	}
-	_, err = objstore.PutSettled(ctx, d.o.Store, key, value, old.Version, d.o.Run+"-"+members.NewIncarnation())
+	_, err = objstore.PutSettled(ctx, d.o.Store, key, value, old.Version, d.o.RunID+"-"+members.NewIncarnation())
 	d.logDirectoryWrite(err)
 }
 
--- a/internal/discovery/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -43,7 +43,7 @@
 	relay := make(fakeRelay)
 	view := startOn(t, noMemberLists{fake}, relay)
 	sendUpdate(relay, true, 10, registered("i-1", 5), configAt(1))
-	eventually(t, func() bool { return view().Ready() && view().Takes("s", "i-1") })
+	eventually(t, func() bool { return view().Ready() && view().Accepts("s", "i-1") })
 	require.Equal(t, []string{"other"}, members.Names(view().Schedulers))
 }
 
@@ -53,7 +53,7 @@
 	relay := make(fakeRelay)
 	view := startFollowing(t, relay)
 	partial := updateWith(false, 10, configAt(1))
-	partial.Head = true
+	partial.Partial = true
 	relay <- partial
 	eventually(t, func() bool { return view().Ready() })
 	return relay, view
@@ -64,10 +64,10 @@
 func TestAProcessIsReadyWithTheHeadOfACopy(t *testing.T) {
 	relay, view := startWithPartialSnapshot(t)
 	require.False(t, view().Complete())
-	require.False(t, view().Left("s", "i-1"), "the instances are not known yet")
+	require.False(t, view().StoppedAccepting("s", "i-1"), "the instances are not known yet")
 	sendUpdate(relay, true, 10, registered("i-1", 5), configAt(1))
-	eventually(t, func() bool { return view().Complete() && view().Takes("s", "i-1") })
-	require.True(t, view().Left("s", "i-2"))
+	eventually(t, func() bool { return view().Complete() && view().Accepts("s", "i-1") })
+	require.True(t, view().StoppedAccepting("s", "i-2"))
 }
 
 // TestAFirstCopyLeavesTimeForRequests has a process that already serves requests receive 2,000 registrations.
@@ -102,7 +102,7 @@
 // TestTheFirstWatcherKeepsTheDirectory checks the directory that the first watcher of a large fleet writes.
 func TestTheFirstWatcherKeepsTheDirectory(t *testing.T) {
 	fake := fleetstore.New()
-	for n := range members.FullMesh + 2 {
+	for n := range members.MaxFullMesh + 2 {
 		setMember(t, fake, fmt.Sprint("m-", n))
 	}
 	self := members.Member{Name: "z-self", Incarnation: members.NewIncarnation(), Domain: "a", Weight: 2}
@@ -120,7 +120,7 @@
 		obj, err := store.Get(context.Background(), platform.DirectoryPrefix+"main")
 		return err == nil && json.Unmarshal(obj.Value, &dir) == nil
 	})
-	require.Equal(t, members.FullMesh+3, dir.Processes)
+	require.Equal(t, members.MaxFullMesh+3, dir.Processes)
 	require.Equal(t, members.Names(watcher.View().Schedulers), members.Names(dir.Schedulers))
 	require.Equal(t, members.Names(watcher.View().Watchers), dir.Watchers)
 	require.Equal(t, "z-self", dir.Watchers[0])
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -37,18 +37,18 @@
 // Options of a Discovery.
 type Options struct {
 	// Self is the registration of this process, and Run identifies this start of it.
-	Self members.Member
-	Run  string
+	Self  members.Member
+	RunID string
 	// Relay fetches updates from schedulers.
 	Relay Relay
-	// Silent reports whether a scheduler has been unresponsive for so long that another one
+	// IsUnresponsive reports whether a scheduler has been unresponsive for so long that another one
 	// takes its place. If nil, all schedulers are taken to be responsive.
-	Silent func(name string) bool
-	// Missing, unless nil, is called when this process may have lost its registration.
-	Missing func()
-	// Restored, unless nil, is called when the store was restored from an older snapshot,
+	IsUnresponsive func(name string) bool
+	// OnUnregistered, unless nil, is called when this process may have lost its registration.
+	OnUnregistered func()
+	// OnStoreRestored, unless nil, is called when the store was restored from an older snapshot,
 	// which may lack the registration of this process.
-	Restored func()
+	OnStoreRestored func()
 	// Store reads current data. It must bound each page of a list by AnswerWithin.
 	Store objstore.Store
 	// Stale is the same store with reads that may be seconds old, used for rules and members.
@@ -57,24 +57,24 @@
 	// DecodeConfig and DecodeInstance decode stored objects.
 	DecodeConfig   func(objstore.Object) (*fleet.Config, error)
 	DecodeInstance func(objstore.Object) (*fleet.Instance, error)
-	// Hide returns a copy of a stored configuration without secrets, for other processes. If
+	// RedactConfig returns a copy of a stored configuration without secrets, for other processes. If
 	// nil, the configuration is passed on unchanged.
-	Hide func(objstore.Object) objstore.Object
-	// Prove is the max staleness of the configuration: how long ago it may have been
+	RedactConfig func(objstore.Object) objstore.Object
+	// MaxConfigStaleness is the max staleness of the configuration: how long ago it may have been
 	// confirmed to be the newest one. 0 means no bound.
-	Prove time.Duration
-	// Apply is the time in which a change must be in force.
-	Apply time.Duration
-	// Within is the propagation bound: the time in which a change in the store must have
+	MaxConfigStaleness time.Duration
+	// ApplyLimit is the time in which a change must be in force.
+	ApplyLimit time.Duration
+	// PropagationLimit is the propagation bound: the time in which a change in the store must have
 	// reached all processes.
-	Within time.Duration
-	// Settle is the time after a network fault in which the view must be up to date again.
-	Settle time.Duration
-	// LapseKept is how long an instance stays in use after its registration expired during
+	PropagationLimit time.Duration
+	// SettleTime is the time after a network fault in which the view must be up to date again.
+	SettleTime time.Duration
+	// ExpiredRetention is how long an instance stays in use after its registration expired during
 	// an outage of the store, counted from the end of the outage.
-	LapseKept time.Duration
-	Metrics   metrics.Registry
-	Logger    log.Logger
+	ExpiredRetention time.Duration
+	Metrics          metrics.Registry
+	Logger           log.Logger
 }
 
 const (
@@ -172,21 +172,21 @@
 // New returns a Discovery. The caller must call Run.
 func New(o Options) *Discovery {
 	d := &Discovery{
-		o: o, logger: log.With(o.Logger, "component", "discovery"), events: make(chan any, eventQueueSize), ready: make(chan struct{}), feed: feed.New(o.Run),
+		o: o, logger: log.With(o.Logger, "component", "discovery"), events: make(chan any, eventQueueSize), ready: make(chan struct{}), feed: feed.New(o.RunID),
 		instances: map[string]*fleet.Instance{}, changedIDs: map[string]bool{}, versions: map[string]objstore.Version{}, removed: map[string]removal{},
 		members: map[string]members.Member{}, failingFeeds: map[feedName]bool{}, expired: map[string]expiry{},
 	}
-	if d.o.Silent == nil {
-		d.o.Silent = func(string) bool { return false }
+	if d.o.IsUnresponsive == nil {
+		d.o.IsUnresponsive = func(string) bool { return false }
 	}
-	if d.o.Missing == nil {
-		d.o.Missing = func() {}
+	if d.o.OnUnregistered == nil {
+		d.o.OnUnregistered = func() {}
 	}
-	if d.o.Restored == nil {
-		d.o.Restored = func() {}
+	if d.o.OnStoreRestored == nil {
+		d.o.OnStoreRestored = func() {}
 	}
-	if d.o.Hide == nil {
-		d.o.Hide = func(obj objstore.Object) objstore.Object { return obj }
+	if d.o.RedactConfig == nil {
+		d.o.RedactConfig = func(obj objstore.Object) objstore.Object { return obj }
 	}
 	d.cur.StoreUp = true
 	initial := d.cur
@@ -234,9 +234,9 @@
 		d.recordStoreAnswer(e)
 		d.apply(e)
 	case schedulerUpdate:
-		d.applySchedulerUpdate(e.Followed)
+		d.applySchedulerUpdate(e.RelayUpdate)
 	case fetchedSnapshot:
-		d.applyRelayUpdate(e.Followed)
+		d.applyRelayUpdate(e.RelayUpdate)
 	case directoryRead:
 		d.joinFromDirectory(e.directory)
 	}
@@ -265,7 +265,7 @@
 func (d *Discovery) recordStoreAnswer(c feedUpdate) {
 	f, now := c.feed, bootclock.Now()
 	if f == feedInstances {
-		d.prevConfirmedAt, d.outage = d.cur.InstancesAt, false
+		d.prevConfirmedAt, d.outage = d.cur.InstancesConfirmedAt, false
 		d.prevOwnConfirmedAt, d.ownConfirmedAt = d.ownConfirmedAt, c.confirmedAt
 	}
 	if d.failingFeeds[f] {
@@ -279,10 +279,10 @@
 	d.cur.StoreUp = len(d.failingFeeds) == 0
 	switch f {
 	case feedConfig:
-		d.cur.ConfigAt = max(d.cur.ConfigAt, c.confirmedAt)
-		d.cur.ProvenAt = max(d.cur.ProvenAt, c.askedAt)
+		d.cur.ConfigConfirmedAt = max(d.cur.ConfigConfirmedAt, c.confirmedAt)
+		d.cur.ConfigFreshAt = max(d.cur.ConfigFreshAt, c.askedAt)
 	case feedInstances:
-		d.cur.InstancesAt = max(d.cur.InstancesAt, c.confirmedAt)
+		d.cur.InstancesConfirmedAt = max(d.cur.InstancesConfirmedAt, c.confirmedAt)
 	}
 }
 
@@ -322,7 +322,7 @@
 		}
 		d.cur.Config, d.configObject = cfg, obj
 		if !c.relayed { // the sender of a relayed one has removed the secrets
-			obj = d.o.Hide(obj)
+			obj = d.o.RedactConfig(obj)
 		}
 		d.queueEvent(objstore.Event{Object: obj})
 		level.Info(d.logger).Log("msg", "configuration in force", "version", cfg.Version, "revision", obj.Version, "routes", len(cfg.Routes), "workspaces", cfg.Workspaces())
@@ -356,7 +356,7 @@
 	}
 	d.cur.Processes = len(d.members)
 	if _, listed := d.members[d.o.Prefixes.Members+d.o.Self.Name]; !listed && d.joined {
-		d.o.Missing()
+		d.o.OnUnregistered()
 	}
 	d.joined = true
 	d.updateSchedulers()
@@ -372,7 +372,7 @@
 func (d *Discovery) publish() {
 	v := d.cur
 	v.Instances = d.instances
-	v.IndexFrom(d.view.Load(), d.changedIDs)
+	v.IndexChanges(d.view.Load(), d.changedIDs)
 	clear(d.changedIDs)
 	d.feed.Apply(d.pendingEvents) // before the view: its ages must hold for a feed that is read after the view
 	d.pendingEvents = nil
--- a/internal/discovery/era.go
+++ b/internal/discovery/era.go
@@ -55,7 +55,7 @@
 // scheduleRegistrationCheck has this process check later whether the restored store has its
 // registration.
 func (d *Discovery) scheduleRegistrationCheck() {
-	time.AfterFunc(d.ownJitter(registrationCheckJitter), d.o.Restored)
+	time.AfterFunc(d.ownJitter(registrationCheckJitter), d.o.OnStoreRestored)
 }
 
 // resetMembers prepares for a full list of the members. Shortly after a restore of the store the
@@ -87,7 +87,7 @@
 // recentlyRestored reports whether missing objects may still be written again after a restore. The
 // platform rewrites the registrations of running instances within about two seconds.
 func (d *Discovery) recentlyRestored() bool {
-	return d.era.restored && bootclock.Since(d.era.seenAt) < max(d.o.LapseKept, registrationCheckJitter)
+	return d.era.restored && bootclock.Since(d.era.seenAt) < max(d.o.ExpiredRetention, registrationCheckJitter)
 }
 
 // knownToHaveLeft reports whether this process knows that an instance has begun to drain or was
@@ -100,5 +100,5 @@
 		return r.version.Era() < v.Era()
 	}
 	old := d.instances[i.ID]
-	return old != nil && old.Draining && !i.Draining && old.Born == i.Born && d.versions[i.ID].Era() < v.Era()
+	return old != nil && old.Draining && !i.Draining && old.StartTime == i.StartTime && d.versions[i.ID].Era() < v.Era()
 }
--- a/internal/discovery/era_test.go
+++ b/internal/discovery/era_test.go
@@ -39,9 +39,9 @@
 	fake.Remove("servers", "i-gone")
 	setInstance(fake, "i-new", "ready")
 	eventually(t, func() bool {
-		return version(view()) == 2 && view().Takes("s", "i-new") && view().Instances["i-gone"] == nil
+		return version(view()) == 2 && view().Accepts("s", "i-new") && view().Instances["i-gone"] == nil
 	})
-	require.False(t, view().Takes("s", "i-drains"))
+	require.False(t, view().Accepts("s", "i-drains"))
 	fake.Restore(time.Since(taken) + snapshotAge/10)
 	eventually(t, func() bool { return view().Era == 4 })
 	return fake, view
@@ -53,9 +53,9 @@
 func TestAStoreComesBackFromAnOlderCopy(t *testing.T) {
 	fake, view := startRestored(t)
 	setInstance(fake, "i-often", "draining")
-	eventually(t, func() bool { return !view().Takes("s", "i-often") })
+	eventually(t, func() bool { return !view().Accepts("s", "i-often") })
 	setInstance(fake, "i-later", "ready")
-	eventually(t, func() bool { return view().Takes("s", "i-later") })
+	eventually(t, func() bool { return view().Accepts("s", "i-later") })
 }
 
 // The snapshot has instances as ready that have begun to drain or were removed since, and an older
@@ -64,22 +64,22 @@
 	_, view := startRestored(t)
 	for start := time.Now(); time.Since(start) < 2*expiredRetention; time.Sleep(tick) {
 		v := view()
-		require.False(t, v.Takes("s", "i-drains"))
-		require.False(t, v.Takes("s", "i-gone"))
+		require.False(t, v.Accepts("s", "i-drains"))
+		require.False(t, v.Accepts("s", "i-gone"))
 		require.Equal(t, int64(2), version(v))
-		require.True(t, v.Takes("s", "i-stays"))
+		require.True(t, v.Accepts("s", "i-stays"))
 	}
 }
 
 // An instance that is missing from the snapshot is kept for the time that instances have to register again.
 func TestWhatTheCopyLacksHasTimeToBeWrittenAgain(t *testing.T) {
 	fake, view := startRestored(t)
-	require.True(t, view().Takes("s", "i-new"))
+	require.True(t, view().Accepts("s", "i-new"))
 	time.Sleep(expiredRetention / 3)
-	require.True(t, view().Takes("s", "i-new"))
+	require.True(t, view().Accepts("s", "i-new"))
 	setInstance(fake, "i-new", "ready")
 	time.Sleep(2 * expiredRetention)
-	require.True(t, view().Takes("s", "i-new"), "it has registered again")
+	require.True(t, view().Accepts("s", "i-new"), "it has registered again")
 
 	_, view = startRestored(t)
 	eventually(t, func() bool { return view().Instances["i-new"] == nil })
@@ -91,7 +91,7 @@
 	fake.Set("config", "main", map[string]any{"version": 2, "services": []map[string]any{{"name": "anew"}}})
 	eventually(t, func() bool { _, ok := view().Config.Services["anew"]; return ok })
 	setInstance(fake, "i-gone", "ready")
-	eventually(t, func() bool { return view().Takes("s", "i-gone") })
+	eventually(t, func() bool { return view().Accepts("s", "i-gone") })
 	setConfig(fake, 3)
 	eventually(t, func() bool { return version(view()) == 3 })
 }
@@ -125,8 +125,8 @@
 		Key: "config/main", Version: objstore.Version(objstore.InEra(2, 30)), Value: []byte(`{"version": 1}`),
 	}})
 	eventually(t, func() bool { return version(view()) == 1 })
-	sendRepeatedly(t, relay, func() discovery.Followed {
-		return discovery.Followed{Age: time.Millisecond, InstancesRevision: 7, Processes: 30, Schedulers: []members.Member{{Name: "other"}}}
+	sendRepeatedly(t, relay, func() discovery.RelayUpdate {
+		return discovery.RelayUpdate{Age: time.Millisecond, InstancesRevision: 7, Processes: 30, Schedulers: []members.Member{{Name: "other"}}}
 	})
 	setConfig(fake, 2)
 	require.Eventually(t, func() bool { return version(view()) == 2 }, within, tick)
--- a/internal/discovery/instances.go
+++ b/internal/discovery/instances.go
@@ -54,7 +54,7 @@
 // that had just registered, for up to a minute.
 func (d *Discovery) applyInstances(c feedUpdate) {
 	if c.full {
-		d.cur.Listed = true
+		d.cur.InstancesKnown = true
 		listed := map[string]bool{}
 		for _, e := range c.events {
 			listed[objectName(e.Object.Key)] = true
@@ -139,7 +139,7 @@
 // about which another process has decided already.
 func (d *Discovery) removeInstance(id string, relayed bool) {
 	i := d.instances[id]
-	if i == nil || i.Lapsed && !relayed {
+	if i == nil || i.Expired && !relayed {
 		return
 	}
 	if !relayed && !i.Draining && (d.recentlyRestored() || d.storeRecentlyFailed()) {
@@ -160,12 +160,12 @@
 // instance beyond the propagation bound after three watchers had lost the store for 1.1 s.
 func (d *Discovery) keepExpired(i *fleet.Instance) {
 	now := bootclock.Now()
-	l := expiry{dropAt: now.Add(d.o.LapseKept), outage: d.outage || d.recentlyRestored()}
+	l := expiry{dropAt: now.Add(d.o.ExpiredRetention), outage: d.outage || d.recentlyRestored()}
 	if !l.outage {
-		l.dropAt = min(l.dropAt, d.expiryStart().Add(time.Duration(expiredUseShare*float64(d.o.Within))))
+		l.dropAt = min(l.dropAt, d.expiryStart().Add(time.Duration(expiredUseShare*float64(d.o.PropagationLimit))))
 	}
 	expired := *i
-	expired.Lapsed = true
+	expired.Expired = true
 	d.instances[i.ID], d.changedIDs[i.ID] = &expired, true
 	d.expired[i.ID] = l
 	level.Info(d.logger).Log("msg", "instance lapsed", "id", i.ID, "service", i.Service, "address", i.Address, "kept_for", l.dropAt.Sub(now).Round(time.Millisecond),
@@ -187,10 +187,10 @@
 // 3 s some had not, and took instances that this process only kept for registered ones.
 func (d *Discovery) assessOutage(now bootclock.Instant) {
 	unconfirmed := now.Sub(d.prevConfirmedAt)
-	d.outage = unconfirmed >= d.o.Within && now.Sub(d.failingSince) >= minOutage
+	d.outage = unconfirmed >= d.o.PropagationLimit && now.Sub(d.failingSince) >= minOutage
 	for id, l := range d.expired {
 		if d.outage && l.outage {
-			l.dropAt = now.Add(d.o.LapseKept)
+			l.dropAt = now.Add(d.o.ExpiredRetention)
 			d.expired[id] = l
 		}
 	}
@@ -221,7 +221,7 @@
 	if d.failedAt == 0 {
 		return false
 	}
-	return len(d.failingFeeds) > 0 || bootclock.Since(d.failedAt) < failureWindow || bootclock.Since(d.recoveredAt) < d.o.LapseKept
+	return len(d.failingFeeds) > 0 || bootclock.Since(d.failedAt) < failureWindow || bootclock.Since(d.recoveredAt) < d.o.ExpiredRetention
 }
 
 // dropExpired removes the expired instances that did not register again in time.
--- a/internal/discovery/mode.go
+++ b/internal/discovery/mode.go
@@ -73,7 +73,7 @@
 // isListConclusive reports whether a list shows that the fleet is large or established, or is at least
 // as new as this process's own registration.
 func (d *Discovery) isListConclusive(all []members.Member) bool {
-	if len(all) > members.FullMesh {
+	if len(all) > members.MaxFullMesh {
 		return true
 	}
 	return slices.ContainsFunc(all, func(m members.Member) bool {
@@ -87,7 +87,7 @@
 	mesh := members.Schedulers(all, nil)
 	schedulers := members.Schedulers(all, d.isExcluded)
 	for _, m := range schedulers {
-		if !members.Contain(mesh, m.Name) {
+		if !members.Contains(mesh, m.Name) {
 			mesh = append(mesh, m)
 		}
 	}
@@ -95,13 +95,15 @@
 }
 
 // isExcluded reports whether a member is unresponsive, so that another one takes its place as scheduler.
-func (d *Discovery) isExcluded(name string) bool { return name != d.o.Self.Name && d.o.Silent(name) }
+func (d *Discovery) isExcluded(name string) bool {
+	return name != d.o.Self.Name && d.o.IsUnresponsive(name)
+}
 
 // setSchedulers sets the schedulers, the watchers and the mesh, and logs a change.
 func (d *Discovery) setSchedulers(all, watchers, mesh []members.Member) {
 	same := sameNames(all, d.cur.Schedulers) && sameNames(watchers, d.cur.Watchers)
-	d.cur.Schedulers, d.cur.Watchers, d.cur.Mesh = all, watchers, mesh
-	d.cur.Scheduling = members.Contain(all, d.o.Self.Name)
+	d.cur.Schedulers, d.cur.Watchers, d.cur.GossipPeers = all, watchers, mesh
+	d.cur.Scheduling = members.Contains(all, d.o.Self.Name)
 	if !same {
 		level.Info(d.logger).Log("msg", "schedulers", "names", strings.Join(members.Names(all), ","), "watchers", strings.Join(members.Names(watchers), ","), "processes", d.cur.Processes)
 	}
@@ -132,7 +134,7 @@
 	if d.stopMode != nil {
 		d.stopMode()
 	}
-	if d.mode == following && next == watching && d.cur.Processes > members.FullMesh {
+	if d.mode == following && next == watching && d.cur.Processes > members.MaxFullMesh {
 		// A fleet that seems small may be a new one of which the other process has not seen all members.
 		d.appointedAt = bootclock.Now()
 	}
@@ -155,7 +157,7 @@
 	switch {
 	case !d.joined:
 		return undecided
-	case len(d.cur.Schedulers) == 0 || members.Contain(d.cur.Watchers, d.o.Self.Name):
+	case len(d.cur.Schedulers) == 0 || members.Contains(d.cur.Watchers, d.o.Self.Name):
 		return watching
 	case d.mode == watching && d.appointedAt != 0 && bootclock.Since(d.appointedAt) < appointedDuration:
 		return watching
@@ -170,15 +172,15 @@
 	}
 }
 
-// AnswerWithin returns the timeout of one answer of the store if a change must be in force
+// StoreCallTimeout returns the timeout of one answer of the store if a change must be in force
 // within apply.
-func AnswerWithin(apply time.Duration) time.Duration {
+func StoreCallTimeout(apply time.Duration) time.Duration {
 	return time.Duration(answerTimeoutShare * float64(apply))
 }
 
 // follower returns a follower of a feed.
 func (d *Discovery) follower(s feedName) *follower {
-	f := &follower{feed: s, prefix: d.prefixOf(s), store: d.o.Store, wait: d.watchWait, answerTimeout: AnswerWithin(d.o.Apply), maxRetryDelay: maxRetryDelay, minInterval: d.minInterval(), events: d.events, logger: d.logger}
+	f := &follower{feed: s, prefix: d.prefixOf(s), store: d.o.Store, wait: d.watchWait, answerTimeout: StoreCallTimeout(d.o.ApplyLimit), maxRetryDelay: maxRetryDelay, minInterval: d.minInterval(), events: d.events, logger: d.logger}
 	switch s {
 	case feedRules:
 		f.store, f.wait, f.maxRetryDelay = d.o.Stale, d.slowWatchWait, maxRetryDelay*slowWatchFactor
@@ -204,17 +206,17 @@
 
 // baseWait is how long a watch waits in a fleet in which every process watches the store.
 func (d *Discovery) baseWait() time.Duration {
-	return time.Duration(watchWaitShare * float64(d.o.Settle))
+	return time.Duration(watchWaitShare * float64(d.o.SettleTime))
 }
 
 // watchWait is how long the next watch of the configuration or the instances waits.
 func (d *Discovery) watchWait() time.Duration {
 	wait := d.baseWait()
-	if d.View().Processes > members.FullMesh {
-		wait = min(wait, time.Duration(relayedWaitShare*float64(d.o.Within)))
+	if d.View().Processes > members.MaxFullMesh {
+		wait = min(wait, time.Duration(relayedWaitShare*float64(d.o.PropagationLimit)))
 	}
-	if d.o.Prove > 0 {
-		wait = min(wait, time.Duration(stalenessWaitShare*float64(d.o.Prove)))
+	if d.o.MaxConfigStaleness > 0 {
+		wait = min(wait, time.Duration(stalenessWaitShare*float64(d.o.MaxConfigStaleness)))
 	}
 	return wait
 }
@@ -227,7 +229,7 @@
 
 // minInterval is the min time between two requests while changes arrive.
 func (d *Discovery) minInterval() time.Duration {
-	return time.Duration(minIntervalShare * float64(d.o.Within))
+	return time.Duration(minIntervalShare * float64(d.o.PropagationLimit))
 }
 
 // slowWatchWait is how long a watch of rules or members waits.
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -22,9 +22,9 @@
 // decodeInBatches decodes the registrations of the first full snapshot in small batches if the process
 // already serves requests: decoding them at once keeps a small host from its requests for half a
 // second. The age of the snapshot grows accordingly.
-func (d *Discovery) decodeInBatches(ctx context.Context, f *Followed) {
+func (d *Discovery) decodeInBatches(ctx context.Context, f *RelayUpdate) {
 	v := d.View()
-	if !f.Full || !v.Ready() || v.Listed {
+	if !f.Full || !v.Ready() || v.InstancesKnown {
 		return
 	}
 	start := bootclock.Now()
--- a/internal/discovery/relay.go
+++ b/internal/discovery/relay.go
@@ -64,25 +64,25 @@
 type Relay interface {
 	// Follow returns the changes since a position, as soon as there are any or after a short
 	// wait. It fails if no scheduler answers.
-	Follow(ctx context.Context, after feed.Position) (Followed, error)
-	// Newer returns a full snapshot from a scheduler whose data is fresher than the given age.
+	Follow(ctx context.Context, after feed.Position) (RelayUpdate, error)
+	// FetchFresher returns a full snapshot from a scheduler whose data is fresher than the given age.
 	// The error is of kind NotFound if none of the schedulers asked has one.
-	Newer(ctx context.Context, age time.Duration) (Followed, error)
+	FetchFresher(ctx context.Context, age time.Duration) (RelayUpdate, error)
 }
 
-// Followed is an update that a scheduler sends about the deployment.
-type Followed struct {
+// RelayUpdate is an update that a scheduler sends about the deployment.
+type RelayUpdate struct {
 	feed.Update
 	// Age is how long ago the store confirmed to the scheduler that there was nothing newer.
 	Age time.Duration
-	// ProvenAt is the latest time at which the configuration is known to have been the newest
+	// ConfigFreshAt is the latest time at which the configuration is known to have been the newest
 	// one, on the clock of this process.
-	ProvenAt bootclock.Instant
+	ConfigFreshAt bootclock.Instant
 	// StoreUp is false if the store does not answer the process that the update comes from.
 	StoreUp   bool
 	Processes int
-	// Head is true for a partial snapshot: Events hold only the configuration and the rules.
-	Head bool
+	// Partial is true for a partial snapshot: Events hold only the configuration and the rules.
+	Partial bool
 	// InstancesRevision is the store's revision up to which the scheduler knows the
 	// registrations.
 	InstancesRevision objstore.Revision
@@ -95,15 +95,15 @@
 }
 
 // predatesEra reports whether the sender has not yet seen the given era of the store.
-func (f *Followed) predatesEra(era int64) bool {
+func (f *RelayUpdate) predatesEra(era int64) bool {
 	return f.InstancesRevision != 0 && f.InstancesRevision.Era() < era
 }
 
 // schedulerUpdate is the event of an update from the scheduler that this process follows.
-type schedulerUpdate struct{ Followed }
+type schedulerUpdate struct{ RelayUpdate }
 
 // fetchedSnapshot is the event of a snapshot from a process that this one does not follow.
-type fetchedSnapshot struct{ Followed }
+type fetchedSnapshot struct{ RelayUpdate }
 
 // followSchedulers follows schedulers until ctx ends. While none answers it reads the store directly
 // from time to time.
@@ -116,13 +116,13 @@
 		f, err := d.o.Relay.Follow(ctx, at)
 		if err == nil {
 			if bootclock.Since(answered) > registrationCheckAfter {
-				d.o.Missing()
+				d.o.OnUnregistered()
 			}
 			at, answered = f.Position, bootclock.Now()
 			d.decodeInBatches(ctx, &f)
 			d.send(ctx, schedulerUpdate{f})
 			nextRead = d.readStoreIfStale(ctx, f, nextRead)
-			if f.Head {
+			if f.Partial {
 				sleep(ctx, d.shareOfBound(partialPollShare))
 				continue
 			}
@@ -189,18 +189,18 @@
 // up to 0.03 s beyond the propagation bound, and rules on placement did not change until the watchers
 // were back. f is the latest update. No read takes place before next; the result is the earliest time
 // of the next read.
-func (d *Discovery) readStoreIfStale(ctx context.Context, f Followed, next bootclock.Instant) bootclock.Instant {
+func (d *Discovery) readStoreIfStale(ctx context.Context, f RelayUpdate, next bootclock.Instant) bootclock.Instant {
 	v := d.View()
-	age, staleness := v.Age(), v.ProofAge()
+	age, staleness := v.Age(), v.ConfigStaleness()
 	if !f.predatesEra(v.Era) { // an update of an earlier era is ignored and does not refresh the data
-		age, staleness = min(age, f.Age), min(staleness, bootclock.Since(f.ProvenAt))
+		age, staleness = min(age, f.Age), min(staleness, bootclock.Since(f.ConfigFreshAt))
 	}
 	var wanted []feedName
 	switch {
 	case bootclock.Now() < next:
 	case age > d.maxAge(v):
 		wanted = []feedName{feedInstances, feedConfig, feedRules}
-	case d.o.Prove > 0 && staleness > time.Duration(directReadStalenessShare*float64(d.o.Prove)):
+	case d.o.MaxConfigStaleness > 0 && staleness > time.Duration(directReadStalenessShare*float64(d.o.MaxConfigStaleness)):
 		wanted = []feedName{feedConfig}
 	}
 	if wanted == nil {
@@ -235,7 +235,7 @@
 
 // fetchFresher fetches a snapshot that is fresher than this process's data, which has the given age.
 func (d *Discovery) fetchFresher(ctx context.Context, age time.Duration) {
-	f, err := d.o.Relay.Newer(ctx, age)
+	f, err := d.o.Relay.FetchFresher(ctx, age)
 	if err != nil {
 		level.Info(d.logger).Log("msg", "no other process has fresher data", "age", age.Round(time.Millisecond), "err", err)
 		return
@@ -255,11 +255,11 @@
 
 // shareOfBound returns the given share of the propagation bound.
 func (d *Discovery) shareOfBound(share float64) time.Duration {
-	return time.Duration(share * float64(d.o.Within))
+	return time.Duration(share * float64(d.o.PropagationLimit))
 }
 
 // applySchedulerUpdate applies an update from a scheduler that this process follows.
-func (d *Discovery) applySchedulerUpdate(f Followed) {
+func (d *Discovery) applySchedulerUpdate(f RelayUpdate) {
 	if d.mode != following {
 		return
 	}
@@ -271,23 +271,23 @@
 	d.cur.StoreUp = f.StoreUp
 	d.cur.Processes = f.Processes
 	d.setSchedulers(f.Schedulers, f.Watchers, f.Mesh)
-	if f.Head && d.cur.CopyAt == 0 {
-		d.cur.CopyAt = bootclock.Now().Add(d.ownJitter(d.jitterRange(snapshotInterval)))
+	if f.Partial && d.cur.FullSnapshotAt == 0 {
+		d.cur.FullSnapshotAt = bootclock.Now().Add(d.ownJitter(d.jitterRange(snapshotInterval)))
 	}
 }
 
 // applyRelayUpdate applies an update or a snapshot from another process.
-func (d *Discovery) applyRelayUpdate(f Followed) {
+func (d *Discovery) applyRelayUpdate(f RelayUpdate) {
 	d.observeEra(f.InstancesRevision, "another process")
 	if f.predatesEra(d.era.number) {
 		return
 	}
 	at := bootclock.Now().Add(-f.Age)
-	d.cur.ConfigAt, d.cur.InstancesAt = max(d.cur.ConfigAt, at), max(d.cur.InstancesAt, at)
-	d.cur.ProvenAt = max(d.cur.ProvenAt, f.ProvenAt)
-	d.cur.Headed = true
+	d.cur.ConfigConfirmedAt, d.cur.InstancesConfirmedAt = max(d.cur.ConfigConfirmedAt, at), max(d.cur.InstancesConfirmedAt, at)
+	d.cur.ConfigFreshAt = max(d.cur.ConfigFreshAt, f.ConfigFreshAt)
+	d.cur.Partial = true
 	for _, s := range []feedName{feedConfig, feedInstances, feedRules} {
-		if f.Head && s == feedInstances {
+		if f.Partial && s == feedInstances {
 			continue
 		}
 		c := feedUpdate{feed: s, full: f.Full, relayed: true, revision: f.InstancesRevision, decoded: f.decoded}
--- a/internal/discovery/relay_test.go
+++ b/internal/discovery/relay_test.go
@@ -17,20 +17,20 @@
 )
 
 // fakeRelay is a relay that returns the updates that a test sends on the channel.
-type fakeRelay chan discovery.Followed
+type fakeRelay chan discovery.RelayUpdate
 
-// Newer implements discovery.Relay.
-func (c fakeRelay) Newer(context.Context, time.Duration) (discovery.Followed, error) {
-	return discovery.Followed{}, fault.New(fault.NotFound, "no other scheduler has a fresher copy", "not in this test")
+// FetchFresher implements discovery.Relay.
+func (c fakeRelay) FetchFresher(context.Context, time.Duration) (discovery.RelayUpdate, error) {
+	return discovery.RelayUpdate{}, fault.New(fault.NotFound, "no other scheduler has a fresher copy", "not in this test")
 }
 
 // Follow implements discovery.Relay.
-func (c fakeRelay) Follow(ctx context.Context, _ feed.Position) (discovery.Followed, error) {
+func (c fakeRelay) Follow(ctx context.Context, _ feed.Position) (discovery.RelayUpdate, error) {
 	select {
 	case f := <-c:
 		return f, nil
 	case <-ctx.Done():
-		return discovery.Followed{}, ctx.Err()
+		return discovery.RelayUpdate{}, ctx.Err()
 	}
 }
 
@@ -39,14 +39,14 @@
 	relay <- updateWith(full, revision, events...)
 }
 
-func updateWith(full bool, revision int, events ...objstore.Event) discovery.Followed {
-	return discovery.Followed{
+func updateWith(full bool, revision int, events ...objstore.Event) discovery.RelayUpdate {
+	return discovery.RelayUpdate{
 		Update: feed.Update{Full: full, Events: events}, InstancesRevision: objstore.Revision(revision), Processes: 30, Schedulers: []members.Member{{Name: "other"}},
 	}
 }
 
 // updateAt returns an update in which one more instance has registered.
-func updateAt(revision int) discovery.Followed {
+func updateAt(revision int) discovery.RelayUpdate {
 	return updateWith(false, revision, registered(fmt.Sprint("i-", revision), revision))
 }
 
@@ -68,25 +68,25 @@
 	sendUpdate(relay, true, 10, registered("i-1", 5), registered("i-2", 10))
 	eventually(t, func() bool { return len(view().Usable("s")) == 2 })
 	sendUpdate(relay, true, 9, registered("i-1", 5), registered("i-3", 9))
-	eventually(t, func() bool { return view().Takes("s", "i-3") })
-	require.True(t, view().Takes("s", "i-2"), "the scheduler may not have received it yet")
+	eventually(t, func() bool { return view().Accepts("s", "i-3") })
+	require.True(t, view().Accepts("s", "i-2"), "the scheduler may not have received it yet")
 	sendUpdate(relay, true, 11, registered("i-1", 5), registered("i-3", 9))
-	eventually(t, func() bool { return !view().Takes("s", "i-2") })
+	eventually(t, func() bool { return !view().Accepts("s", "i-2") })
 	sendUpdate(relay, true, 9, registered("i-1", 5), registered("i-2", 10), registered("i-4", 9))
-	eventually(t, func() bool { return view().Takes("s", "i-4") })
-	require.False(t, view().Takes("s", "i-2"), "it has been removed")
+	eventually(t, func() bool { return view().Accepts("s", "i-4") })
+	require.False(t, view().Accepts("s", "i-2"), "it has been removed")
 }
 
 // sendAgingUpdates delivers, until the test ends, the updates of a scheduler that lost the store at the
 // time cut, so that its data gets older and older.
 func sendAgingUpdates(t *testing.T, relay fakeRelay, cut time.Time, events ...objstore.Event) {
-	sendRepeatedly(t, relay, func() discovery.Followed {
-		return discovery.Followed{Age: time.Since(cut), InstancesRevision: 1, Processes: 30, Schedulers: []members.Member{{Name: "other"}}, Update: feed.Update{Events: events}}
+	sendRepeatedly(t, relay, func() discovery.RelayUpdate {
+		return discovery.RelayUpdate{Age: time.Since(cut), InstancesRevision: 1, Processes: 30, Schedulers: []members.Member{{Name: "other"}}, Update: feed.Update{Events: events}}
 	})
 }
 
 // sendRepeatedly delivers the results of update until the test ends.
-func sendRepeatedly(t *testing.T, relay fakeRelay, update func() discovery.Followed) {
+func sendRepeatedly(t *testing.T, relay fakeRelay, update func() discovery.RelayUpdate) {
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
 	go func() {
@@ -115,26 +115,26 @@
 		configAt(1),
 		registered("i-1", 1),
 	)
-	require.Eventually(t, func() bool { return version(view()) == 1 && view().Takes("s", "i-1") }, within/2, tick)
-	require.Eventually(t, func() bool { return version(view()) == 2 && !view().Takes("s", "i-1") }, within-time.Since(cut), tick)
+	require.Eventually(t, func() bool { return version(view()) == 1 && view().Accepts("s", "i-1") }, within/2, tick)
+	require.Eventually(t, func() bool { return version(view()) == 2 && !view().Accepts("s", "i-1") }, within-time.Since(cut), tick)
 	before := fake.Calls()
 	time.Sleep(within / 2)
 	require.LessOrEqual(t, fake.Calls()-before, 6)
 	require.Equal(t, int64(2), version(view()), "older data changes nothing")
-	require.False(t, view().Takes("s", "i-1"))
+	require.False(t, view().Accepts("s", "i-1"))
 }
 
 // unavailableRelay is a relay for which no scheduler answers.
 type unavailableRelay struct{}
 
 // Follow implements discovery.Relay.
-func (unavailableRelay) Follow(context.Context, feed.Position) (discovery.Followed, error) {
-	return discovery.Followed{}, fault.New(fault.Unavailable, "no scheduler answers", "not in this test")
+func (unavailableRelay) Follow(context.Context, feed.Position) (discovery.RelayUpdate, error) {
+	return discovery.RelayUpdate{}, fault.New(fault.Unavailable, "no scheduler answers", "not in this test")
 }
 
-// Newer implements discovery.Relay.
-func (unavailableRelay) Newer(context.Context, time.Duration) (discovery.Followed, error) {
-	return discovery.Followed{}, fault.New(fault.Unavailable, "no scheduler answers", "not in this test")
+// FetchFresher implements discovery.Relay.
+func (unavailableRelay) FetchFresher(context.Context, time.Duration) (discovery.RelayUpdate, error) {
+	return discovery.RelayUpdate{}, fault.New(fault.Unavailable, "no scheduler answers", "not in this test")
 }
 
 // Registrations that expire in an outage of the store must stay in use for a while, since the platform
@@ -151,7 +151,7 @@
 		configAt(1),
 		registered("i-1", 1),
 	)
-	eventually(t, func() bool { return view().Takes("s", "i-1") })
+	eventually(t, func() bool { return view().Accepts("s", "i-1") })
 	fake.SetFaults(fleetstore.Faults{Down: true})
 	time.Sleep(within + within/10 - time.Since(cut)) // it has read the store without success
 	fake.Remove("servers", "i-1")
@@ -168,8 +168,8 @@
 	instance objstore.Event
 }
 
-// Newer implements discovery.Relay.
-func (s staleSnapshotRelay) Newer(context.Context, time.Duration) (discovery.Followed, error) {
+// FetchFresher implements discovery.Relay.
+func (s staleSnapshotRelay) FetchFresher(context.Context, time.Duration) (discovery.RelayUpdate, error) {
 	return updateWith(true, 1, s.instance), nil
 }
 
@@ -181,18 +181,18 @@
 	fake := fleetstore.New()
 	setInstance(fake, "i-1", "ready")
 	view := startOn(t, fake, staleSnapshotRelay{instance: registered("i-1", 1)})
-	eventually(t, func() bool { return view().Takes("s", "i-1") })
+	eventually(t, func() bool { return view().Accepts("s", "i-1") })
 	fake.SetFaults(fleetstore.Faults{DownKind: "servers"})
 	eventually(t, func() bool { return !view().StoreUp })
 	fake.Remove("servers", "i-1")
 	removed := time.Now()
 	eventually(t, func() bool { return view().InstancesAge() > within/2 })
 	require.Eventually(t, func() bool { return view().InstancesAge() < within/4 }, 2*within, time.Millisecond, "a snapshot is fetched")
-	require.True(t, view().Takes("s", "i-1"))
+	require.True(t, view().Accepts("s", "i-1"))
 	fake.SetFaults(fleetstore.Faults{})
 	eventually(t, func() bool { return view().StoreUp })
 	time.Sleep(max(within-time.Since(removed), within/10))
-	require.False(t, view().Takes("s", "i-1"), "it left %s ago", time.Since(removed))
+	require.False(t, view().Accepts("s", "i-1"), "it left %s ago", time.Since(removed))
 }
 
 // A process changed to a scheduler that lagged behind, and received from it the removal of an earlier
@@ -202,27 +202,27 @@
 	relay := make(fakeRelay)
 	view := startFollowing(t, relay)
 	sendUpdate(relay, true, 12, registered("i-1", 12))
-	eventually(t, func() bool { return view().Takes("s", "i-1") })
+	eventually(t, func() bool { return view().Accepts("s", "i-1") })
 	sendUpdate(relay, true, 6, registered("i-1", 5))
 	gone := registered("i-1", 5)
 	gone.Deleted, gone.Object.Value = true, nil
 	sendUpdate(relay, false, 8, gone)
 	sendUpdate(relay, false, 12, registered("i-1", 12), registered("i-2", 12))
-	eventually(t, func() bool { return view().Takes("s", "i-2") })
-	require.True(t, view().Takes("s", "i-1"))
+	eventually(t, func() bool { return view().Accepts("s", "i-2") })
+	require.True(t, view().Accepts("s", "i-1"))
 }
 
 // notReadyRelay is a relay whose schedulers answer that they are not ready.
 type notReadyRelay struct{}
 
 // Follow implements discovery.Relay.
-func (notReadyRelay) Follow(context.Context, feed.Position) (discovery.Followed, error) {
-	return discovery.Followed{}, fault.New(fault.Denied, "scheduler is not ready", "not in this test")
+func (notReadyRelay) Follow(context.Context, feed.Position) (discovery.RelayUpdate, error) {
+	return discovery.RelayUpdate{}, fault.New(fault.Denied, "scheduler is not ready", "not in this test")
 }
 
-// Newer implements discovery.Relay.
-func (notReadyRelay) Newer(context.Context, time.Duration) (discovery.Followed, error) {
-	return discovery.Followed{}, fault.New(fault.Denied, "scheduler is not ready", "not in this test")
+// FetchFresher implements discovery.Relay.
+func (notReadyRelay) FetchFresher(context.Context, time.Duration) (discovery.RelayUpdate, error) {
+	return discovery.RelayUpdate{}, fault.New(fault.Denied, "scheduler is not ready", "not in this test")
 }
 
 // TestAProcessWaitsForSchedulersThatStart checks that a process that is not ready does not read the store
@@ -230,7 +230,7 @@
 func TestAProcessWaitsForSchedulersThatStart(t *testing.T) {
 	fake := fleetstore.New()
 	setConfig(fake, 1)
-	for n := range members.FullMesh + 2 {
+	for n := range members.MaxFullMesh + 2 {
 		setMember(t, fake, fmt.Sprint("m-", n))
 	}
 	view := startOn(t, fake, notReadyRelay{})
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -18,10 +18,10 @@
 // Position says up to where a replica of a feed is complete. The zero Position is that of an empty
 // replica.
 type Position struct {
-	// Run identifies the run of the process that has the feed; positions of different runs are
+	// RunID identifies the run of the process that has the feed; positions of different runs are
 	// not comparable.
-	Run string
-	At  uint64
+	RunID    string
+	Sequence uint64
 }
 
 // Update holds the changes since a position.
@@ -140,10 +140,10 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	u := Update{Position: Position{f.runID, f.sequence}}
-	u.Full = p.Run != f.runID || p.At < f.forgottenUpTo || p.At > f.sequence
+	u.Full = p.RunID != f.runID || p.Sequence < f.forgottenUpTo || p.Sequence > f.sequence
 	missing := f.log
 	if !u.Full {
-		missing = f.after(p.At)
+		missing = f.after(p.Sequence)
 	}
 	for _, o := range missing {
 		c := f.changes[o.key]
@@ -154,11 +154,11 @@
 	return u, f.changed
 }
 
-// Run returns the ID of the run of the process that has the feed.
-func (f *Feed) Run() string { return f.runID }
+// RunID returns the ID of the run of the process that has the feed.
+func (f *Feed) RunID() string { return f.runID }
 
-// At returns the sequence number of the newest change.
-func (f *Feed) At() uint64 {
+// Sequence returns the sequence number of the newest change.
+func (f *Feed) Sequence() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.sequence
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -86,9 +86,9 @@
 	Incarnation string
 	Address     string
 	TTL         time.Duration
-	// Gone says whether the holder in a record is proven to be over, so that its
+	// HolderTerminated says whether the holder in a record is proven to be over, so that its
 	// lease need not be waited out, and by what. It may be nil.
-	Gone func(Record) (reason string, gone bool)
+	HolderTerminated func(Record) (reason string, gone bool)
 	// Heir is written into the record, and a record with the same one is taken over at once.
 	// It is empty for a lease that is waited for.
 	Heir string
@@ -143,8 +143,8 @@
 	return l.grant, l.grant.Valid(0)
 }
 
-// Waiting says what an acquisition waits for; empty if it does not wait.
-func (l *Lessee) Waiting() string {
+// WaitReason says what an acquisition waits for; empty if it does not wait.
+func (l *Lessee) WaitReason() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.waiting
@@ -268,10 +268,10 @@
 }
 
 func (l *Lessee) gone(rec Record) (string, bool) {
-	if l.o.Gone == nil {
+	if l.o.HolderTerminated == nil {
 		return "", false
 	}
-	return l.o.Gone(rec)
+	return l.o.HolderTerminated(rec)
 }
 
 func (l *Lessee) wait(what string) {
--- a/members/members.go
+++ b/members/members.go
@@ -24,18 +24,18 @@
 const KeyPrefix = "state/members/"
 
 const (
-	// NeighboursEach is how many gossip peers a process chooses. About as many others choose
+	// GossipPeersPerProcess is how many gossip peers a process chooses. About as many others choose
 	// it. In fleets of up to FullMesh processes every process exchanges heartbeats with all others.
-	NeighboursEach = 6
-	FullMesh       = 16
+	GossipPeersPerProcess = 6
+	MaxFullMesh           = 16
 	// WatchersPerDomain is how many processes of a failure domain watch the store.
 	WatchersPerDomain = 2
 	// SchedulersPerDomain is how many processes of a failure domain schedule for the others in
 	// a fleet of more than FullMesh processes: one and a standby.
 	SchedulersPerDomain = 2
-	// MostWatchers is the max number of schedulers that watch the store in such a fleet; the
+	// MaxWatchers is the max number of schedulers that watch the store in such a fleet; the
 	// other schedulers follow these.
-	MostWatchers = 3
+	MaxWatchers = 3
 )
 
 // Member is the registration of one run of a process.
@@ -143,24 +143,24 @@
 	return s.Delete(ctx, obj.Key, obj.Version)
 }
 
-// Contain reports whether one of the members has the given name.
-func Contain(all []Member, name string) bool {
+// Contains reports whether one of the members has the given name.
+func Contains(all []Member, name string) bool {
 	return slices.ContainsFunc(all, func(m Member) bool { return m.Name == name })
 }
 
-// Neighbours returns the gossip peers to which self sends heartbeats on its own initiative: all
+// GossipPeers returns the gossip peers to which self sends heartbeats on its own initiative: all
 // members of a small fleet, otherwise the NeighboursEach with the highest hash of the pair of
 // names. The graph is random, so that updates reach all members in a few hops and the load is
 // spread evenly.
-func Neighbours(all []Member, self string) []Member {
+func GossipPeers(all []Member, self string) []Member {
 	others := slices.DeleteFunc(slices.Clone(all), func(m Member) bool { return m.Name == self })
-	if len(all) <= FullMesh {
+	if len(all) <= MaxFullMesh {
 		return others
 	}
 	slices.SortFunc(others, func(a, b Member) int {
 		return cmp.Compare(pairScore(self, b.Name), pairScore(self, a.Name))
 	})
-	return others[:NeighboursEach]
+	return others[:GossipPeersPerProcess]
 }
 
 func pairScore(a, b string) uint64 {
@@ -207,7 +207,7 @@
 	slices.SortFunc(candidates, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(a.Domain, b.Domain), comparePreference(a, b))
 	})
-	if len(all) <= FullMesh {
+	if len(all) <= MaxFullMesh {
 		return candidates
 	}
 	taken := map[string]int{}
@@ -222,9 +222,9 @@
 	return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(schedulerScore(b.Name), schedulerScore(a.Name)), cmp.Compare(a.Name, b.Name))
 }
 
-// WouldSchedule reports whether m would be a scheduler of a large fleet, given its current
+// IsSchedulerCandidate reports whether m would be a scheduler of a large fleet, given its current
 // schedulers: fewer than SchedulersPerDomain of its failure domain are preferred to it.
-func (m Member) WouldSchedule(schedulers []Member) bool {
+func (m Member) IsSchedulerCandidate(schedulers []Member) bool {
 	preferred := 0
 	for _, s := range schedulers {
 		if s.Domain == m.Domain && s.Name != m.Name && comparePreference(s, m) < 0 {
@@ -237,7 +237,7 @@
 // Watchers returns the schedulers that watch the store: all of them in a fleet of up to FullMesh
 // processes, otherwise up to MostWatchers, in different failure domains if possible.
 func Watchers(schedulers []Member, processes int) []Member {
-	if processes <= FullMesh {
+	if processes <= MaxFullMesh {
 		return schedulers
 	}
 	var first, second []Member
@@ -252,7 +252,7 @@
 		slices.SortFunc(part, func(a, b Member) int { return cmp.Compare(schedulerScore(b.Name), schedulerScore(a.Name)) })
 	}
 	out := append(first, second...)
-	return out[:min(MostWatchers, len(out))]
+	return out[:min(MaxWatchers, len(out))]
 }
 
 func schedulerScore(name string) uint64 { return xxhash.Sum64String("schedule\x00" + name) }
@@ -273,8 +273,8 @@
 	Leaving Health = "leaving"
 )
 
-// Living reports whether the member is believed to serve requests.
-func (h Health) Living() bool { return h == Alive || h == Presumed }
+// IsAlive reports whether the member is believed to serve requests.
+func (h Health) IsAlive() bool { return h == Alive || h == Presumed }
 
 // SuspectAfter is the number of heartbeat intervals without a heartbeat after which a member is
 // suspected.
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -21,11 +21,11 @@
 // maxLogLength is how many recent events are kept to answer requests for deltas.
 const maxLogLength = 1024
 
-// None is the revision of an empty mirror.
-const None objstore.Revision = -1
+// NoRevision is the revision of an empty mirror.
+const NoRevision objstore.Revision = -1
 
-// Never is the age of a mirror that was never confirmed.
-const Never = time.Duration(1<<63 - 1)
+// NeverConfirmed is the age of a mirror that was never confirmed.
+const NeverConfirmed = time.Duration(1<<63 - 1)
 
 // Delta carries a snapshot of a mirror, or the changes since a revision, to another process.
 type Delta struct {
@@ -56,7 +56,7 @@
 
 // New returns an empty mirror of the keys that start with prefix.
 func New(prefix string) *Mirror {
-	return &Mirror{prefix: prefix, objects: map[string]objstore.Object{}, rev: None, logBase: None, changed: make(chan struct{})}
+	return &Mirror{prefix: prefix, objects: map[string]objstore.Object{}, rev: NoRevision, logBase: NoRevision, changed: make(chan struct{})}
 }
 
 // Prefix returns the prefix of the mirrored keys.
@@ -78,7 +78,7 @@
 
 func (m *Mirror) age() time.Duration {
 	if !m.confirmed {
-		return Never
+		return NeverConfirmed
 	}
 	return bootclock.Since(m.confirmedAt)
 }
@@ -118,7 +118,7 @@
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	d := Delta{Base: after, Revision: m.rev, Age: m.age()}
-	if after >= m.logBase && after > None {
+	if after >= m.logBase && after > NoRevision {
 		for _, e := range m.log {
 			if e.Revision > after {
 				d.Events = append(d.Events, e)
@@ -139,7 +139,7 @@
 	now := bootclock.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if d.Revision == None || d.Revision < m.rev || (!d.Full && d.Base > m.rev) {
+	if d.Revision == NoRevision || d.Revision < m.rev || (!d.Full && d.Base > m.rev) {
 		return false
 	}
 	m.recordConfirmation(now, d.Age)
@@ -169,7 +169,7 @@
 
 // recordConfirmation moves the time of the last confirmation forward. The caller holds m.mu.
 func (m *Mirror) recordConfirmation(now bootclock.Instant, age time.Duration) {
-	if age == Never {
+	if age == NeverConfirmed {
 		return
 	}
 	at := now.Add(-age)
--- a/orders/giver.go
+++ b/orders/giver.go
@@ -23,15 +23,15 @@
 	giveTimeout = 3 * time.Second
 )
 
-// GuardedGiver gives orders over HTTP. Each order has a connection of its own,
+// GuardedSender gives orders over HTTP. Each order has a connection of its own,
 // whose writes happen under the kernel deadline guard, whose unacknowledged
 // bytes are given up after FlightTime, and which is reset when it is closed.
-type GuardedGiver struct{}
+type GuardedSender struct{}
 
-var _ Giver = GuardedGiver{}
+var _ Sender = GuardedSender{}
 
-// Give implements Giver.
-func (GuardedGiver) Give(ctx context.Context, g lease.Grant, address string, o engine.Order) error {
+// Send implements Giver.
+func (GuardedSender) Send(ctx context.Context, g lease.Grant, address string, o engine.Order) error {
 	ctx, cancel := context.WithTimeout(ctx, giveTimeout)
 	defer cancel()
 	tr := &http.Transport{
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -55,11 +55,11 @@
 	return r, nil
 }
 
-// Giver gives orders under a grant. Implementations must make a late write
+// Sender gives orders under a grant. Implementations must make a late write
 // impossible: no byte of the order may leave the process, or stay on its way,
 // after the grant has ended.
-type Giver interface {
-	Give(ctx context.Context, g lease.Grant, address string, o engine.Order) error
+type Sender interface {
+	Send(ctx context.Context, g lease.Grant, address string, o engine.Order) error
 }
 
 // Target is an engine to give orders to.
@@ -76,7 +76,7 @@
 type Options struct {
 	Store   objstore.Store
 	Engines engine.Controller
-	Giver   Giver
+	Sender  Sender
 	// Grant returns the authority in force.
 	Grant  func() (lease.Grant, bool)
 	Holder string
@@ -84,8 +84,8 @@
 	// more, given when its record was written.
 	Drained func(ctx context.Context, t Target, since time.Time, written objstore.Version) bool
 	Logger  log.Logger
-	// Poll is how often the state of an engine is looked at.
-	Poll time.Duration
+	// PollInterval is how often the state of an engine is looked at.
+	PollInterval time.Duration
 }
 
 // Executor runs orders. It is safe for concurrent use, also for several engines at
@@ -187,7 +187,7 @@
 func (r *run) takeOver(ctx context.Context, g lease.Grant) error {
 	if r.t.Fencing {
 		fence := engine.Order{ID: ulid.Make().String(), Token: g.Token, Kind: engine.OrderFence}
-		if err := r.e.o.Giver.Give(ctx, g, r.t.Address, fence); err != nil && !fault.Is(err, fault.Unavailable) {
+		if err := r.e.o.Sender.Send(ctx, g, r.t.Address, fence); err != nil && !fault.Is(err, fault.Unavailable) {
 			return err
 		}
 	}
@@ -198,7 +198,7 @@
 
 // drive moves the order on until it ends or this process may not go on.
 func (r *run) drive(ctx context.Context) error {
-	tick := time.NewTicker(r.e.o.Poll)
+	tick := time.NewTicker(r.e.o.PollInterval)
 	defer tick.Stop()
 	for !r.chart.Final() {
 		r.moved = false
@@ -260,7 +260,7 @@
 
 // give sends the order. The record in state intended is in the store.
 func (r *run) give(ctx context.Context, g lease.Grant) error {
-	err := r.e.o.Giver.Give(ctx, g, r.t.Address, r.rec.Order)
+	err := r.e.o.Sender.Send(ctx, g, r.t.Address, r.rec.Order)
 	switch {
 	case err == nil:
 		return r.fire(ctx, charts.Taken)
@@ -310,7 +310,7 @@
 		return r.fire(ctx, charts.Restored)
 	}
 	reset := engine.Order{ID: r.rec.Order.ID + "-reset", Token: g.Token, Kind: engine.OrderReset, Role: r.rec.From}
-	if err := r.e.o.Giver.Give(ctx, g, r.t.Address, reset); fault.Is(err, fault.Denied) {
+	if err := r.e.o.Sender.Send(ctx, g, r.t.Address, reset); fault.Is(err, fault.Denied) {
 		return ErrNoGrant
 	}
 	// The state is not left before a look at what the first order to go back did, however long
--- a/quarantine/blame.go
+++ b/quarantine/blame.go
@@ -50,7 +50,7 @@
 func newCandidate(f Fingerprint, ends []numbered) *candidate {
 	c := &candidate{f: f, ended: ends}
 	for _, e := range ends {
-		c.ran += e.Ran
+		c.ran += e.RunTime
 	}
 	return c
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -34,9 +34,9 @@
 	Request Fingerprint
 	// Instance is the one that ended under the request, empty if one ran it to a good end.
 	Instance string
-	// Ran is how long the request had been there when the instance ended.
-	Ran time.Duration
-	At  bootclock.Instant
+	// RunTime is how long the request had been there when the instance ended.
+	RunTime time.Duration
+	At      bootclock.Instant
 }
 
 // Verdict says whether a request may be sent to an instance.
@@ -44,19 +44,19 @@
 	// Refused is true if it may not, RetryAfter when asking again makes sense.
 	Refused    bool
 	RetryAfter time.Duration
-	// Convicted is true if the request is to blame, Trial if this try may run all the same, since
+	// Quarantined is true if the request is to blame, Trial if this try may run all the same, since
 	// its time has passed.
-	Convicted, Trial bool
-	// Ended are the instances that ended under it.
-	Ended []string
+	Quarantined, Trial bool
+	// CrashedInstances are the instances that ended under it.
+	CrashedInstances []string
 }
 
 // Suspect is a request under which instances have ended.
 type Suspect struct {
 	Request Fingerprint
 	Verdict Verdict
-	// LastEnd is how long ago the last one ended.
-	LastEnd time.Duration
+	// SinceLastCrash is how long ago the last one ended.
+	SinceLastCrash time.Duration
 }
 
 // Table holds what is known of requests under which instances have ended. It is safe for
@@ -105,8 +105,8 @@
 // SetClock replaces the clock. It is called before the table is used.
 func (t *Table) SetClock(now func() bootclock.Instant) { t.now = now }
 
-// News has an entry when something new was observed or told.
-func (t *Table) News() <-chan struct{} { return t.news }
+// Updates has an entry when something new was observed or told.
+func (t *Table) Updates() <-chan struct{} { return t.news }
 
 // Empty reports whether no request is suspected, so that no fingerprint needs to be computed.
 func (t *Table) Empty() bool {
@@ -115,24 +115,24 @@
 	return len(t.suspects) == 0
 }
 
-// Ended takes in that an instance has ended under a request that had been there for a while, and
+// RecordCrash takes in that an instance has ended under a request that had been there for a while, and
 // returns the verdict on it.
-func (t *Table) Ended(f Fingerprint, instance string, ran time.Duration) Verdict {
+func (t *Table) RecordCrash(f Fingerprint, instance string, ran time.Duration) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.take(Observation{f, instance, ran, t.now()})
 	return t.verdict(f)
 }
 
-// Sound takes in that an instance has run a request to a good end.
-func (t *Table) Sound(f Fingerprint) {
+// RecordSuccess takes in that an instance has run a request to a good end.
+func (t *Table) RecordSuccess(f Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.take(Observation{Request: f, At: t.now()})
 }
 
-// Learn takes in what others have observed.
-func (t *Table) Learn(all []Observation) {
+// Merge takes in what others have observed.
+func (t *Table) Merge(all []Observation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, o := range all {
@@ -222,20 +222,20 @@
 	return s.ends[len(s.ends)-1].At
 }
 
-// Judge returns the verdict on a request that is to be sent to an instance. A try that is let
+// Admit returns the verdict on a request that is to be sent to an instance. A try that is let
 // through after its time has passed counts as the trial.
-func (t *Table) Judge(f Fingerprint) Verdict {
+func (t *Table) Admit(f Fingerprint) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	v := t.verdict(f)
-	if v.Convicted && !v.Refused {
+	if v.Quarantined && !v.Refused {
 		v.Trial, t.suspects[f].trial = true, t.now()
 	}
 	return v
 }
 
-// Look returns the verdict on a request without letting it through.
-func (t *Table) Look(f Fingerprint) Verdict {
+// Verdict returns the verdict on a request without letting it through.
+func (t *Table) Verdict(f Fingerprint) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.verdict(f)
@@ -248,9 +248,9 @@
 	}
 	var v Verdict
 	for _, e := range s.since() {
-		v.Ended = append(v.Ended, e.Instance)
+		v.CrashedInstances = append(v.CrashedInstances, e.Instance)
 	}
-	if v.Convicted = t.blamed()[f]; !v.Convicted {
+	if v.Quarantined = t.blamed()[f]; !v.Quarantined {
 		return v
 	}
 	until := s.lastEnd().Add(refusedFor)
@@ -273,14 +273,14 @@
 		out = append(out, Suspect{f, t.verdict(f), now.Sub(s.lastEnd())})
 	}
 	slices.SortFunc(out, func(a, b Suspect) int {
-		return cmp.Or(cmp.Compare(len(b.Verdict.Ended), len(a.Verdict.Ended)), cmp.Compare(a.LastEnd, b.LastEnd))
+		return cmp.Or(cmp.Compare(len(b.Verdict.CrashedInstances), len(a.Verdict.CrashedInstances)), cmp.Compare(a.SinceLastCrash, b.SinceLastCrash))
 	})
 	return out
 }
 
-// After returns up to most of the observations after the one with a number, in their order, and the
+// ObservationsAfter returns up to most of the observations after the one with a number, in their order, and the
 // number of the last of them.
-func (t *Table) After(number uint64, most int) ([]Observation, uint64) {
+func (t *Table) ObservationsAfter(number uint64, most int) ([]Observation, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var all []numbered
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -26,25 +26,25 @@
 	f := named(1)
 	require.True(t, table.Empty())
 	for n := range convictAfter {
-		require.False(t, table.Judge(f).Refused, "after %d ends", n)
-		table.Ended(f, fmt.Sprint("i-", n), 0)
-		table.Ended(f, fmt.Sprint("i-", n), 0) // another process says so too
+		require.False(t, table.Admit(f).Refused, "after %d ends", n)
+		table.RecordCrash(f, fmt.Sprint("i-", n), 0)
+		table.RecordCrash(f, fmt.Sprint("i-", n), 0) // another process says so too
 	}
-	v := table.Judge(f)
+	v := table.Admit(f)
 	require.True(t, v.Refused)
 	require.Equal(t, refusedFor, v.RetryAfter)
-	require.Len(t, v.Ended, convictAfter)
-	require.False(t, table.Judge(named(2)).Refused, "another one")
+	require.Len(t, v.CrashedInstances, convictAfter)
+	require.False(t, table.Admit(named(2)).Refused, "another one")
 	*now = now.Add(refusedFor)
-	require.False(t, table.Judge(f).Refused, "one try runs")
-	require.True(t, table.Judge(f).Refused, "a second one does not run beside it")
-	table.Ended(f, "i-9", 0)
-	require.Equal(t, refusedFor, table.Judge(f).RetryAfter, "the trial ended an engine")
+	require.False(t, table.Admit(f).Refused, "one try runs")
+	require.True(t, table.Admit(f).Refused, "a second one does not run beside it")
+	table.RecordCrash(f, "i-9", 0)
+	require.Equal(t, refusedFor, table.Admit(f).RetryAfter, "the trial ended an engine")
 	*now = now.Add(refusedFor + 1)
-	require.False(t, table.Judge(f).Refused)
-	table.Sound(f)
-	require.False(t, table.Judge(f).Refused, "the trial went well")
-	require.False(t, table.Judge(f).Convicted)
+	require.False(t, table.Admit(f).Refused)
+	table.RecordSuccess(f)
+	require.False(t, table.Admit(f).Refused, "the trial went well")
+	require.False(t, table.Admit(f).Quarantined)
 }
 
 // TestOneRequestIsBlamedForAnEnd has other requests in hand at each engine that one ends. One of
@@ -54,17 +54,17 @@
 	guilty, beside := named(1), named(2)
 	for n := range convictAfter {
 		i := fmt.Sprint("i-", n)
-		table.Ended(beside, i, 60*time.Millisecond)
-		table.Ended(guilty, i, 40*time.Millisecond)
-		table.Ended(named(10+n), i, time.Second)
+		table.RecordCrash(beside, i, 60*time.Millisecond)
+		table.RecordCrash(guilty, i, 40*time.Millisecond)
+		table.RecordCrash(named(10+n), i, time.Second)
 	}
-	require.True(t, table.Judge(guilty).Refused)
-	require.False(t, table.Judge(beside).Refused)
-	require.False(t, table.Judge(named(10)).Refused)
+	require.True(t, table.Admit(guilty).Refused)
+	require.False(t, table.Admit(beside).Refused)
+	require.False(t, table.Admit(named(10)).Refused)
 	for n := range convictAfter {
-		table.Ended(beside, fmt.Sprint("j-", n), time.Second)
+		table.RecordCrash(beside, fmt.Sprint("j-", n), time.Second)
 	}
-	require.True(t, table.Judge(beside).Refused, "it ends engines by itself")
+	require.True(t, table.Admit(beside).Refused, "it ends engines by itself")
 }
 
 // TestGoodRunSpeaksForARequest covers ends on both sides of a good run, told in another order.
@@ -72,12 +72,12 @@
 	table, now := clocked()
 	f := named(1)
 	at := *now
-	table.Learn([]Observation{{f, "i-1", 0, at}, {f, "i-2", 0, at}, {f, "", 0, at + 1}, {f, "i-3", 0, at + 2}})
-	require.False(t, table.Look(f).Refused)
-	table.Learn([]Observation{{f, "i-0", 0, at - 1}})
-	require.False(t, table.Look(f).Refused, "before the good run")
-	table.Learn([]Observation{{f, "i-4", 0, at + 3}, {f, "i-5", 0, at + 4}})
-	require.True(t, table.Look(f).Refused)
+	table.Merge([]Observation{{f, "i-1", 0, at}, {f, "i-2", 0, at}, {f, "", 0, at + 1}, {f, "i-3", 0, at + 2}})
+	require.False(t, table.Verdict(f).Refused)
+	table.Merge([]Observation{{f, "i-0", 0, at - 1}})
+	require.False(t, table.Verdict(f).Refused, "before the good run")
+	table.Merge([]Observation{{f, "i-4", 0, at + 3}, {f, "i-5", 0, at + 4}})
+	require.True(t, table.Verdict(f).Refused)
 }
 
 // TestTablesComeToTheSameVerdict has one table tell another in parts.
@@ -86,20 +86,20 @@
 	to, _ := clocked()
 	f := named(1)
 	for n := range convictAfter {
-		from.Ended(f, fmt.Sprint("i-", n), 0)
+		from.RecordCrash(f, fmt.Sprint("i-", n), 0)
 	}
 	number := uint64(0)
 	for range convictAfter {
-		all, last := from.After(number, 1)
+		all, last := from.ObservationsAfter(number, 1)
 		require.Len(t, all, 1)
 		require.Greater(t, last, number)
 		number = last
-		to.Learn(all)
+		to.Merge(all)
 	}
-	all, last := from.After(number, 1)
+	all, last := from.ObservationsAfter(number, 1)
 	require.Empty(t, all)
 	require.Equal(t, number, last)
-	require.Equal(t, from.Look(f), to.Look(f))
+	require.Equal(t, from.Verdict(f), to.Verdict(f))
 }
 
 // TestTableIsBounded floods a table with suspects: those that are refused stay.
@@ -107,17 +107,17 @@
 	table, now := clocked()
 	guilty := named(-1)
 	for n := range convictAfter {
-		table.Ended(guilty, fmt.Sprint("i-", n), 0)
+		table.RecordCrash(guilty, fmt.Sprint("i-", n), 0)
 	}
 	for n := range maxSuspects + 10 {
 		*now++
-		table.Ended(named(n), "j", 0)
+		table.RecordCrash(named(n), "j", 0)
 	}
 	require.Len(t, table.Suspects(), maxSuspects)
 	require.Equal(t, guilty, table.Suspects()[0].Request)
-	require.True(t, table.Look(guilty).Refused)
+	require.True(t, table.Verdict(guilty).Refused)
 	*now = now.Add(suspectFor + refusedFor + 1)
-	table.Ended(named(1), "k", 0)
+	table.RecordCrash(named(1), "k", 0)
 	require.Len(t, table.Suspects(), 1, "what is old is forgotten")
 }
 
--- a/truetime/truetime.go
+++ b/truetime/truetime.go
@@ -52,9 +52,9 @@
 	return c
 }
 
-// Own returns the time by the host's clock alone, for sending to other processes. Jumps of the host's
+// HostTime returns the time by the host's clock alone, for sending to other processes. Jumps of the host's
 // clock while this process runs are followed at maxSlewRate.
-func (c *Clock) Own() time.Time {
+func (c *Clock) HostTime() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.boot()
@@ -73,16 +73,16 @@
 	return bootTime
 }
 
-// HearPeer records the current time by the host's clock of a peer.
-func (c *Clock) HearPeer(name string, wall time.Time) {
+// ObservePeer records the current time by the host's clock of a peer.
+func (c *Clock) ObservePeer(name string, wall time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.peers[name] = c.newSample(wall)
 }
 
-// HearSource records the current time of a process that has agreed on it with its peers. It takes
+// ObserveSource records the current time of a process that has agreed on it with its peers. It takes
 // precedence over all other samples.
-func (c *Clock) HearSource(now time.Time) {
+func (c *Clock) ObserveSource(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.source = c.newSample(now)
