--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -36,7 +36,7 @@
 
 // Options of a Discovery.
 type Options struct {
-	// Self is the registration of this process, and Run identifies this start of it.
+	// Self is the registration of this process, and RunID identifies this start of it.
 	Self  members.Member
 	RunID string
 	// Relay fetches updates from schedulers.
@@ -49,7 +49,7 @@
 	// OnStoreRestored, unless nil, is called when the store was restored from an older snapshot,
 	// which may lack the registration of this process.
 	OnStoreRestored func()
-	// Store reads current data. It must bound each page of a list by AnswerWithin.
+	// Store reads current data. It must bound each page of a list by StoreCallTimeout.
 	Store objstore.Store
 	// Stale is the same store with reads that may be seconds old, used for rules and members.
 	Stale    objstore.Store
@@ -61,11 +61,11 @@
 	// nil, the configuration is passed on unchanged.
 	RedactConfig func(objstore.Object) objstore.Object
 	// MaxConfigStaleness is the max staleness of the configuration: how long ago it may have been
-	// confirmed to be the newest one. 0 means no bound.
+	// confirmed to be the newest one. 0 means no limit.
 	MaxConfigStaleness time.Duration
 	// ApplyLimit is the time in which a change must be in force.
 	ApplyLimit time.Duration
-	// PropagationLimit is the propagation bound: the time in which a change in the store must have
+	// PropagationLimit is the time in which a change in the store must have
 	// reached all processes.
 	PropagationLimit time.Duration
 	// SettleTime is the time after a network fault in which the view must be up to date again.
@@ -79,8 +79,8 @@
 
 const (
 	eventQueueSize = 256
-	// watchWaitShare is the share of the settling time that a watch waits for changes, and
-	// answerTimeoutShare the share of the time to apply a change that its answer may take
+	// watchWaitShare is the share of the settle time that a watch waits for changes, and
+	// answerTimeoutShare the share of the apply limit that its answer may take
 	// beyond that wait. Together they leave time for another read after a watch whose
 	// connection was cut silently.
 	watchWaitShare     = 0.65
@@ -97,7 +97,7 @@
 	// directReadStalenessShare is the share of the max staleness from which on a process that
 	// follows another one reads the store directly.
 	directReadStalenessShare = 0.6
-	// relayedWaitShare is the share of the propagation bound that a watch waits at most where
+	// relayedWaitShare is the share of the propagation limit that a watch waits at most where
 	// other processes follow this one. Data older than this wait plus the relaying time then
 	// shows that its source has lost the store.
 	relayedWaitShare = 0.25
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	apply            = 200 * time.Millisecond
+	applyLimit       = 200 * time.Millisecond
 	expiredRetention = 300 * time.Millisecond
-	// within is the propagation bound: the time in which a change must have reached all processes.
-	within      = 2 * time.Second
-	testTimeout = 2 * time.Second
-	tick        = 5 * time.Millisecond
+	// propagationLimit is the time in which a change must have reached all processes.
+	propagationLimit = 2 * time.Second
+	testTimeout      = 2 * time.Second
+	tick             = 5 * time.Millisecond
 )
 
 func start(t *testing.T) (*fleetstore.Server, func() *fleet.View) {
@@ -78,7 +78,7 @@
 	t.Helper()
 	server := httptest.NewServer(fake)
 	t.Cleanup(server.Close)
-	store := platform.NewStore(server.Listener.Addr().String()).WithPageTimeout(discovery.StoreCallTimeout(apply))
+	store := platform.NewStore(server.Listener.Addr().String()).WithPageTimeout(discovery.StoreCallTimeout(applyLimit))
 	require.NoError(t, members.Register(context.Background(), store, platform.MemberPrefix, self))
 	d := discovery.New(discovery.Options{
 		Self: self, RunID: self.Incarnation, Relay: relay, OnUnregistered: missing,
@@ -87,7 +87,7 @@
 			Config: platform.ConfigPrefix, Instances: platform.InstancePrefix, Rules: platform.RulesPrefix, Members: platform.MemberPrefix, Directory: platform.DirectoryPrefix,
 		},
 		DecodeConfig: platform.DecodeConfig, DecodeInstance: platform.DecodeInstance,
-		ApplyLimit: apply, SettleTime: apply, PropagationLimit: within, ExpiredRetention: expiredRetention, Metrics: metrics.NewRegistry(), Logger: log.NewNopLogger(),
+		ApplyLimit: applyLimit, SettleTime: applyLimit, PropagationLimit: propagationLimit, ExpiredRetention: expiredRetention, Metrics: metrics.NewRegistry(), Logger: log.NewNopLogger(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -129,7 +129,7 @@
 	eventually(t, func() bool { return version(view()) == 5 })
 	setConfig(fake, 4)
 	fake.Set("config", "main", "not a configuration")
-	time.Sleep(apply)
+	time.Sleep(applyLimit)
 	require.EqualValues(t, 5, version(view()), "an older or invalid configuration leaves the last valid one in force")
 	setConfig(fake, 9)
 	eventually(t, func() bool { return version(view()) == 9 })
@@ -141,7 +141,7 @@
 	eventually(t, func() bool { return version(view()) == 1 })
 	fake.SetFaults(fleetstore.Faults{DeafWatches: true})
 	setConfig(fake, 2)
-	time.Sleep(apply / 4)
+	time.Sleep(applyLimit / 4)
 	fake.Forget()
 	fake.SetFaults(fleetstore.Faults{})
 	eventually(t, func() bool { return version(view()) == 2 })
@@ -212,7 +212,7 @@
 	setInstance(fake, "i-1", "ready")
 	fake.SetFaults(fleetstore.Faults{})
 	eventually(t, func() bool { return view().StoreUp })
-	time.Sleep(expiredRetention + apply)
+	time.Sleep(expiredRetention + applyLimit)
 	require.True(t, view().Accepts("s", "i-1"))
 }
 
@@ -235,11 +235,11 @@
 func TestProofNeedsAnAnswer(t *testing.T) {
 	fake, view := start(t)
 	setConfig(fake, 1)
-	eventually(t, func() bool { return version(view()) == 1 && view().ConfigStaleness() < apply })
+	eventually(t, func() bool { return version(view()) == 1 && view().ConfigStaleness() < applyLimit })
 	fake.SetFaults(fleetstore.Faults{Silent: true})
-	eventually(t, func() bool { return view().ConfigStaleness() > 2*apply })
+	eventually(t, func() bool { return view().ConfigStaleness() > 2*applyLimit })
 	fake.SetFaults(fleetstore.Faults{})
-	eventually(t, func() bool { return view().ConfigStaleness() < apply })
+	eventually(t, func() bool { return view().ConfigStaleness() < applyLimit })
 }
 
 // TestRegistrationsOfOtherWriters checks that a registration which cannot be decoded removes its instance
@@ -265,7 +265,7 @@
 	fake := fleetstore.New()
 	called := make(chan struct{}, 100)
 	startWith(t, fake, nil, func() { called <- struct{}{} })
-	time.Sleep(apply)
+	time.Sleep(applyLimit)
 	require.Empty(t, called)
 	fake.Remove("rockdoor-members", "self")
 	waitFor(t, called)
@@ -300,7 +300,7 @@
 	fake.Set("config", "draft", map[string]any{"version": 100})
 	setConfig(fake, 6)
 	eventually(t, func() bool { return version(view()) >= 6 })
-	time.Sleep(apply)
+	time.Sleep(applyLimit)
 	require.EqualValues(t, 6, version(view()))
 }
 
@@ -314,7 +314,7 @@
 	eventually(t, func() bool { return !view().StoreUp })
 	fake.Remove("servers", "i-1")
 	removed := time.Now()
-	for time.Since(removed) < within {
+	for time.Since(removed) < propagationLimit {
 		fake.SetFaults(fleetstore.Faults{})
 		eventually(t, func() bool { return view().StoreUp })
 		fake.SetFaults(fleetstore.Faults{DownKind: "servers"})
@@ -343,7 +343,7 @@
 	setConfig(fake, 1)
 	view := startOn(t, delayAnswers(fake, delay), nil)
 	eventually(t, func() bool { return view().Ready() })
-	for start := time.Now(); time.Since(start) < 4*apply; time.Sleep(time.Millisecond) {
+	for start := time.Now(); time.Since(start) < 4*applyLimit; time.Sleep(time.Millisecond) {
 		v := view()
 		require.GreaterOrEqual(t, v.InstancesAge(), delay)
 		require.GreaterOrEqual(t, v.ConfigAge(), delay)
--- a/internal/discovery/era.go
+++ b/internal/discovery/era.go
@@ -90,9 +90,9 @@
 	return d.era.restored && bootclock.Since(d.era.seenAt) < max(d.o.ExpiredRetention, registrationCheckJitter)
 }
 
-// knownToHaveLeft reports whether this process knows that an instance has begun to drain or was
+// isOutdatedRegistration reports whether this process knows that an instance has begun to drain or was
 // removed, while a registration that may stem from the restored snapshot says otherwise.
-func (d *Discovery) knownToHaveLeft(i *fleet.Instance, v objstore.Version) bool {
+func (d *Discovery) isOutdatedRegistration(i *fleet.Instance, v objstore.Version) bool {
 	if !d.era.mayPredateRestore(v) {
 		return false
 	}
--- a/internal/discovery/era_test.go
+++ b/internal/discovery/era_test.go
@@ -106,7 +106,7 @@
 	time.Sleep(snapshotAge / 3)
 	fake.Restore(snapshotAge)
 	eventually(t, func() bool { return view().Era == 2 })
-	time.Sleep(5 * apply)
+	time.Sleep(5 * applyLimit)
 	require.False(t, permits(view(), "b"))
 	fake.Set("rockdoor-rules", "main", map[string]any{"write": "w", "value": json.RawMessage(onlyB)})
 	eventually(t, func() bool { return permits(view(), "b") })
@@ -129,5 +129,5 @@
 		return discovery.RelayUpdate{Age: time.Millisecond, InstancesRevision: 7, Processes: 30, Schedulers: []members.Member{{Name: "other"}}}
 	})
 	setConfig(fake, 2)
-	require.Eventually(t, func() bool { return version(view()) == 2 }, within, tick)
+	require.Eventually(t, func() bool { return version(view()) == 2 }, propagationLimit, tick)
 }
--- a/internal/discovery/flood_test.go
+++ b/internal/discovery/flood_test.go
@@ -28,7 +28,7 @@
 		setInstance(fake, fmt.Sprint("i-", n), "ready")
 	}
 	eventually(t, func() bool { return len(view().Usable("s")) == n+1 })
-	others := 3 * int(burstDuration/apply) * 2 // watches of the configuration, rules and members
+	others := 3 * int(burstDuration/applyLimit) * 2 // watches of the configuration, rules and members
 	require.LessOrEqual(t, fake.Calls()-before, maxRequests+others)
 	require.Greater(t, n, 10*maxRequests)
 }
@@ -55,9 +55,9 @@
 	fake, view := start(t)
 	setConfig(fake, 1)
 	eventually(t, func() bool { return version(view()) == 1 })
-	time.Sleep(within / 10)
+	time.Sleep(propagationLimit / 10)
 	start := time.Now()
 	setInstance(fake, "i-0", "ready")
 	eventually(t, func() bool { return view().Accepts("s", "i-0") })
-	require.Less(t, time.Since(start), within/25)
+	require.Less(t, time.Since(start), propagationLimit/25)
 }
--- a/internal/discovery/instances.go
+++ b/internal/discovery/instances.go
@@ -19,8 +19,8 @@
 	// removalRetention is how long the removal of an instance is remembered, so that an older
 	// registration received later is ignored.
 	removalRetention = time.Minute
-	// expiredUseShare is the share of the propagation bound for which an instance stays in use
-	// after the store last confirmed its registration. The rest of the bound is for two relay
+	// expiredUseShare is the share of the propagation limit for which an instance stays in use
+	// after the store last confirmed its registration. The rest of the limit is for two relay
 	// hops of some tens of ms each, and for a request on its way, up to 0.5 s with a new
 	// connection.
 	expiredUseShare = 0.75
@@ -113,7 +113,7 @@
 	if r, ok := d.removed[i.ID]; obj.Version < d.versions[i.ID] || ok && obj.Version <= r.version {
 		return false // stale: from a source that lags behind
 	}
-	if d.knownToHaveLeft(i, obj.Version) {
+	if d.isOutdatedRegistration(i, obj.Version) {
 		level.Info(d.logger).Log("msg", "registration of the restored store ignored: the instance is known to be draining or removed", "id", i.ID, "revision", obj.Version.Number(), "era", obj.Version.Era())
 		return false
 	}
@@ -157,7 +157,7 @@
 // of this process may have failed while the store answered other processes, and those that follow this
 // one take the instance for registered. The time therefore counts from when the store last confirmed
 // the registration. When it counted from when the loss was noticed, 50 of 96 requests reached an
-// instance beyond the propagation bound after three watchers had lost the store for 1.1 s.
+// instance beyond the propagation limit after three watchers had lost the store for 1.1 s.
 func (d *Discovery) keepExpired(i *fleet.Instance) {
 	now := bootclock.Now()
 	l := expiry{dropAt: now.Add(d.o.ExpiredRetention), outage: d.outage || d.recentlyRestored()}
@@ -182,8 +182,8 @@
 }
 
 // assessOutage decides, at the first answer about the registrations after failed calls, whether the
-// store had an outage. The failures must have lasted for the whole propagation bound: by then the
-// processes that follow this one have read the store directly. With failures of 2.5 s and a bound of
+// store had an outage. The failures must have lasted for the whole propagation limit: by then the
+// processes that follow this one have read the store directly. With failures of 2.5 s and a limit of
 // 3 s some had not, and took instances that this process only kept for registered ones.
 func (d *Discovery) assessOutage(now bootclock.Instant) {
 	unconfirmed := now.Sub(d.prevConfirmedAt)
--- a/internal/discovery/mode.go
+++ b/internal/discovery/mode.go
@@ -172,10 +172,9 @@
 	}
 }
 
-// StoreCallTimeout returns the timeout of one answer of the store if a change must be in force
-// within apply.
-func StoreCallTimeout(apply time.Duration) time.Duration {
-	return time.Duration(answerTimeoutShare * float64(apply))
+// StoreCallTimeout returns the timeout of one answer of the store for the given apply limit.
+func StoreCallTimeout(applyLimit time.Duration) time.Duration {
+	return time.Duration(answerTimeoutShare * float64(applyLimit))
 }
 
 // follower returns a follower of a feed.
@@ -221,7 +220,7 @@
 	return wait
 }
 
-// minIntervalShare is the share of the propagation bound between two requests if the first one
+// minIntervalShare is the share of the propagation limit between two requests if the first one
 // returned changes. The first change after a quiet time is sent at once, and the number of messages in
 // a burst does not depend on the number of changes: when 10,000 instances registered at 490 a second,
 // each process received as many messages.
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -14,7 +14,7 @@
 	// CPU of a small host.
 	decodeBatch = 100
 	decodePause = 10 * time.Millisecond
-	// decodePauseShare is the max share of the propagation bound for all pauses together, since
+	// decodePauseShare is the max share of the propagation limit for all pauses together, since
 	// no changes are received during them.
 	decodePauseShare = 0.2
 )
@@ -29,7 +29,7 @@
 	}
 	start := bootclock.Now()
 	batches := time.Duration(len(f.Events)/decodeBatch + 1)
-	wait := min(decodePause, d.shareOfBound(decodePauseShare)/batches)
+	wait := min(decodePause, d.shareOfLimit(decodePauseShare)/batches)
 	f.decoded = make(map[string]*fleet.Instance, len(f.Events))
 	for n, e := range f.Events {
 		if e.Deleted || keyPrefix(e.Object.Key) != d.o.Prefixes.Instances {
--- a/internal/discovery/relay.go
+++ b/internal/discovery/relay.go
@@ -36,17 +36,17 @@
 	// instances from a scheduler. Decoding these keeps a small host from its requests for most
 	// of a second.
 	snapshotInterval = time.Millisecond
-	// partialPollShare is the share of the propagation bound after which a process with a
+	// partialPollShare is the share of the propagation limit after which a process with a
 	// partial snapshot polls the configuration and the rules again.
 	partialPollShare = 0.1
 	// registrationCheckAfter is how long no scheduler must have answered a process before it
 	// checks its registration. The registrations of unresponsive processes are removed after
 	// ten times as long.
 	registrationCheckAfter = time.Minute
-	// schedulerMaxAgeShare and maxAgeShare are the shares of the propagation bound from which
+	// schedulerMaxAgeShare and maxAgeShare are the shares of the propagation limit from which
 	// on data is too old for a scheduler and for another process. Without faults it reaches
 	// half that age, and from a share of 0.6 on a scheduler with fresher data is looked for.
-	// The rest of the bound is for the answer of the store.
+	// The rest of the limit is for the answer of the store.
 	schedulerMaxAgeShare = 0.65
 	maxAgeShare          = 0.8
 	// directReadRetry is the min time between two direct reads because of old data; the actual
@@ -123,7 +123,7 @@
 			d.send(ctx, schedulerUpdate{f})
 			nextRead = d.readStoreIfStale(ctx, f, nextRead)
 			if f.Partial {
-				sleep(ctx, d.shareOfBound(partialPollShare))
+				sleep(ctx, d.shareOfLimit(partialPollShare))
 				continue
 			}
 			if len(f.Events) > 0 {
@@ -186,7 +186,7 @@
 // readStoreIfStale reads the store directly if the data that this process receives is too old, or the
 // configuration too stale: the watchers may have lost the store while this process still reaches it.
 // Without it, in a fleet of 65 whose three watchers were cut off, draining engines received requests
-// up to 0.03 s beyond the propagation bound, and rules on placement did not change until the watchers
+// up to 0.03 s beyond the propagation limit, and rules on placement did not change until the watchers
 // were back. f is the latest update. No read takes place before next; the result is the earliest time
 // of the next read.
 func (d *Discovery) readStoreIfStale(ctx context.Context, f RelayUpdate, next bootclock.Instant) bootclock.Instant {
@@ -248,13 +248,13 @@
 // since other processes follow them and receive the result at once.
 func (d *Discovery) maxAge(v *fleet.View) time.Duration {
 	if v.Scheduling {
-		return d.shareOfBound(schedulerMaxAgeShare)
+		return d.shareOfLimit(schedulerMaxAgeShare)
 	}
-	return d.shareOfBound(maxAgeShare)
+	return d.shareOfLimit(maxAgeShare)
 }
 
-// shareOfBound returns the given share of the propagation bound.
-func (d *Discovery) shareOfBound(share float64) time.Duration {
+// shareOfLimit returns the given share of the propagation limit.
+func (d *Discovery) shareOfLimit(share float64) time.Duration {
 	return time.Duration(share * float64(d.o.PropagationLimit))
 }
 
@@ -263,7 +263,7 @@
 	if d.mode != following {
 		return
 	}
-	if f.Age < d.shareOfBound(schedulerMaxAgeShare) && len(d.failingFeeds) > 0 {
+	if f.Age < d.shareOfLimit(schedulerMaxAgeShare) && len(d.failingFeeds) > 0 {
 		clear(d.failingFeeds)
 		d.recoveredAt = bootclock.Now()
 	}
--- a/internal/discovery/relay_test.go
+++ b/internal/discovery/relay_test.go
@@ -103,7 +103,7 @@
 
 // TestAllWatchersAreCutOff covers watchers that have lost the store, so that a process which follows
 // them receives data that gets older and older. The process must learn of a change from the store within
-// the propagation bound, without reading the store all the time.
+// the propagation limit, without reading the store all the time.
 func TestAllWatchersAreCutOff(t *testing.T) {
 	relay := make(fakeRelay)
 	fake := fleetstore.New()
@@ -115,10 +115,10 @@
 		configAt(1),
 		registered("i-1", 1),
 	)
-	require.Eventually(t, func() bool { return version(view()) == 1 && view().Accepts("s", "i-1") }, within/2, tick)
-	require.Eventually(t, func() bool { return version(view()) == 2 && !view().Accepts("s", "i-1") }, within-time.Since(cut), tick)
+	require.Eventually(t, func() bool { return version(view()) == 1 && view().Accepts("s", "i-1") }, propagationLimit/2, tick)
+	require.Eventually(t, func() bool { return version(view()) == 2 && !view().Accepts("s", "i-1") }, propagationLimit-time.Since(cut), tick)
 	before := fake.Calls()
-	time.Sleep(within / 2)
+	time.Sleep(propagationLimit / 2)
 	require.LessOrEqual(t, fake.Calls()-before, 6)
 	require.Equal(t, int64(2), version(view()), "older data changes nothing")
 	require.False(t, view().Accepts("s", "i-1"))
@@ -153,10 +153,10 @@
 	)
 	eventually(t, func() bool { return view().Accepts("s", "i-1") })
 	fake.SetFaults(fleetstore.Faults{Down: true})
-	time.Sleep(within + within/10 - time.Since(cut)) // it has read the store without success
+	time.Sleep(propagationLimit + propagationLimit/10 - time.Since(cut)) // it has read the store without success
 	fake.Remove("servers", "i-1")
 	fake.SetFaults(fleetstore.Faults{})
-	require.Eventually(t, func() bool { return view().InstancesAge() < within/2 }, 4*within, time.Millisecond)
+	require.Eventually(t, func() bool { return view().InstancesAge() < propagationLimit/2 }, 4*propagationLimit, time.Millisecond)
 	require.NotNil(t, view().Instances["i-1"], "it was removed at once")
 	eventually(t, func() bool { return view().Instances["i-1"] == nil })
 }
@@ -176,7 +176,7 @@
 // Two watchers lost the store for a moment, in which an instance was removed. One recovered and kept the
 // instance for less than a tick. The other fetched a snapshot from it in this time, and counted the time
 // for which it may keep the instance from the age of the snapshot: 13 of 96 requests reached the instance
-// beyond the propagation bound.
+// beyond the propagation limit.
 func TestACopyDoesNotProlongWhatHasLapsed(t *testing.T) {
 	fake := fleetstore.New()
 	setInstance(fake, "i-1", "ready")
@@ -186,12 +186,12 @@
 	eventually(t, func() bool { return !view().StoreUp })
 	fake.Remove("servers", "i-1")
 	removed := time.Now()
-	eventually(t, func() bool { return view().InstancesAge() > within/2 })
-	require.Eventually(t, func() bool { return view().InstancesAge() < within/4 }, 2*within, time.Millisecond, "a snapshot is fetched")
+	eventually(t, func() bool { return view().InstancesAge() > propagationLimit/2 })
+	require.Eventually(t, func() bool { return view().InstancesAge() < propagationLimit/4 }, 2*propagationLimit, time.Millisecond, "a snapshot is fetched")
 	require.True(t, view().Accepts("s", "i-1"))
 	fake.SetFaults(fleetstore.Faults{})
 	eventually(t, func() bool { return view().StoreUp })
-	time.Sleep(max(within-time.Since(removed), within/10))
+	time.Sleep(max(propagationLimit-time.Since(removed), propagationLimit/10))
 	require.False(t, view().Accepts("s", "i-1"), "it left %s ago", time.Since(removed))
 }
 
--- a/internal/discovery/rules_test.go
+++ b/internal/discovery/rules_test.go
@@ -95,15 +95,15 @@
 		configAt(1),
 		rulesAt(1, onlyA),
 	)
-	require.Eventually(t, func() bool { return view().Rules != nil && permits(view(), "a") }, within/2, tick)
+	require.Eventually(t, func() bool { return view().Rules != nil && permits(view(), "a") }, propagationLimit/2, tick)
 	setRules(onlyB)
-	require.Eventually(t, func() bool { return permits(view(), "b") }, within-time.Since(cut), tick)
-	time.Sleep(within / 2)
+	require.Eventually(t, func() bool { return permits(view(), "b") }, propagationLimit-time.Since(cut), tick)
+	time.Sleep(propagationLimit / 2)
 	require.True(t, permits(view(), "b"), "older data changes nothing")
 	require.False(t, permits(view(), "a"))
 	fake.Remove("rockdoor-rules", "main")
-	require.Eventually(t, func() bool { return view().Rules == nil }, within, tick)
-	time.Sleep(within / 2)
+	require.Eventually(t, func() bool { return view().Rules == nil }, propagationLimit, tick)
+	time.Sleep(propagationLimit / 2)
 	require.Nil(t, view().Rules, "snapshots that still contain the rules change nothing")
 }
 
@@ -156,7 +156,7 @@
 	eventually(t, func() bool { return version(view()) == 1 && view().Rules != nil })
 	require.False(t, permits(view(), "b"))
 	fake.Forget() // ends the watches, so that everything is listed again
-	time.Sleep(apply)
+	time.Sleep(applyLimit)
 	require.NotNil(t, view().Rules)
 }
 
--- a/members/members.go
+++ b/members/members.go
@@ -25,13 +25,13 @@
 
 const (
 	// GossipPeersPerProcess is how many gossip peers a process chooses. About as many others choose
-	// it. In fleets of up to FullMesh processes every process exchanges heartbeats with all others.
+	// it. In fleets of up to MaxFullMesh processes every process exchanges heartbeats with all others.
 	GossipPeersPerProcess = 6
 	MaxFullMesh           = 16
 	// WatchersPerDomain is how many processes of a failure domain watch the store.
 	WatchersPerDomain = 2
 	// SchedulersPerDomain is how many processes of a failure domain schedule for the others in
-	// a fleet of more than FullMesh processes: one and a standby.
+	// a fleet of more than MaxFullMesh processes: one and a standby.
 	SchedulersPerDomain = 2
 	// MaxWatchers is the max number of schedulers that watch the store in such a fleet; the
 	// other schedulers follow these.
@@ -59,7 +59,7 @@
 	return ulid.MustNew(ulid.Timestamp(wallclock.Now()), ulid.DefaultEntropy()).String()
 }
 
-// StartedBefore reports whether m started at least the given time before other, as far as the
+// StartedBefore reports whether m started more than the given time before other, as far as the
 // clocks of their hosts agree.
 func (m Member) StartedBefore(other Member, by time.Duration) bool {
 	a, err := ulid.Parse(m.Incarnation)
@@ -149,7 +149,7 @@
 }
 
 // GossipPeers returns the gossip peers to which self sends heartbeats on its own initiative: all
-// members of a small fleet, otherwise the NeighboursEach with the highest hash of the pair of
+// members of a small fleet, otherwise the GossipPeersPerProcess with the highest hash of the pair of
 // names. The graph is random, so that updates reach all members in a few hops and the load is
 // spread evenly.
 func GossipPeers(all []Member, self string) []Member {
@@ -195,7 +195,7 @@
 }
 
 // Schedulers returns the members that schedule for the others, ordered by failure domain and
-// preference: all members of a fleet of up to FullMesh processes, otherwise the preferred
+// preference: all members of a fleet of up to MaxFullMesh processes, otherwise the preferred
 // SchedulersPerDomain of each failure domain. Preferred are those with the largest weight, and
 // among equals those with the highest hash, so that processes that know the same members choose
 // the same schedulers. Members for which excluded returns true are left out; excluded may be nil.
@@ -234,8 +234,8 @@
 	return preferred < SchedulersPerDomain
 }
 
-// Watchers returns the schedulers that watch the store: all of them in a fleet of up to FullMesh
-// processes, otherwise up to MostWatchers, in different failure domains if possible.
+// Watchers returns the schedulers that watch the store: all of them in a fleet of up to MaxFullMesh
+// processes, otherwise up to MaxWatchers, in different failure domains if possible.
 func Watchers(schedulers []Member, processes int) []Member {
 	if processes <= MaxFullMesh {
 		return schedulers
@@ -269,7 +269,7 @@
 	Presumed Health = "presumed"
 	// Suspected members have missed heartbeats. They may be paused or disconnected.
 	Suspected Health = "suspected"
-	// Leaving members have announced that they are stopping.
+	// Leaving members have announced that they are shutting down.
 	Leaving Health = "leaving"
 )
 
--- a/mirror/example_test.go
+++ b/mirror/example_test.go
@@ -16,8 +16,8 @@
 	store := memstore.New()
 	_, _ = store.Put(ctx, "state/a", []byte("1"), 0, "w1")
 	first, second := mirror.New("state/"), mirror.New("state/")
-	keeper := mirror.NewRefresher(first, store, func() bool { return true }, log.NewNopLogger())
-	if err := keeper.Refresh(ctx, 0); err != nil {
+	refresher := mirror.NewRefresher(first, store, func() bool { return true }, log.NewNopLogger())
+	if err := refresher.Refresh(ctx, 0); err != nil {
 		fmt.Println(err)
 	}
 	second.Apply(first.Since(second.Revision()))
--- a/mirror/keeper.go
+++ b/mirror/keeper.go
@@ -14,7 +14,7 @@
 	"github.com/rockdoor/rockdoor/objstore"
 )
 
-// Timing of a Keeper.
+// Timing of a Refresher.
 const (
 	// WatchWait is how long a watcher's call waits for changes. It bounds the staleness of a
 	// watcher's mirror.
@@ -36,22 +36,22 @@
 	isWatcher func() bool
 }
 
-// NewRefresher returns a Keeper of m. isWatcher must be safe for concurrent use.
+// NewRefresher returns a Refresher of m. isWatcher must be safe for concurrent use.
 func NewRefresher(m *Mirror, store objstore.Store, isWatcher func() bool, logger log.Logger) *Refresher {
 	return &Refresher{mirror: m, store: store, isWatcher: isWatcher, logger: log.With(logger, "component", "mirror")}
 }
 
 // Run keeps the mirror up to date until ctx ends.
-func (k *Refresher) Run(ctx context.Context) error {
+func (r *Refresher) Run(ctx context.Context) error {
 	retry := backoff.NewExponentialBackOff()
 	retry.MaxInterval = maxRetryDelay
 	for ctx.Err() == nil {
-		if !k.due() {
+		if !r.due() {
 			sleep(ctx, idlePollInterval)
 			continue
 		}
-		if err := k.Refresh(ctx, WatchWait); err != nil {
-			level.Debug(k.logger).Log("msg", "could not read the store", "err", err)
+		if err := r.Refresh(ctx, WatchWait); err != nil {
+			level.Debug(r.logger).Log("msg", "could not read the store", "err", err)
 			sleep(ctx, retry.NextBackOff())
 			continue
 		}
@@ -61,11 +61,11 @@
 }
 
 // due reports whether this process must read the store now.
-func (k *Refresher) due() bool {
-	if k.isWatcher() {
+func (r *Refresher) due() bool {
+	if r.isWatcher() {
 		return true
 	}
-	return k.mirror.Age() > directReadAge+rand.N(directReadJitter)
+	return r.mirror.Age() > directReadAge+rand.N(directReadJitter)
 }
 
 func sleep(ctx context.Context, d time.Duration) {
@@ -79,26 +79,26 @@
 
 // Refresh reads the store once. It lists the whole prefix if the mirror is empty or has missed
 // changes; otherwise it waits for changes, up to wait.
-func (k *Refresher) Refresh(ctx context.Context, wait time.Duration) error {
+func (r *Refresher) Refresh(ctx context.Context, wait time.Duration) error {
 	before := bootclock.Now()
-	rev := k.mirror.Revision()
+	rev := r.mirror.Revision()
 	if rev == NoRevision {
-		return k.relist(ctx)
+		return r.relist(ctx)
 	}
-	events, newest, err := k.store.Watch(ctx, k.mirror.prefix, rev, wait)
+	events, newest, err := r.store.Watch(ctx, r.mirror.prefix, rev, wait)
 	if errors.Is(err, objstore.ErrWatchGap) {
-		return k.relist(ctx)
+		return r.relist(ctx)
 	}
 	if err != nil {
 		return err
 	}
-	k.mirror.Apply(Delta{Base: rev, Revision: newest, Age: bootclock.Since(before), Events: events})
+	r.mirror.Apply(Delta{Base: rev, Revision: newest, Age: bootclock.Since(before), Events: events})
 	return nil
 }
 
-func (k *Refresher) relist(ctx context.Context) error {
+func (r *Refresher) relist(ctx context.Context) error {
 	before := bootclock.Now()
-	objs, rev, err := k.store.List(ctx, k.mirror.prefix)
+	objs, rev, err := r.store.List(ctx, r.mirror.prefix)
 	if err != nil {
 		return err
 	}
@@ -106,6 +106,6 @@
 	for i, o := range objs {
 		events[i] = objstore.Event{Object: o, Revision: rev}
 	}
-	k.mirror.Apply(Delta{Revision: rev, Age: bootclock.Since(before), Full: true, Events: events})
+	r.mirror.Apply(Delta{Revision: rev, Age: bootclock.Since(before), Full: true, Events: events})
 	return nil
 }
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -62,7 +62,7 @@
 // Prefix returns the prefix of the mirrored keys.
 func (m *Mirror) Prefix() string { return m.prefix }
 
-// Revision returns the revision of the mirror, or None.
+// Revision returns the revision of the mirror, or NoRevision.
 func (m *Mirror) Revision() objstore.Revision {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -23,9 +23,9 @@
 		store := memstore.New()
 		expected := map[objstore.Revision]string{0: "[]"}
 		mirrors := []*Mirror{New("s/"), New("s/"), New("s/")}
-		keepers := make([]*Refresher, len(mirrors))
+		refreshers := make([]*Refresher, len(mirrors))
 		for i, m := range mirrors {
-			keepers[i] = NewRefresher(m, store, func() bool { return true }, log.NewNopLogger())
+			refreshers[i] = NewRefresher(m, store, func() bool { return true }, log.NewNopLogger())
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, 2).Draw(t, "mirror")
@@ -43,7 +43,7 @@
 					expected[rev+1] = contents(store)
 				}
 			case "read":
-				require.NoError(t, keepers[i].Refresh(ctx, 0))
+				require.NoError(t, refreshers[i].Refresh(ctx, 0))
 			case "copy":
 				from := mirrors[rapid.IntRange(0, 2).Draw(t, "from")]
 				mirrors[i].Apply(from.Since(before))
@@ -92,15 +92,15 @@
 	ctx := context.Background()
 	store := memstore.New()
 	m := New("s/")
-	k := NewRefresher(m, store, func() bool { return true }, log.NewNopLogger())
-	require.NoError(t, k.Refresh(ctx, 0))
+	r := NewRefresher(m, store, func() bool { return true }, log.NewNopLogger())
+	require.NoError(t, r.Refresh(ctx, 0))
 	v := objstore.Version(0)
 	for range 5000 {
 		obj, err := store.Put(ctx, "s/a", nil, v, "")
 		require.NoError(t, err)
 		v = obj.Version
 	}
-	require.NoError(t, k.Refresh(ctx, 0))
+	require.NoError(t, r.Refresh(ctx, 0))
 	require.EqualValues(t, 5000, m.Revision())
 	require.Less(t, bootclock.Since(m.confirmedAt), time.Minute)
 }
