--- a/internal/discovery/instances.go
+++ b/internal/discovery/instances.go
@@ -182,9 +182,9 @@
 }
 
 // assessOutage decides, at the first answer about the registrations after failed calls, whether the
-// store had an outage. The failures must have lasted for the whole propagation limit: by then the
-// processes that follow this one have read the store directly. With failures of 2.5 s and a limit of
-// 3 s some had not, and took instances that this process only kept for registered ones.
+// store had an outage. The registrations must have been unconfirmed for the whole propagation limit:
+// by then the processes that follow this one have read the store directly. After 2.5 s, with a limit
+// of 3 s, some had not, and took instances that this process only kept for registered ones.
 func (d *Discovery) assessOutage(now bootclock.Instant) {
 	unconfirmed := now.Sub(d.prevConfirmedAt)
 	d.outage = unconfirmed >= d.o.PropagationLimit && now.Sub(d.failingSince) >= minOutage
--- a/internal/discovery/rules_test.go
+++ b/internal/discovery/rules_test.go
@@ -113,7 +113,8 @@
 
 // A process started when the newest rules had been written by a newer software version and could not be
 // decoded. It recorded their version as the one in force, and then ignored the last valid rules, which its
-// scheduler has and enforces, as older ones. Without rules it permitted everything.
+// scheduler has and enforces, as older ones. Without rules it permitted everything; its last log line about
+// rules was the rejection of revision 20.
 func TestRulesThatCannotBeReadLeaveTheLastGoodOnes(t *testing.T) {
 	relay := make(fakeRelay)
 	view := startFollowing(t, relay)
