--- a/mirror/keeper.go
+++ b/mirror/keeper.go
@@ -14,44 +14,44 @@
 	"github.com/rockdoor/rockdoor/objstore"
 )
 
-// Timing of a Keeper.
+// Timing of a Refresher.
 const (
-	// WatchWait is how long a watcher's call waits for changes. It bounds the
-	// age of a proof.
+	// WatchWait is how long a watcher's call waits for changes. It bounds the staleness of a
+	// watcher's mirror.
 	WatchWait = time.Second
-	// selfCheckAge is the age at which a process that is no watcher reads the
-	// store itself.
-	selfCheckAge    = 3 * time.Second
-	selfCheckJitter = 2 * time.Second
-	idlePoll        = 200 * time.Millisecond
-	maxRetryDelay   = 2 * time.Second
+	// directReadAge is the age of the mirror from which on a process that is not a watcher reads
+	// the store directly.
+	directReadAge    = 3 * time.Second
+	directReadJitter = 2 * time.Second
+	idlePollInterval = 200 * time.Millisecond
+	maxRetryDelay    = 2 * time.Second
 )
 
-// Refresher moves a mirror forward from the store.
+// Refresher updates a mirror from the store.
 type Refresher struct {
 	mirror *Mirror
 	store  objstore.Store
 	logger log.Logger
-	// isWatcher says whether this process is one of the few that watch.
+	// isWatcher reports whether this process is one of the few that watch the store.
 	isWatcher func() bool
 }
 
-// NewRefresher returns a keeper of m. isWatcher must be safe for concurrent use.
+// NewRefresher returns a Refresher of m. isWatcher must be safe for concurrent use.
 func NewRefresher(m *Mirror, store objstore.Store, isWatcher func() bool, logger log.Logger) *Refresher {
 	return &Refresher{mirror: m, store: store, isWatcher: isWatcher, logger: log.With(logger, "component", "mirror")}
 }
 
-// Run keeps the mirror until ctx ends.
-func (k *Refresher) Run(ctx context.Context) error {
+// Run keeps the mirror up to date until ctx ends.
+func (r *Refresher) Run(ctx context.Context) error {
 	retry := backoff.NewExponentialBackOff()
 	retry.MaxInterval = maxRetryDelay
 	for ctx.Err() == nil {
-		if !k.due() {
-			sleep(ctx, idlePoll)
+		if !r.due() {
+			sleep(ctx, idlePollInterval)
 			continue
 		}
-		if err := k.Refresh(ctx, WatchWait); err != nil {
-			level.Debug(k.logger).Log("msg", "store not read", "err", err)
+		if err := r.Refresh(ctx, WatchWait); err != nil {
+			level.Debug(r.logger).Log("msg", "could not read the store", "err", err)
 			sleep(ctx, retry.NextBackOff())
 			continue
 		}
@@ -60,12 +60,12 @@
 	return nil
 }
 
-// due reports whether this process has to read the store now.
-func (k *Refresher) due() bool {
-	if k.isWatcher() {
+// due reports whether this process must read the store now.
+func (r *Refresher) due() bool {
+	if r.isWatcher() {
 		return true
 	}
-	return k.mirror.Age() > selfCheckAge+rand.N(selfCheckJitter)
+	return r.mirror.Age() > directReadAge+rand.N(directReadJitter)
 }
 
 func sleep(ctx context.Context, d time.Duration) {
@@ -77,28 +77,28 @@
 	}
 }
 
-// Refresh reads the store once: the whole prefix if the mirror is empty or has
-// missed changes, else what has changed, waiting up to wait for a change.
-func (k *Refresher) Refresh(ctx context.Context, wait time.Duration) error {
+// Refresh reads the store once. It lists the whole prefix if the mirror is empty or has missed
+// changes; otherwise it waits for changes, up to wait.
+func (r *Refresher) Refresh(ctx context.Context, wait time.Duration) error {
 	before := bootclock.Now()
-	rev := k.mirror.Revision()
+	rev := r.mirror.Revision()
 	if rev == NoRevision {
-		return k.relist(ctx)
+		return r.relist(ctx)
 	}
-	events, newest, err := k.store.Watch(ctx, k.mirror.prefix, rev, wait)
+	events, newest, err := r.store.Watch(ctx, r.mirror.prefix, rev, wait)
 	if errors.Is(err, objstore.ErrWatchGap) {
-		return k.relist(ctx)
+		return r.relist(ctx)
 	}
 	if err != nil {
 		return err
 	}
-	k.mirror.Apply(Delta{Base: rev, Revision: newest, Age: bootclock.Since(before), Events: events})
+	r.mirror.Apply(Delta{Base: rev, Revision: newest, Age: bootclock.Since(before), Events: events})
 	return nil
 }
 
-func (k *Refresher) relist(ctx context.Context) error {
+func (r *Refresher) relist(ctx context.Context) error {
 	before := bootclock.Now()
-	objs, rev, err := k.store.List(ctx, k.mirror.prefix)
+	objs, rev, err := r.store.List(ctx, r.mirror.prefix)
 	if err != nil {
 		return err
 	}
@@ -106,6 +106,6 @@
 	for i, o := range objs {
 		events[i] = objstore.Event{Object: o, Revision: rev}
 	}
-	k.mirror.Apply(Delta{Revision: rev, Age: bootclock.Since(before), Full: true, Events: events})
+	r.mirror.Apply(Delta{Revision: rev, Age: bootclock.Since(before), Full: true, Events: events})
 	return nil
 }
