--- a/quarantine/blame.go
+++ b/quarantine/blame.go
@@ -7,64 +7,66 @@
 	"time"
 )
 
-// blamed returns the requests that are to blame for the ends of instances: each end is put
-// down to one request only, the one under which most have ended, so that those that were in
-// hand beside it, and went on elsewhere beside it again, are not refused with it. Among equals it is
-// the one that had been there for the shortest time: instances end when they begin to run it. The
-// caller holds the lock.
-func (t *Table) blamed() map[Fingerprint]bool {
-	if t.judged == t.last {
-		return t.convicted
+// poisonRequests returns the requests to which crashes of instances are attributed. Each crash is
+// attributed to only one request: the one with the most crashes. Otherwise requests that were in
+// flight together with a poison request, and were retried on the same instance as it, would be
+// rejected too. If several have the same number of crashes, it is the one with the shortest mean
+// run time, since instances crash soon after they start to run a poison request. The caller holds
+// the lock.
+func (t *Table) poisonRequests() map[Fingerprint]bool {
+	if t.poisonAsOf == t.lastNumber {
+		return t.poison
 	}
 	var candidates []*candidate
 	for f, s := range t.suspects {
-		if ends := s.since(); len(ends) >= convictAfter {
-			candidates = append(candidates, newCandidate(f, ends))
+		if crashes := s.crashesSinceSuccess(); len(crashes) >= quarantineThreshold {
+			candidates = append(candidates, newCandidate(f, crashes))
 		}
 	}
-	t.convicted, t.judged = map[Fingerprint]bool{}, t.last
+	t.poison, t.poisonAsOf = map[Fingerprint]bool{}, t.lastNumber
 	for len(candidates) > 0 {
 		worst := slices.MaxFunc(candidates, (*candidate).compare)
-		if len(worst.ended) < convictAfter {
+		if len(worst.crashes) < quarantineThreshold {
 			break
 		}
-		t.convicted[worst.f] = true
-		explained := worst.ended
+		t.poison[worst.fingerprint] = true
+		explained := worst.crashes
 		for _, c := range candidates {
-			c.ended = slices.DeleteFunc(slices.Clone(c.ended), func(e numbered) bool {
-				return slices.ContainsFunc(explained, func(x numbered) bool { return x.same(e.Observation) })
+			c.crashes = slices.DeleteFunc(slices.Clone(c.crashes), func(e numberedObservation) bool {
+				return slices.ContainsFunc(explained, func(x numberedObservation) bool { return x.sameCrash(e.Observation) })
 			})
 		}
 	}
-	return t.convicted
+	return t.poison
 }
 
-// candidate is a request that may be to blame for the ends of instances.
+// candidate is a request that may have caused crashes of instances.
 type candidate struct {
-	f     Fingerprint
-	ended []numbered
-	// ran is how long it had been at the instances when they ended, in all.
-	ran time.Duration
+	fingerprint Fingerprint
+	crashes     []numberedObservation
+	// totalRunTime is the sum of the times from the start of the request on an instance to the
+	// crash of the instance.
+	totalRunTime time.Duration
 }
 
-func newCandidate(f Fingerprint, ends []numbered) *candidate {
-	c := &candidate{f: f, ended: ends}
-	for _, e := range ends {
-		c.ran += e.Ran
+func newCandidate(f Fingerprint, crashes []numberedObservation) *candidate {
+	c := &candidate{fingerprint: f, crashes: crashes}
+	for _, e := range crashes {
+		c.totalRunTime += e.Ran
 	}
 	return c
 }
 
-// compare orders candidates by how much speaks against them.
+// compare orders candidates from the least to the most likely cause of crashes.
 func (c *candidate) compare(d *candidate) int {
 	return cmp.Or(
-		cmp.Compare(len(c.ended), len(d.ended)),
-		cmp.Compare(d.meanRun(), c.meanRun()),
-		bytes.Compare(c.f[:], d.f[:]),
+		cmp.Compare(len(c.crashes), len(d.crashes)),
+		cmp.Compare(d.meanRunTime(), c.meanRunTime()),
+		bytes.Compare(c.fingerprint[:], d.fingerprint[:]),
 	)
 }
 
-// meanRun returns how long it had been at an instance in the mean.
-func (c *candidate) meanRun() time.Duration {
-	return c.ran / time.Duration(max(len(c.ended), 1))
+// meanRunTime returns the mean time from the start of the request on an instance to the crash.
+func (c *candidate) meanRunTime() time.Duration {
+	return c.totalRunTime / time.Duration(max(len(c.crashes), 1))
 }
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,10 +1,9 @@
-// Package quarantine finds requests that end the instances that run them, and keeps them
-// from further ones. Each try of a caller is a new request to everybody who sees it, so that
-// one that crashes an engine would be sent to the next; what is the same in all tries is
-// their fingerprint.
+// Package quarantine detects poison requests, which crash the instances that run them, and
+// rejects them. A client's retry looks like a new request, so without a quarantine a request that
+// has crashed one engine would be sent to the next. Retries are recognized by their fingerprint.
 //
-// An instance that ends has other requests in hand, so that one end accuses nobody: a
-// request is refused when several instances have ended under it and none has run it to a good
-// end since. What processes observe is told to the others and never taken back, so that all of
-// them come to the same verdict in whatever order they hear of it.
+// An instance that crashes has other requests in flight, so a single crash proves nothing: a
+// request is rejected when several instances have crashed while they ran it and none has completed
+// it since. Processes send their observations to each other and never withdraw them, so all
+// processes reach the same verdict, in whatever order the observations arrive.
 package quarantine
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -9,9 +9,9 @@
 	"github.com/rockdoor/rockdoor/fault"
 )
 
-// Fingerprint names what is the same in each try of a request: its workspace, method, host,
-// path with the query, and body. It is the first half of a SHA-256, so that nobody finds a
-// second request with the fingerprint of another workspace's.
+// Fingerprint identifies a request across retries by its workspace, method, host, path with the
+// query, and body. It is the first half of a SHA-256 hash, so that nobody can construct a request
+// with the fingerprint of a request of another workspace.
 type Fingerprint [16]byte
 
 // FingerprintOf returns the fingerprint of a request.
@@ -21,20 +21,20 @@
 	for _, field := range []string{workspace, method, host, uri} {
 		binary.BigEndian.PutUint64(length[:], uint64(len(field)))
 		h.Write(length[:])
-		_, _ = io.WriteString(h, field) // a hash takes all
+		_, _ = io.WriteString(h, field) // writing to a hash never fails
 	}
 	h.Write(body)
 	return Fingerprint(h.Sum(nil)[:len(Fingerprint{})])
 }
 
-// ParseFingerprint reads what String writes.
+// ParseFingerprint parses the output of String.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	var f Fingerprint
 	if hex.DecodedLen(len(text)) != len(f) {
-		return f, fault.Newf(fault.Invalid, "give 32 hexadecimal digits", "%q is no fingerprint", text)
+		return f, fault.Newf(fault.Invalid, "give 32 hexadecimal digits", "%q is not a fingerprint", text)
 	}
 	if _, err := hex.Decode(f[:], []byte(text)); err != nil {
-		return f, fault.Wrap(err, fault.Invalid, "no fingerprint", "give 32 hexadecimal digits")
+		return f, fault.Wrap(err, fault.Invalid, "not a fingerprint", "give 32 hexadecimal digits")
 	}
 	return f, nil
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -10,252 +10,259 @@
 )
 
 const (
-	// convictAfter is how many instances must have ended under a request for it to be refused.
-	// Others that were in hand there come back, and are in hand at the next end, less often.
-	convictAfter = 3
-	// refusedFor is how long it is refused after the last end. Then one try may run, since
-	// engines are mended too.
-	refusedFor = 10 * time.Minute
-	// trialTime is how long a process lets no second try run beside one.
-	trialTime = 10 * time.Second
-	// suspectFor is how long an end is remembered of a request that is not refused.
-	suspectFor = 10 * time.Minute
-	// sameEnd is how far apart observations of one end may lie. Targets of the completion
-	// service keep their names when they start again.
-	sameEnd = 2 * time.Second
-	// maxSuspects bounds the requests that are remembered.
+	// quarantineThreshold is the number of instances that must crash under a request before it is
+	// rejected. Other requests that were in flight at a crash are retried too, but it is less likely
+	// that the same ones are in flight at several crashes.
+	quarantineThreshold = 3
+	// quarantineTime is how long a request is rejected after its last crash. Then one trial is
+	// permitted, since the engines may have been fixed meanwhile.
+	quarantineTime = 10 * time.Minute
+	// trialInterval is the min time between two trials of a request in one process.
+	trialInterval = 10 * time.Second
+	// suspectRetention is how long a suspect is kept beyond the quarantine time after its last
+	// crash.
+	suspectRetention = 10 * time.Minute
+	// sameCrashWindow is the max time between two observations of the same crash. The name of the
+	// instance is not enough, since targets of the completion service keep their names when they
+	// restart.
+	sameCrashWindow = 2 * time.Second
+	// maxSuspects limits the number of suspects in a table.
 	maxSuspects = 4096
-	// maxEnds bounds the ends that are remembered of one request.
-	maxEnds = 8
+	// maxCrashes limits the number of crashes kept for each suspect.
+	maxCrashes = 8
 )
 
-// Observation says how a run of a request ended.
+// Observation is the outcome of one run of a request.
 type Observation struct {
 	Request Fingerprint
-	// Instance is the one that ended under the request, empty if one ran it to a good end.
+	// Instance is the instance that crashed under the request. It is empty if the run was
+	// successful.
 	Instance string
-	// Ran is how long the request had been there when the instance ended.
+	// Ran is the time from the start of the request on the instance to the crash.
 	Ran time.Duration
 	At  bootclock.Instant
 }
 
 // Verdict says whether a request may be sent to an instance.
 type Verdict struct {
-	// Refused is true if it may not, RetryAfter when asking again makes sense.
+	// Refused is true if the request is rejected. RetryAfter is then the time after which it may be
+	// retried.
 	Refused    bool
 	RetryAfter time.Duration
-	// Convicted is true if the request is to blame, Trial if this try may run all the same, since
-	// its time has passed.
+	// Convicted is true if the request is a poison request. Trial is true if it may run
+	// nevertheless, because the quarantine time is over.
 	Convicted, Trial bool
-	// Ended are the instances that ended under it.
+	// Ended lists the instances that crashed under the request since its last successful run.
 	Ended []string
 }
 
-// Suspect is a request under which instances have ended.
+// Suspect is a request under which instances have crashed.
 type Suspect struct {
 	Request Fingerprint
 	Verdict Verdict
-	// LastEnd is how long ago the last one ended.
+	// LastEnd is the time since the last crash.
 	LastEnd time.Duration
 }
 
-// Table holds what is known of requests under which instances have ended. It is safe for
-// concurrent use.
+// Table holds the observations of all suspects. It is safe for concurrent use.
 type Table struct {
 	now func() bootclock.Instant
 
 	mu sync.Mutex
-	// last numbers the observations.
-	last     uint64
-	suspects map[Fingerprint]*suspect
-	// convicted are the requests that are to blame, as of the observation judged.
-	convicted map[Fingerprint]bool
-	judged    uint64
-	// news has an entry if something was observed.
-	news chan struct{}
+	// lastNumber is the number of the last observation.
+	lastNumber uint64
+	suspects   map[Fingerprint]*suspect
+	// poison is the result of poisonRequests as of the observation with number poisonAsOf.
+	poison     map[Fingerprint]bool
+	poisonAsOf uint64
+	// updates has an entry if there are new observations.
+	updates chan struct{}
 }
 
-// suspect is what is known of one request.
+// suspect holds the observations of one request.
 type suspect struct {
-	ends []numbered
-	// sound is the newest good run, with number 0 if there is none.
-	sound numbered
-	// trial is when the last try was let through after its time.
-	trial bootclock.Instant
+	// crashes are in the order of their times.
+	crashes []numberedObservation
+	// lastSuccess is the last successful run. Its number is 0 if there is none.
+	lastSuccess numberedObservation
+	// lastTrial is the time of the last trial.
+	lastTrial bootclock.Instant
 }
 
-// numbered is an observation with its number in this table.
-type numbered struct {
+// numberedObservation is an observation with its number in this table.
+type numberedObservation struct {
 	number uint64
 	Observation
 }
 
-// same reports whether two observations are of one end: several processes may have had the
-// request there.
-func (n numbered) same(o Observation) bool {
+// sameCrash reports whether two observations are of the same crash. Several processes may observe
+// one, if each of them has sent the request to the instance.
+func (n numberedObservation) sameCrash(o Observation) bool {
 	apart := n.At.Sub(o.At)
-	return n.Instance == o.Instance && max(apart, -apart) < sameEnd
+	return n.Instance == o.Instance && max(apart, -apart) < sameCrashWindow
 }
 
-// NewTable returns a table that knows nothing.
+// NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{now: bootclock.Now, suspects: map[Fingerprint]*suspect{}, news: make(chan struct{}, 1)}
+	return &Table{now: bootclock.Now, suspects: map[Fingerprint]*suspect{}, updates: make(chan struct{}, 1)}
 }
 
-// SetClock replaces the clock. It is called before the table is used.
+// SetClock replaces the clock. It must be called before the table is used.
 func (t *Table) SetClock(now func() bootclock.Instant) { t.now = now }
 
-// News has an entry when something new was observed or told.
-func (t *Table) News() <-chan struct{} { return t.news }
+// News returns a channel that has an entry when there are new observations.
+func (t *Table) News() <-chan struct{} { return t.updates }
 
-// Empty reports whether no request is suspected, so that no fingerprint needs to be computed.
+// Empty reports whether there are no suspects. Callers then need not compute fingerprints.
 func (t *Table) Empty() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.suspects) == 0
 }
 
-// Ended takes in that an instance has ended under a request that had been there for a while, and
-// returns the verdict on it.
+// Ended records that an instance has crashed under a request that had run there for the given time.
+// It returns the verdict on the request.
 func (t *Table) Ended(f Fingerprint, instance string, ran time.Duration) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.take(Observation{f, instance, ran, t.now()})
-	return t.verdict(f)
+	t.apply(Observation{f, instance, ran, t.now()})
+	return t.verdictOf(f)
 }
 
-// Sound takes in that an instance has run a request to a good end.
+// Sound records a successful run of a request.
 func (t *Table) Sound(f Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.take(Observation{Request: f, At: t.now()})
+	t.apply(Observation{Request: f, At: t.now()})
 }
 
-// Learn takes in what others have observed.
+// Learn merges observations of other processes into the table.
 func (t *Table) Learn(all []Observation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, o := range all {
-		t.take(o)
+		t.apply(o)
 	}
 }
 
-// take takes an observation in unless it is known or says nothing new. What others tell seems
-// later than it was by the way of their messages, so that no later time alone may be news: all
-// would tell each other the same without end. The caller holds the lock.
-func (t *Table) take(o Observation) {
+// apply adds an observation unless it is known or redundant. An observation from another process
+// appears later than it was made by the delay of the message. A later time alone must therefore not
+// make it new: processes would send the same observation to each other forever. The caller holds
+// the lock.
+func (t *Table) apply(o Observation) {
 	s := t.suspects[o.Request]
 	if s == nil && o.Instance == "" {
-		return // nothing speaks against it
+		return // a success is only of interest for a suspect
 	}
 	if s == nil {
 		s = &suspect{}
-		t.makeRoom()
+		t.evict()
 		t.suspects[o.Request] = s
 	}
-	if !s.isNews(o) {
+	if !s.isNew(o) {
 		return
 	}
-	t.last++
+	t.lastNumber++
 	if o.Instance == "" {
-		s.sound = numbered{t.last, o}
+		s.lastSuccess = numberedObservation{t.lastNumber, o}
 	} else {
-		s.ends = append(s.ends, numbered{t.last, o})
-		slices.SortFunc(s.ends, func(a, b numbered) int { return cmp.Compare(a.At, b.At) })
-		s.ends = s.ends[max(len(s.ends)-maxEnds, 0):]
+		s.crashes = append(s.crashes, numberedObservation{t.lastNumber, o})
+		slices.SortFunc(s.crashes, func(a, b numberedObservation) int { return cmp.Compare(a.At, b.At) })
+		s.crashes = s.crashes[max(len(s.crashes)-maxCrashes, 0):]
 	}
 	select {
-	case t.news <- struct{}{}:
-	default: // there is some already
+	case t.updates <- struct{}{}:
+	default: // it has an entry already
 	}
 }
 
-// isNews reports whether an observation changes anything: a good run after an end, or another
-// end; if as many as are kept are known, a later one.
-func (s *suspect) isNews(o Observation) bool {
+// isNew reports whether an observation changes the state of the suspect: a successful run after a
+// crash, or another crash. Once maxCrashes are known, only a later crash is new.
+func (s *suspect) isNew(o Observation) bool {
 	if o.Instance == "" {
-		since := s.since()
+		since := s.crashesSinceSuccess()
 		return len(since) > 0 && o.At > since[0].At
 	}
-	if slices.ContainsFunc(s.ends, func(n numbered) bool { return n.same(o) }) {
+	if slices.ContainsFunc(s.crashes, func(n numberedObservation) bool { return n.sameCrash(o) }) {
 		return false
 	}
-	return len(s.ends) < maxEnds || o.At > s.lastEnd().Add(sameEnd)
+	return len(s.crashes) < maxCrashes || o.At > s.lastCrash().Add(sameCrashWindow)
 }
 
-// makeRoom forgets what is old, and the suspect with the fewest and oldest ends if there are
-// too many. The caller holds the lock.
-func (t *Table) makeRoom() {
+// evict removes expired suspects. If the table is still full, it removes the suspect with the fewest
+// crashes since its last successful run, and among equals the one whose last crash is the oldest.
+// The caller holds the lock.
+func (t *Table) evict() {
 	now := t.now()
 	for f, s := range t.suspects {
-		if now.Sub(s.lastEnd()) > suspectFor+refusedFor {
+		if now.Sub(s.lastCrash()) > suspectRetention+quarantineTime {
 			delete(t.suspects, f)
 		}
 	}
 	if len(t.suspects) < maxSuspects {
 		return
 	}
-	var least Fingerprint
+	var victim Fingerprint
 	for f, s := range t.suspects {
-		l := t.suspects[least]
-		if l == nil || cmp.Or(cmp.Compare(len(s.since()), len(l.since())), cmp.Compare(s.lastEnd(), l.lastEnd())) < 0 {
-			least = f
+		l := t.suspects[victim]
+		if l == nil || cmp.Or(cmp.Compare(len(s.crashesSinceSuccess()), len(l.crashesSinceSuccess())), cmp.Compare(s.lastCrash(), l.lastCrash())) < 0 {
+			victim = f
 		}
 	}
-	delete(t.suspects, least)
+	delete(t.suspects, victim)
 }
 
-// since returns the ends since the last good run.
-func (s *suspect) since() []numbered {
-	for n, e := range s.ends {
-		if s.sound.number == 0 || e.At > s.sound.At {
-			return s.ends[n:]
+// crashesSinceSuccess returns the crashes since the last successful run.
+func (s *suspect) crashesSinceSuccess() []numberedObservation {
+	for n, e := range s.crashes {
+		if s.lastSuccess.number == 0 || e.At > s.lastSuccess.At {
+			return s.crashes[n:]
 		}
 	}
 	return nil
 }
 
-func (s *suspect) lastEnd() bootclock.Instant {
-	if len(s.ends) == 0 {
+func (s *suspect) lastCrash() bootclock.Instant {
+	if len(s.crashes) == 0 {
 		return 0
 	}
-	return s.ends[len(s.ends)-1].At
+	return s.crashes[len(s.crashes)-1].At
 }
 
-// Judge returns the verdict on a request that is to be sent to an instance. A try that is let
-// through after its time has passed counts as the trial.
+// Judge returns the verdict on a request that is to be sent to an instance. If it permits a poison
+// request because its quarantine time is over, the request counts as the trial.
 func (t *Table) Judge(f Fingerprint) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	v := t.verdict(f)
+	v := t.verdictOf(f)
 	if v.Convicted && !v.Refused {
-		v.Trial, t.suspects[f].trial = true, t.now()
+		v.Trial, t.suspects[f].lastTrial = true, t.now()
 	}
 	return v
 }
 
-// Look returns the verdict on a request without letting it through.
+// Look returns the verdict on a request without starting a trial.
 func (t *Table) Look(f Fingerprint) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.verdict(f)
+	return t.verdictOf(f)
 }
 
-func (t *Table) verdict(f Fingerprint) Verdict {
+func (t *Table) verdictOf(f Fingerprint) Verdict {
 	s := t.suspects[f]
 	if s == nil {
 		return Verdict{}
 	}
 	var v Verdict
-	for _, e := range s.since() {
+	for _, e := range s.crashesSinceSuccess() {
 		v.Ended = append(v.Ended, e.Instance)
 	}
-	if v.Convicted = t.blamed()[f]; !v.Convicted {
+	if v.Convicted = t.poisonRequests()[f]; !v.Convicted {
 		return v
 	}
-	until := s.lastEnd().Add(refusedFor)
-	if s.trial > 0 {
-		until = max(until, s.trial.Add(trialTime))
+	until := s.lastCrash().Add(quarantineTime)
+	if s.lastTrial > 0 {
+		until = max(until, s.lastTrial.Add(trialInterval))
 	}
 	if left := until.Sub(t.now()); left > 0 {
 		v.Refused, v.RetryAfter = true, left
@@ -263,14 +270,14 @@
 	return v
 }
 
-// Suspects returns all requests under which instances have ended, those that are refused first.
+// Suspects returns all suspects, those with the most crashes first.
 func (t *Table) Suspects() []Suspect {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
 	var out []Suspect
 	for f, s := range t.suspects {
-		out = append(out, Suspect{f, t.verdict(f), now.Sub(s.lastEnd())})
+		out = append(out, Suspect{f, t.verdictOf(f), now.Sub(s.lastCrash())})
 	}
 	slices.SortFunc(out, func(a, b Suspect) int {
 		return cmp.Or(cmp.Compare(len(b.Verdict.Ended), len(a.Verdict.Ended)), cmp.Compare(a.LastEnd, b.LastEnd))
@@ -278,21 +285,21 @@
 	return out
 }
 
-// After returns up to most of the observations after the one with a number, in their order, and the
-// number of the last of them.
-func (t *Table) After(number uint64, most int) ([]Observation, uint64) {
+// After returns up to limit observations that follow the one with the given number, in their order,
+// and the number of the last of them.
+func (t *Table) After(number uint64, limit int) ([]Observation, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var all []numbered
+	var all []numberedObservation
 	for _, s := range t.suspects {
-		for _, o := range append([]numbered{s.sound}, s.ends...) {
+		for _, o := range append([]numberedObservation{s.lastSuccess}, s.crashes...) {
 			if o.number > number {
 				all = append(all, o)
 			}
 		}
 	}
-	slices.SortFunc(all, func(a, b numbered) int { return cmp.Compare(a.number, b.number) })
-	all = all[:min(most, len(all))]
+	slices.SortFunc(all, func(a, b numberedObservation) int { return cmp.Compare(a.number, b.number) })
+	all = all[:min(limit, len(all))]
 	out := make([]Observation, 0, len(all))
 	for _, o := range all {
 		number = o.number
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -10,86 +10,89 @@
 	"github.com/rockdoor/rockdoor/bootclock"
 )
 
-// clocked returns a table and the clock that it reads.
-func clocked() (*Table, *bootclock.Instant) {
+// newTestTable returns a table and its clock.
+func newTestTable() (*Table, *bootclock.Instant) {
 	now := bootclock.Instant(time.Hour)
 	t := NewTable()
 	t.now = func() bootclock.Instant { return now }
 	return t, &now
 }
 
-func named(n int) Fingerprint { return FingerprintOf("w", "POST", "h", fmt.Sprint("/", n), nil) }
+func testFingerprint(n int) Fingerprint {
+	return FingerprintOf("w", "POST", "h", fmt.Sprint("/", n), nil)
+}
 
-// TestThirdEndConvicts covers the way of a request from its first end to its trial.
-func TestThirdEndConvicts(t *testing.T) {
-	table, now := clocked()
-	f := named(1)
+// TestThirdCrashQuarantines follows a request from its first crash to its trials.
+func TestThirdCrashQuarantines(t *testing.T) {
+	table, now := newTestTable()
+	f := testFingerprint(1)
 	require.True(t, table.Empty())
-	for n := range convictAfter {
-		require.False(t, table.Judge(f).Refused, "after %d ends", n)
+	for n := range quarantineThreshold {
+		require.False(t, table.Judge(f).Refused, "after %d crashes", n)
 		table.Ended(f, fmt.Sprint("i-", n), 0)
-		table.Ended(f, fmt.Sprint("i-", n), 0) // another process says so too
+		table.Ended(f, fmt.Sprint("i-", n), 0) // as observed by another process
 	}
 	v := table.Judge(f)
 	require.True(t, v.Refused)
-	require.Equal(t, refusedFor, v.RetryAfter)
-	require.Len(t, v.Ended, convictAfter)
-	require.False(t, table.Judge(named(2)).Refused, "another one")
-	*now = now.Add(refusedFor)
-	require.False(t, table.Judge(f).Refused, "one try runs")
-	require.True(t, table.Judge(f).Refused, "a second one does not run beside it")
+	require.Equal(t, quarantineTime, v.RetryAfter)
+	require.Len(t, v.Ended, quarantineThreshold)
+	require.False(t, table.Judge(testFingerprint(2)).Refused, "another request")
+	*now = now.Add(quarantineTime)
+	require.False(t, table.Judge(f).Refused, "the trial is permitted")
+	require.True(t, table.Judge(f).Refused, "no second trial at the same time")
 	table.Ended(f, "i-9", 0)
-	require.Equal(t, refusedFor, table.Judge(f).RetryAfter, "the trial ended an engine")
-	*now = now.Add(refusedFor + 1)
+	require.Equal(t, quarantineTime, table.Judge(f).RetryAfter, "the trial crashed an engine")
+	*now = now.Add(quarantineTime + 1)
 	require.False(t, table.Judge(f).Refused)
 	table.Sound(f)
-	require.False(t, table.Judge(f).Refused, "the trial went well")
+	require.False(t, table.Judge(f).Refused, "the trial was successful")
 	require.False(t, table.Judge(f).Convicted)
 }
 
-// TestOneRequestIsBlamedForAnEnd has other requests in hand at each engine that one ends. One of
-// them goes on beside it at the next engine each time; it was refused with the guilty one.
-func TestOneRequestIsBlamedForAnEnd(t *testing.T) {
-	table, _ := clocked()
-	guilty, beside := named(1), named(2)
-	for n := range convictAfter {
+// TestOneRequestIsBlamedForACrash checks that a request that is in flight on the same engines as a
+// poison request, after each retry, is not rejected together with it.
+func TestOneRequestIsBlamedForACrash(t *testing.T) {
+	table, _ := newTestTable()
+	poison, concurrent := testFingerprint(1), testFingerprint(2)
+	for n := range quarantineThreshold {
 		i := fmt.Sprint("i-", n)
-		table.Ended(beside, i, 60*time.Millisecond)
-		table.Ended(guilty, i, 40*time.Millisecond)
-		table.Ended(named(10+n), i, time.Second)
+		table.Ended(concurrent, i, 60*time.Millisecond)
+		table.Ended(poison, i, 40*time.Millisecond)
+		table.Ended(testFingerprint(10+n), i, time.Second)
 	}
-	require.True(t, table.Judge(guilty).Refused)
-	require.False(t, table.Judge(beside).Refused)
-	require.False(t, table.Judge(named(10)).Refused)
-	for n := range convictAfter {
-		table.Ended(beside, fmt.Sprint("j-", n), time.Second)
+	require.True(t, table.Judge(poison).Refused)
+	require.False(t, table.Judge(concurrent).Refused)
+	require.False(t, table.Judge(testFingerprint(10)).Refused)
+	for n := range quarantineThreshold {
+		table.Ended(concurrent, fmt.Sprint("j-", n), time.Second)
 	}
-	require.True(t, table.Judge(beside).Refused, "it ends engines by itself")
+	require.True(t, table.Judge(concurrent).Refused, "it crashes engines by itself")
 }
 
-// TestGoodRunSpeaksForARequest covers ends on both sides of a good run, told in another order.
-func TestGoodRunSpeaksForARequest(t *testing.T) {
-	table, now := clocked()
-	f := named(1)
+// TestSuccessClearsARequest checks that only crashes after the last successful run count, also if
+// the observations arrive out of order.
+func TestSuccessClearsARequest(t *testing.T) {
+	table, now := newTestTable()
+	f := testFingerprint(1)
 	at := *now
 	table.Learn([]Observation{{f, "i-1", 0, at}, {f, "i-2", 0, at}, {f, "", 0, at + 1}, {f, "i-3", 0, at + 2}})
 	require.False(t, table.Look(f).Refused)
 	table.Learn([]Observation{{f, "i-0", 0, at - 1}})
-	require.False(t, table.Look(f).Refused, "before the good run")
+	require.False(t, table.Look(f).Refused, "before the successful run")
 	table.Learn([]Observation{{f, "i-4", 0, at + 3}, {f, "i-5", 0, at + 4}})
 	require.True(t, table.Look(f).Refused)
 }
 
-// TestTablesComeToTheSameVerdict has one table tell another in parts.
-func TestTablesComeToTheSameVerdict(t *testing.T) {
-	from, _ := clocked()
-	to, _ := clocked()
-	f := named(1)
-	for n := range convictAfter {
+// TestMergedTablesAgree merges the observations of one table into another, one at a time.
+func TestMergedTablesAgree(t *testing.T) {
+	from, _ := newTestTable()
+	to, _ := newTestTable()
+	f := testFingerprint(1)
+	for n := range quarantineThreshold {
 		from.Ended(f, fmt.Sprint("i-", n), 0)
 	}
 	number := uint64(0)
-	for range convictAfter {
+	for range quarantineThreshold {
 		all, last := from.After(number, 1)
 		require.Len(t, all, 1)
 		require.Greater(t, last, number)
@@ -102,23 +105,23 @@
 	require.Equal(t, from.Look(f), to.Look(f))
 }
 
-// TestTableIsBounded floods a table with suspects: those that are refused stay.
+// TestTableIsBounded floods a table with suspects and checks that a rejected one is not evicted.
 func TestTableIsBounded(t *testing.T) {
-	table, now := clocked()
-	guilty := named(-1)
-	for n := range convictAfter {
-		table.Ended(guilty, fmt.Sprint("i-", n), 0)
+	table, now := newTestTable()
+	poison := testFingerprint(-1)
+	for n := range quarantineThreshold {
+		table.Ended(poison, fmt.Sprint("i-", n), 0)
 	}
 	for n := range maxSuspects + 10 {
 		*now++
-		table.Ended(named(n), "j", 0)
+		table.Ended(testFingerprint(n), "j", 0)
 	}
 	require.Len(t, table.Suspects(), maxSuspects)
-	require.Equal(t, guilty, table.Suspects()[0].Request)
-	require.True(t, table.Look(guilty).Refused)
-	*now = now.Add(suspectFor + refusedFor + 1)
-	table.Ended(named(1), "k", 0)
-	require.Len(t, table.Suspects(), 1, "what is old is forgotten")
+	require.Equal(t, poison, table.Suspects()[0].Request)
+	require.True(t, table.Look(poison).Refused)
+	*now = now.Add(suspectRetention + quarantineTime + 1)
+	table.Ended(testFingerprint(1), "k", 0)
+	require.Len(t, table.Suspects(), 1, "expired suspects are removed")
 }
 
 func TestFingerprint(t *testing.T) {
@@ -126,7 +129,7 @@
 	got, err := ParseFingerprint(f.String())
 	require.NoError(t, err)
 	require.Equal(t, f, got)
-	require.NotEqual(t, f, FingerprintOf("v", "POST", "h", "/a", []byte("x")), "another workspace's")
+	require.NotEqual(t, f, FingerprintOf("v", "POST", "h", "/a", []byte("x")), "of another workspace")
 	require.NotEqual(t, f, FingerprintOf("w", "POST", "h/", "a", []byte("x")))
 	for _, text := range []string{"", "zz", f.String() + "00", "z" + f.String()[1:]} {
 		_, err := ParseFingerprint(text)
