--- a/duty/duty.go
+++ b/duty/duty.go
@@ -1,7 +1,7 @@
-// Package duty gives one process at a time the authority over the duties of the whole
-// deployment: orders to engines, orders for engines and reports of usage. The platform and
-// some engines do not check who acts, so the next holder acts only once every call of the
-// one before it is too old to arrive after its own.
+// Package duty elects the process that performs the duties of the whole deployment: changing the
+// roles of engines, ordering engines from the platform and reporting usage. The holder of a lease
+// has the authority to act. The platform and some engines do not check fencing tokens, so a new
+// holder acts only when no request of the previous holder can arrive any more.
 package duty
 
 import (
@@ -21,23 +21,23 @@
 )
 
 const (
-	// candidates is how many gateways want the lease.
-	candidates = 2
-	// stepTimeout bounds a renewal of the lease, acquireTimeout an acquisition, which has two
-	// more calls of the store.
-	stepTimeout    = time.Second
-	acquireTimeout = 2 * stepTimeout
-	// callMargin is how long before the end of its grant a holder makes its last call.
-	callMargin = 300 * time.Millisecond
-	// firstToken is that of the first holder ever, which has none before it to wait for.
+	// maxCandidates is the number of gateways that compete for the lease.
+	maxCandidates = 2
+	// renewTimeout limits a renewal of the lease. acquireTimeout limits an acquisition, which sends
+	// two more requests to the store.
+	renewTimeout   = time.Second
+	acquireTimeout = 2 * renewTimeout
+	// grantMargin is the min remaining time of a grant for sending a request under it.
+	grantMargin = 300 * time.Millisecond
+	// firstToken is the token of the first grant ever. Its holder has no predecessor to wait for.
 	firstToken = 1
 	// shard is the name of the lease.
 	shard = "duties"
 )
 
-// Granter gives the right to do duties.
+// Granter grants the authority to perform duties.
 type Granter interface {
-	// Grant returns the right to act now, if this process has it.
+	// Grant returns the current grant, and true if this process may act under it now.
 	Grant() (Grant, bool)
 }
 
@@ -46,123 +46,125 @@
 	Store  objstore.Store
 	Prefix string
 	Self   members.Member
-	// TTL is the life of the lease, Apart the time that must pass between the calls of two
-	// holders.
+	// TTL is the time to live of the lease. Apart is how long a new holder waits before it acts,
+	// so that no request of the previous holder arrives after its own.
 	TTL, Apart time.Duration
-	// View returns the latest view. Only schedulers, which know the load, do duties.
+	// View returns the latest view. Only schedulers perform duties, since they know the load.
 	View func() *fleet.View
-	// Heard returns the other gateways that are heard.
+	// Heard returns the names of the other live gateways.
 	Heard func() []string
-	// Now is the clock; that of the host if it is nil.
+	// Now is the clock. If it is nil, the clock of the host is used.
 	Now    func() bootclock.Instant
 	Logger log.Logger
 }
 
-// Authority is the right to do duties. It is safe for concurrent use.
+// Authority competes for the lease of the duties and grants the authority to perform them. It is
+// safe for concurrent use.
 type Authority struct {
 	o      Options
 	logger log.Logger
 	lessee *lease.Lessee
-	former *former
+	legacy *legacyLease
 
 	mu sync.Mutex
-	// token is that of the grant seen last, since when it was seen first.
-	token int64
-	since bootclock.Instant
-	// acted is true if this process has had the right to act and nobody else has had the lease
-	// since: one that it gets back after an outage of the store needs no wait then.
-	acted bool
+	// seenToken is the token of the last grant that was seen, or 0. seenSince is when it was first
+	// seen.
+	seenToken int64
+	seenSince bootclock.Instant
+	// hasActed is true if this process has been permitted to act and no other process has held the
+	// lease since. It then need not wait if it reacquires the lease after an outage of the store.
+	hasActed bool
 }
 
-// New returns an authority that has to be run.
+// New returns an Authority. Call Run to compete for the lease.
 func New(o Options) *Authority {
 	if o.Now == nil {
 		o.Now = bootclock.Now
 	}
-	a := &Authority{o: o, logger: log.With(o.Logger, "component", "duty"), former: newFormer(o)}
-	l := o.lease(shard, o.TTL)
-	l.Token = a.former.take
+	a := &Authority{o: o, logger: log.With(o.Logger, "component", "duty"), legacy: newLegacyLease(o)}
+	l := o.leaseOptions(shard, o.TTL)
+	l.Token = a.legacy.acquire
 	a.lessee = lease.New(l)
 	return a
 }
 
-// lease returns the options of a lease that this process wants.
-func (o *Options) lease(name string, ttl time.Duration) lease.Options {
+// leaseOptions returns the options of a lease for which this process competes.
+func (o *Options) leaseOptions(name string, ttl time.Duration) lease.Options {
 	return lease.Options{
 		Store: o.Store, Prefix: o.Prefix, Shard: name, Holder: o.Self.Name, Incarnation: o.Self.Incarnation, Address: o.Self.Peer,
 		TTL: ttl, Now: o.Now, Logger: o.Logger,
 	}
 }
 
-// Grant returns the right to act now, if this process has it.
+// Grant implements Granter.
 func (a *Authority) Grant() (Grant, bool) {
 	g, held := a.lessee.Grant()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
-	case !held && a.token != 0:
-		level.Info(a.logger).Log("msg", "authority lost", "token", a.token)
-		a.token = 0
-	case held && g.Token != a.token:
-		a.token, a.since = g.Token, a.o.Now()
-		a.acted = a.acted && g.Resumed && a.former.resumed()
+	case !held && a.seenToken != 0:
+		level.Info(a.logger).Log("msg", "authority lost", "token", a.seenToken)
+		a.seenToken = 0
+	case held && g.Token != a.seenToken:
+		a.seenToken, a.seenSince = g.Token, a.o.Now()
+		a.hasActed = a.hasActed && g.Resumed && a.legacy.resumed()
 		level.Info(a.logger).Log("msg", "authority", "token", g.Token, "acts_after", a.o.Apart)
 	}
-	alone := g.Token == firstToken || a.acted
-	may := held && (alone || a.o.Now().Sub(a.since) >= a.o.Apart)
-	a.acted = a.acted || may
-	return Grant{Holder: a.o.Self.Name, Token: g.Token, lease: a.lessee}, may
+	noPredecessor := g.Token == firstToken || a.hasActed
+	mayAct := held && (noPredecessor || a.o.Now().Sub(a.seenSince) >= a.o.Apart)
+	a.hasActed = a.hasActed || mayAct
+	return Grant{Holder: a.o.Self.Name, Token: g.Token, lease: a.lessee}, mayAct
 }
 
-// Grant is the right to act for a time.
+// Grant is the authority to act for a limited time.
 type Grant struct {
 	Holder string
-	// Token is higher than that of any grant before.
+	// Token is the fencing token. It is higher than that of any earlier grant.
 	Token int64
 	lease *lease.Lessee
 }
 
-// Check is the last step before a call is written. It fails if the grant ends too soon, or
-// has been given up.
+// Check must be called immediately before a request is written. It returns an error if the grant
+// ends too soon or has been released.
 func (g Grant) Check() error {
-	if now, _ := g.lease.Grant(); now.Token != g.Token || !now.Valid(callMargin) {
+	if now, _ := g.lease.Grant(); now.Token != g.Token || !now.Valid(grantMargin) {
 		return fault.New(fault.Unavailable, "authority ends too soon for this call", "the next holder of the lease carries on")
 	}
 	return nil
 }
 
-// Run wants the lease and does the duties until ctx ends. When all duties have ended it
-// gives the lease up.
+// Run competes for the lease and runs the duties until ctx ends. It releases the lease when all
+// duties have returned.
 func (a *Authority) Run(ctx context.Context, duties ...func(context.Context)) {
-	var all sync.WaitGroup
-	for _, do := range append(duties, a.keepLease) {
-		all.Add(1)
+	var wg sync.WaitGroup
+	for _, run := range append(duties, a.runLease) {
+		wg.Add(1)
 		go func() {
-			defer all.Done()
-			do(ctx)
+			defer wg.Done()
+			run(ctx)
 		}()
 	}
-	all.Wait()
+	wg.Wait()
 	a.release()
 }
 
-// release gives the lease up.
+// release releases the lease and the legacy lease.
 func (a *Authority) release() {
 	ctx, cancel := context.WithTimeout(context.Background(), acquireTimeout)
 	defer cancel()
 	if _, held := a.lessee.Grant(); held {
-		a.former.release(ctx)
+		a.legacy.release(ctx)
 	}
 	if err := a.lessee.Release(ctx); err != nil {
 		level.Warn(a.logger).Log("msg", "lease not released", "err", err)
 	}
 }
 
-// keepLease wants the lease while this process is one of the candidates. A holder that is
-// no scheduler any more gives it up, since it does not see the load.
-func (a *Authority) keepLease(ctx context.Context) {
+// runLease competes for the lease while this process is a candidate. A holder that is no longer a
+// scheduler releases it, since it does not see the load.
+func (a *Authority) runLease(ctx context.Context) {
 	for ctx.Err() == nil {
-		a.step(ctx)
+		a.stepLease(ctx)
 		select {
 		case <-ctx.Done():
 		case <-time.After(a.lessee.Interval()):
@@ -170,32 +172,32 @@
 	}
 }
 
-// step renews the lease, gives it up, or tries to get it.
-func (a *Authority) step(ctx context.Context) {
+// stepLease renews, releases or tries to acquire the lease.
+func (a *Authority) stepLease(ctx context.Context) {
 	g, held := a.lessee.Grant()
 	switch {
 	case held && !a.o.View().Scheduling:
 		a.release()
 	case held:
-		a.use(ctx, stepTimeout, held)
-		if a.former.lost(ctx, g.Token) {
+		a.stepWithTimeout(ctx, renewTimeout, held)
+		if a.legacy.lostOnRenewal(ctx, g.Token) {
 			a.release()
 		}
-	case a.candidate():
-		a.use(ctx, acquireTimeout, held)
+	case a.isCandidate():
+		a.stepWithTimeout(ctx, acquireTimeout, held)
 	}
-	a.Grant() // notes since when it is held
+	a.Grant() // records when the lease was first seen to be held
 }
 
-// use makes a step of the lease.
-func (a *Authority) use(ctx context.Context, within time.Duration, held bool) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+// stepWithTimeout renews the lease if it is held, and otherwise tries to acquire it.
+func (a *Authority) stepWithTimeout(ctx context.Context, timeout time.Duration, held bool) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if err := a.lessee.Step(ctx); err != nil && !fault.Is(err, fault.Conflict) {
-		level.Info(a.logger).Log("msg", "lease not stepped", "held", held, "err", err)
+		level.Info(a.logger).Log("msg", "lease neither renewed nor acquired", "held", held, "err", err)
 	}
 }
 
-func (a *Authority) candidate() bool {
-	return a.o.View().Scheduling && members.Rank(shard, a.o.Self.Name, a.o.Heard()) < candidates
+func (a *Authority) isCandidate() bool {
+	return a.o.View().Scheduling && members.Rank(shard, a.o.Self.Name, a.o.Heard()) < maxCandidates
 }
--- a/duty/duty_test.go
+++ b/duty/duty_test.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	testTTL   = 450 * time.Millisecond
-	testApart = 1500 * time.Millisecond
-	// soon is well within testApart.
-	soon = testApart * 2 / 3
+	testTTL           = 450 * time.Millisecond
+	testHandoverDelay = 1500 * time.Millisecond
+	// soon is the timeout for what must not wait for testHandoverDelay.
+	soon = testHandoverDelay * 2 / 3
 )
 
 // newStore returns a store and its address.
@@ -34,18 +34,18 @@
 	return fake, server.Listener.Addr().String()
 }
 
-// holder runs an authority until the returned function is called.
-func holder(t *testing.T, address, name string) (*duty.Authority, func()) {
+// runAuthority runs an Authority until the returned function is called.
+func runAuthority(t *testing.T, address, name string) (*duty.Authority, func()) {
 	t.Helper()
-	return holderWith(t, address, name, func() bool { return true })
+	return runAuthorityWhile(t, address, name, func() bool { return true })
 }
 
-// holderWith is holder for a process that is a scheduler while scheduling says so.
-func holderWith(t *testing.T, address, name string, scheduling func() bool) (*duty.Authority, func()) {
+// runAuthorityWhile is runAuthority for a process that is a scheduler while scheduling returns true.
+func runAuthorityWhile(t *testing.T, address, name string, scheduling func() bool) (*duty.Authority, func()) {
 	t.Helper()
 	store := platform.NewStore(address)
 	a := duty.New(duty.Options{
-		Store: store, Prefix: platform.LeasePrefix, Self: members.Member{Name: name, Incarnation: name}, TTL: testTTL, Apart: testApart,
+		Store: store, Prefix: platform.LeasePrefix, Self: members.Member{Name: name, Incarnation: name}, TTL: testTTL, Apart: testHandoverDelay,
 		View: func() *fleet.View { return &fleet.View{Scheduling: scheduling()} }, Heard: func() []string { return nil }, Logger: log.NewNopLogger(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -61,73 +61,73 @@
 	return a, stop
 }
 
-func acts(a *duty.Authority) func() bool {
+func mayAct(a *duty.Authority) func() bool {
 	return func() bool { _, may := a.Grant(); return may }
 }
 
-// TestWhoHasToWait checks that the first holder ever acts at once, that one which gets its
-// own lease back after an outage does so too, under a higher token, and that a successor
-// waits for as long as the calls of two holders must lie apart.
-func TestWhoHasToWait(t *testing.T) {
+// TestOnlySuccessorsWait checks that the first holder ever acts at once, and so does a holder that
+// reacquires its own lease after an outage, under a higher token. A successor waits for the handover
+// delay.
+func TestOnlySuccessorsWait(t *testing.T) {
 	fake, address := newStore(t)
-	first, stopFirst := holder(t, address, "a")
-	require.Eventually(t, acts(first), soon, time.Millisecond)
+	first, stopFirst := runAuthority(t, address, "a")
+	require.Eventually(t, mayAct(first), soon, time.Millisecond)
 	before, _ := first.Grant()
 
 	fake.SetFaults(fleetstore.Faults{Down: true})
-	require.Eventually(t, func() bool { return !acts(first)() }, 2*testTTL, time.Millisecond)
+	require.Eventually(t, func() bool { return !mayAct(first)() }, 2*testTTL, time.Millisecond)
 	require.Error(t, before.Check())
 	fake.SetFaults(fleetstore.Faults{})
-	require.Eventually(t, acts(first), soon, time.Millisecond)
+	require.Eventually(t, mayAct(first), soon, time.Millisecond)
 	again, _ := first.Grant()
 	require.Greater(t, again.Token, before.Token)
 
 	stopFirst()
 	released := time.Now()
-	next, _ := holder(t, address, "b")
-	require.Eventually(t, acts(next), 3*testApart, time.Millisecond)
-	require.GreaterOrEqual(t, time.Since(released), testApart)
+	next, _ := runAuthority(t, address, "b")
+	require.Eventually(t, mayAct(next), 3*testHandoverDelay, time.Millisecond)
+	require.GreaterOrEqual(t, time.Since(released), testHandoverDelay)
 	successor, _ := next.Grant()
 	require.Greater(t, successor.Token, again.Token)
 }
 
-// TestALeaseThatIsBackIsNoLicence has a process get back a lease under which it had not acted
-// yet: it waits for the holder before it, though it has acted before that one.
-func TestALeaseThatIsBackIsNoLicence(t *testing.T) {
+// TestReacquiredLeaseIsNotEnoughToAct has a process reacquire a lease before it was permitted to act
+// under it. It must still wait for its predecessor, even if it was itself the holder before that.
+func TestReacquiredLeaseIsNotEnoughToAct(t *testing.T) {
 	fake, address := newStore(t)
 	var scheduling atomic.Bool
 	scheduling.Store(true)
-	a, _ := holderWith(t, address, "a", scheduling.Load)
-	require.Eventually(t, acts(a), soon, time.Millisecond)
+	a, _ := runAuthorityWhile(t, address, "a", scheduling.Load)
+	require.Eventually(t, mayAct(a), soon, time.Millisecond)
 	scheduling.Store(false)
-	b, stopB := holder(t, address, "b")
-	require.Eventually(t, acts(b), 4*testApart, time.Millisecond)
+	b, stopB := runAuthority(t, address, "b")
+	require.Eventually(t, mayAct(b), 4*testHandoverDelay, time.Millisecond)
 	stopB()
 	last := time.Now()
 	store := platform.NewStore(address)
 	t.Cleanup(store.Close)
-	held, err := store.Get(context.Background(), platform.LeasePrefix+newShard)
+	held, err := store.Get(context.Background(), platform.LeasePrefix+currentShard)
 	require.NoError(t, err)
 	scheduling.Store(true)
 	require.Eventually(t, func() bool {
-		now, err := store.Get(context.Background(), platform.LeasePrefix+newShard)
+		now, err := store.Get(context.Background(), platform.LeasePrefix+currentShard)
 		return err == nil && now.Version != held.Version
-	}, soon, time.Millisecond, "a has the lease again and waits")
+	}, soon, time.Millisecond, "a holds the lease again and waits")
 	fake.SetFaults(fleetstore.Faults{Down: true})
 	time.Sleep(testTTL * 5 / 4)
 	fake.SetFaults(fleetstore.Faults{})
-	require.Eventually(t, acts(a), 4*testApart, time.Millisecond)
-	require.GreaterOrEqual(t, time.Since(last), testApart)
+	require.Eventually(t, mayAct(a), 4*testHandoverDelay, time.Millisecond)
+	require.GreaterOrEqual(t, time.Since(last), testHandoverDelay)
 }
 
-// TestAGrantEndsWithItsRelease has a holder become no scheduler, which gives its lease up while
-// a duty may still have its grant in hand.
-func TestAGrantEndsWithItsRelease(t *testing.T) {
+// TestReleaseEndsGrant checks that a grant which a duty still uses ends when the holder releases the
+// lease, here because it is no longer a scheduler.
+func TestReleaseEndsGrant(t *testing.T) {
 	_, address := newStore(t)
 	var scheduling atomic.Bool
 	scheduling.Store(true)
-	a, _ := holderWith(t, address, "a", scheduling.Load)
-	require.Eventually(t, acts(a), soon, time.Millisecond)
+	a, _ := runAuthorityWhile(t, address, "a", scheduling.Load)
+	require.Eventually(t, mayAct(a), soon, time.Millisecond)
 	scheduling.Store(false)
 	grants := make(chan duty.Grant, 1)
 	require.Eventually(t, func() bool {
--- a/duty/former.go
+++ b/duty/former.go
@@ -12,67 +12,67 @@
 )
 
 const (
-	// formerShard is the name of the lease of versions that gave only orders to engines
-	// under it.
-	formerShard = "roles"
-	// formerTTL is the life of the former lease. It is renewed once in half of it, at 12 calls
-	// an hour, and it is how long processes of a former version wait for one that crashed.
-	formerTTL = 10 * time.Minute
+	// legacyShard is the name of the lease of previous versions, which used it only for orders to
+	// engines.
+	legacyShard = "roles"
+	// legacyTTL is the time to live of the legacy lease. It is renewed once in half of that time, at
+	// 12 requests an hour. If its holder crashes, processes of previous versions wait that long.
+	legacyTTL = 10 * time.Minute
 )
 
-// former is the lease that processes of former versions want. The holder of the duties holds
-// it too, so that in a rolling upgrade, or on the way back, one process of either version
-// acts at a time, and tokens rise from one to the next.
-type former struct {
+// legacyLease is the lease for which processes of previous versions compete. The holder of the
+// duties holds it too, so that only one process of either version acts at a time during a rolling
+// upgrade or downgrade, and tokens increase from one holder to the next.
+type legacyLease struct {
 	lessee *lease.Lessee
 	logger log.Logger
 }
 
-func newFormer(o Options) *former {
-	l := o.lease(formerShard, formerTTL)
+func newLegacyLease(o Options) *legacyLease {
+	l := o.leaseOptions(legacyShard, legacyTTL)
 	l.Heir = shard
-	return &former{lessee: lease.New(l), logger: log.With(o.Logger, "component", "duty")}
+	return &legacyLease{lessee: lease.New(l), logger: log.With(o.Logger, "component", "duty")}
 }
 
-// take gets the lease under a token of least or more, and returns the token. The error is of
-// kind Conflict while a process of a former version holds the lease.
-func (f *former) take(ctx context.Context, least int64) (int64, error) {
-	if err := f.lessee.Acquire(ctx, least); err != nil {
+// acquire acquires the lease under a token of at least minToken, and returns the token. The error
+// is of kind Conflict while a process of a previous version holds the lease.
+func (f *legacyLease) acquire(ctx context.Context, minToken int64) (int64, error) {
+	if err := f.lessee.Acquire(ctx, minToken); err != nil {
 		return 0, err
 	}
 	g, held := f.lessee.Grant()
 	if !held {
 		level.Info(f.logger).Log("msg", "a process of a former version holds the lease", "waiting_for", f.lessee.Waiting())
-		return 0, fault.New(fault.Conflict, "a process of a former version holds the lease", "its release or its end is waited for")
+		return 0, fault.New(fault.Conflict, "a process of a former version holds the lease", "wait until the lease is released or expires")
 	}
 	return g.Token, nil
 }
 
-// resumed reports whether no process of a former version has had the lease since this process
-// had it last.
-func (f *former) resumed() bool {
+// resumed reports whether no other process has held the lease since this process last held it.
+func (f *legacyLease) resumed() bool {
 	g, held := f.lessee.Grant()
 	return held && g.Resumed
 }
 
-// lost keeps the lease while this process holds the duties under a token, and reports whether
-// a process of a former version has got it.
-func (f *former) lost(ctx context.Context, token int64) bool {
-	if g, _ := f.lessee.Grant(); g.Valid(formerTTL / 2) {
+// lostOnRenewal renews the lease if it is due. It is called while this process holds the lease of
+// the duties under the given token. It returns true if a process of a previous version has acquired
+// the legacy lease.
+func (f *legacyLease) lostOnRenewal(ctx context.Context, token int64) bool {
+	if g, _ := f.lessee.Grant(); g.Valid(legacyTTL / 2) {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
+	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
-	_, err := f.take(ctx, token)
+	_, err := f.acquire(ctx, token)
 	if err != nil {
-		level.Warn(f.logger).Log("msg", "lease of former versions not kept", "token", token, "err", err)
+		level.Warn(f.logger).Log("msg", "legacy lease not renewed", "token", token, "err", err)
 	}
 	return fault.Is(err, fault.Conflict)
 }
 
-// release gives the lease up.
-func (f *former) release(ctx context.Context) {
+// release releases the lease.
+func (f *legacyLease) release(ctx context.Context) {
 	if err := f.lessee.Release(ctx); err != nil {
-		level.Info(f.logger).Log("msg", "lease of former versions not released", "err", err)
+		level.Info(f.logger).Log("msg", "legacy lease not released", "err", err)
 	}
 }
--- a/duty/history_test.go
+++ b/duty/history_test.go
@@ -13,169 +13,170 @@
 	"pgregory.net/rapid"
 )
 
-// newShard is the lease of this version.
-const newShard = "duties"
+// currentShard is the name of the lease for which this version competes.
+const currentShard = "duties"
 
-// kind is a kind of fault.
-type kind int
+type faultKind int
 
-// Kinds of faults. The first ones concern one machine, the others all.
+// Kinds of faults. The kinds up to platformPartition affect one host, except for rollingRestart. The
+// others affect all hosts.
 const (
-	pause kind = iota
+	pause faultKind = iota
 	killed
 	stopped
-	rolled
+	rollingRestart
 	demoted
-	cutStore
-	cutPlatform
-	storeLost
-	storeLate
+	storePartition
+	platformPartition
+	storeLosesResponses
+	storeLateWrites
 	storeSlow
 	platformDown
-	platformLost
-	kinds
+	platformLosesResponses
+	faultKinds
 )
 
-var kindNames = [kinds]string{
-	"pause", "kill", "stop", "holders are stopped one after the other, the first one", "no scheduler", "cut from the store", "cut from the platform", "store loses answers", "store carries out late", "store is slow",
+var faultNames = [faultKinds]string{
+	"pause", "kill", "stop", "rolling restart of the holders, starting with", "not a scheduler", "partition from the store", "partition from the platform", "store loses responses", "store delays writes", "store is slow",
 	"platform is down", "platform loses answers",
 }
 
 const (
-	// played is how long faults come, calm how long it is quiet after them.
-	played = 70 * time.Second
-	calm   = 30 * time.Second
-	// lately is how long before the end there must have been a call: in the calm time a lease
-	// lapses, a successor waits, and a window ends.
-	lately = 15 * time.Second
-	// present stands for the machine that holds the lease when the fault comes.
-	present = -1
+	// faultPeriod is the time in which faults are injected. In the quietPeriod after it there are
+	// none.
+	faultPeriod = 70 * time.Second
+	quietPeriod = 30 * time.Second
+	// maxIdleAtEnd is the max time between the last call and the end. The quiet period is long
+	// enough before that for a lease to expire, a successor to wait and a usage window to end.
+	maxIdleAtEnd = 15 * time.Second
+	// currentHolder stands for the host that holds the lease when the fault is injected.
+	currentHolder = -1
 )
 
-// trouble is a fault that comes at a time.
-type trouble struct {
-	kind    kind
-	at      time.Duration
-	length  time.Duration
-	machine int
+// scheduledFault is a fault that is injected at a time after the start.
+type scheduledFault struct {
+	kind   faultKind
+	at     time.Duration
+	length time.Duration
+	host   int
 }
 
-func (t trouble) String() string {
-	return fmt.Sprintf("%v %s machine %d for %v", t.at, kindNames[t.kind], t.machine, t.length)
+func (t scheduledFault) String() string {
+	return fmt.Sprintf("%v %s host %d for %v", t.at, faultNames[t.kind], t.host, t.length)
 }
 
-// course is what is played.
-type course struct {
+// scenario is the input of a simulation.
+type scenario struct {
 	seed uint64
-	// machines run this version, but the last former ones.
-	machines, former int
-	troubles         []trouble
+	// hosts is the number of hosts. The last ones, legacy in number, run the previous version.
+	hosts, legacy int
+	faults        []scheduledFault
 }
 
-// most is how many troubles a course has at the most.
-const most = 14
+// maxFaults is the max number of faults in a scenario.
+const maxFaults = 14
 
-// drawCourse draws a course. All but the number of troubles comes from the seed, since rapid
-// prefers small numbers; fewer troubles are the first ones of the same course.
-func drawCourse(t *rapid.T) course {
-	c := course{seed: rapid.Uint64().Draw(t, "seed")}
+// drawScenario draws a scenario. All but the number of faults is derived from the seed, since rapid
+// prefers small numbers. A scenario with fewer faults has the first ones of the full scenario.
+func drawScenario(t *rapid.T) scenario {
+	c := scenario{seed: rapid.Uint64().Draw(t, "seed")}
 	rng := rand.New(rand.NewPCG(c.seed, 0))
-	c.machines = 2 + rng.IntN(3)
+	c.hosts = 2 + rng.IntN(3)
 	if rng.IntN(2) > 0 {
-		c.former = 1 + rng.IntN(c.machines-1)
+		c.legacy = 1 + rng.IntN(c.hosts-1)
 	}
 	ms := func(low, high int) time.Duration { return time.Duration(low+rng.IntN(high-low)) * time.Millisecond }
-	for range most {
-		c.troubles = append(c.troubles, trouble{
-			kind: kind(rng.IntN(int(kinds))), at: ms(0, int(played.Milliseconds())), length: ms(100, 12000),
-			machine: max(present, rng.IntN(2*c.machines)-c.machines),
+	for range maxFaults {
+		c.faults = append(c.faults, scheduledFault{
+			kind: faultKind(rng.IntN(int(faultKinds))), at: ms(0, int(faultPeriod.Milliseconds())), length: ms(100, 12000),
+			host: max(currentHolder, rng.IntN(2*c.hosts)-c.hosts),
 		})
 	}
-	c.troubles = c.troubles[:most-rapid.IntRange(0, most).Draw(t, "left out")]
-	slices.SortStableFunc(c.troubles, func(a, b trouble) int { return int(a.at - b.at) })
+	c.faults = c.faults[:maxFaults-rapid.IntRange(0, maxFaults).Draw(t, "left out")]
+	slices.SortStableFunc(c.faults, func(a, b scheduledFault) int { return int(a.at - b.at) })
 	return c
 }
 
-// beginning is in what time after the start of all processes at once the troubles of a start come:
-// the first writes of the leases.
-const beginning = 150 * time.Millisecond
+// startPeriod is the time in which the faults of a start scenario are injected. The processes write
+// their leases for the first time in it.
+const startPeriod = 150 * time.Millisecond
 
-// drawStart draws a course in which two or more candidates start at the same moment, and all that goes
-// wrong goes wrong with the first writes.
-func drawStart(t *rapid.T) course {
-	c := drawCourse(t)
+// drawStartScenario draws a scenario in which two or more candidates start at the same moment, and
+// all faults occur during their first writes.
+func drawStartScenario(t *rapid.T) scenario {
+	c := drawScenario(t)
 	rng := rand.New(rand.NewPCG(c.seed, 2))
-	kinds := []kind{pause, killed, stopped, cutStore, storeLost, storeLate}
-	c.former = min(c.former, c.machines-2)
-	for n := range c.troubles {
-		c.troubles[n].kind = kinds[rng.IntN(len(kinds))]
-		c.troubles[n].at = time.Duration(rng.Int64N(int64(beginning)))
+	kinds := []faultKind{pause, killed, stopped, storePartition, storeLosesResponses, storeLateWrites}
+	c.legacy = min(c.legacy, c.hosts-2)
+	for n := range c.faults {
+		c.faults[n].kind = kinds[rng.IntN(len(kinds))]
+		c.faults[n].at = time.Duration(rng.Int64N(int64(startPeriod)))
 	}
-	slices.SortStableFunc(c.troubles, func(a, b trouble) int { return int(a.at - b.at) })
+	slices.SortStableFunc(c.faults, func(a, b scheduledFault) int { return int(a.at - b.at) })
 	return c
 }
 
-// fleetOf is the processes of a course.
-type fleetOf struct {
-	w        *world
-	c        course
-	runs     int
-	machines []*process
+// simulation runs the processes of a scenario.
+type simulation struct {
+	world     *world
+	scenario  scenario
+	runs      int
+	processes []*process
 }
 
-// play plays a course. It runs in a bubble of virtual time.
-func play(c course) *world {
-	f := &fleetOf{w: newWorld(c.seed), c: c, machines: make([]*process, c.machines)}
+// simulate runs a scenario. It must be called in a synctest bubble, whose time is virtual.
+func simulate(c scenario) *world {
+	f := &simulation{world: newWorld(c.seed), scenario: c, processes: make([]*process, c.hosts)}
 	begun := time.Now()
-	for n := range f.machines {
+	for n := range f.processes {
 		f.start(n)
 	}
-	for _, t := range c.troubles {
+	for _, t := range c.faults {
 		time.Sleep(t.at - time.Since(begun))
-		f.strike(t)
+		f.inject(t)
 	}
-	time.Sleep(played + calm - time.Since(begun))
-	for _, p := range f.machines {
+	time.Sleep(faultPeriod + quietPeriod - time.Since(begun))
+	for _, p := range f.processes {
 		p.kill()
 	}
-	for _, p := range f.machines {
-		p.ended.Wait()
+	for _, p := range f.processes {
+		p.done.Wait()
 	}
-	return f.w
+	return f.world
 }
 
-// start starts a new run on a machine.
-func (f *fleetOf) start(n int) {
+// start starts a new process on a host.
+func (f *simulation) start(n int) {
 	f.runs++
-	p := newProcess(f.w, fmt.Sprint("m", n), fmt.Sprint("m", n, "/", f.runs))
-	f.machines[n] = p
-	if n >= f.c.machines-f.c.former {
-		p.start(p.former)
+	p := newProcess(f.world, fmt.Sprint("m", n), fmt.Sprint("m", n, "/", f.runs))
+	f.processes[n] = p
+	if n >= f.scenario.hosts-f.scenario.legacy {
+		p.start(p.runLegacyVersion)
 		return
 	}
-	p.start(p.newest)
+	p.start(p.runCurrentVersion)
 }
 
-// restart stops a run in order and starts another one.
-func (f *fleetOf) restart(n int) {
-	f.machines[n].stop()
-	f.machines[n].ended.Wait()
+// restart stops the process on a host gracefully and starts another one.
+func (f *simulation) restart(n int) {
+	f.processes[n].stop()
+	f.processes[n].done.Wait()
 	f.start(n)
 }
 
-// holder returns the machine that has the lease, the first one if none has.
-func (f *fleetOf) holder() int {
-	holder := f.w.holder(formerShard).Holder
-	return max(slices.IndexFunc(f.machines, func(p *process) bool { return p.machine == holder }), 0)
+// holder returns the host that holds the lease, or the first host if none does.
+func (f *simulation) holder() int {
+	holder := f.world.holder(legacyShard).Holder
+	return max(slices.IndexFunc(f.processes, func(p *process) bool { return p.host == holder }), 0)
 }
 
-// strike has a fault come.
-func (f *fleetOf) strike(t trouble) {
-	n := t.machine
-	if n == present {
+// inject injects a fault.
+func (f *simulation) inject(t scheduledFault) {
+	n := t.host
+	if n == currentHolder {
 		n = f.holder()
 	}
-	p := f.machines[n]
+	p := f.processes[n]
 	switch t.kind {
 	case pause:
 		p.pause(t.length)
@@ -184,28 +185,28 @@
 		f.start(n)
 	case stopped:
 		f.restart(n)
-	case rolled:
-		for range f.machines {
+	case rollingRestart:
+		for range f.processes {
 			f.restart(f.holder())
 			time.Sleep(t.length / 6)
 		}
-	case demoted, cutStore, cutPlatform:
-		f.w.set(effect{t.kind, p.machine}, t.length)
+	case demoted, storePartition, platformPartition:
+		f.world.set(effect{t.kind, p.host}, t.length)
 	default:
-		f.w.set(effect{t.kind, ""}, t.length)
+		f.world.set(effect{t.kind, ""}, t.length)
 	}
 }
 
-// check returns what is wrong with a history.
+// check returns the violations in the recorded calls.
 func (w *world) check() []string {
-	wrong := w.unlawful
-	machines, contents := map[int64]string{}, map[int64]string{}
+	wrong := w.unauthorized
+	hosts, contents := map[int64]string{}, map[int64]string{}
 	bySubject := map[string][]call{}
 	for _, c := range w.calls {
-		if m, used := machines[c.token]; used && m != c.machine {
-			wrong = append(wrong, fmt.Sprintf("token %d is used by %s and %s", c.token, m, c.machine))
+		if m, used := hosts[c.token]; used && m != c.host {
+			wrong = append(wrong, fmt.Sprintf("token %d is used by %s and %s", c.token, m, c.host))
 		}
-		machines[c.token] = c.machine
+		hosts[c.token] = c.host
 		if c.content != "" && contents[c.window] != "" && contents[c.window] != c.content {
 			wrong = append(wrong, fmt.Sprintf("window %d: %s and %s", c.window, contents[c.window], c.content))
 		}
@@ -218,13 +219,13 @@
 		wrong = append(wrong, checkTokens(subject, calls)...)
 	}
 	if len(w.calls) > 0 {
-		wrong = append(wrong, checkTurns(w.calls)...)
+		wrong = append(wrong, checkHandovers(w.calls)...)
 	}
 	return wrong
 }
 
-// checkTokens checks that tokens never fall among the calls of one subject, in the order in
-// which they arrived.
+// checkTokens checks that the tokens of calls about one subject never decrease, in the order of
+// their arrival.
 func checkTokens(subject string, calls []call) (wrong []string) {
 	for n, c := range calls[1:] {
 		if c.token < calls[n].token {
@@ -234,55 +235,56 @@
 	return wrong
 }
 
-// checkTurns checks that the calls of two machines, whatever they are about, lie the life of a
-// lease apart, so that no machine can act again so soon after another.
-func checkTurns(calls []call) (wrong []string) {
+// checkHandovers checks that between calls of two different hosts, whatever their subjects, at
+// least the TTL of a lease passes.
+func checkHandovers(calls []call) (wrong []string) {
 	for n, c := range calls[1:] {
-		if before := calls[n]; c.machine != before.machine && c.at.Sub(before.at) < modelTTL {
-			wrong = append(wrong, fmt.Sprintf("%s calls with token %d %v after %s with %d", c.machine, c.token, c.at.Sub(before.at), before.machine, before.token))
+		if before := calls[n]; c.host != before.host && c.at.Sub(before.at) < modelTTL {
+			wrong = append(wrong, fmt.Sprintf("%s calls with token %d %v after %s with %d", c.host, c.token, c.at.Sub(before.at), before.host, before.token))
 		}
 	}
 	return wrong
 }
 
-// TestHistoriesOfHolders plays random courses of pauses, cuts, restarts, lost and late answers,
-// also with versions side by side, and checks what reached the platform: no token is used by
-// two machines or falls, the calls of two machines lie the life of a lease apart, no window
-// has two contents, no call is made without a lease that outlives it, and when all is quiet
-// again the duties are done. A course lasts 100 s of virtual time. Goroutines that wake at the
-// same moment do so in any order, so a seed need not give quite the same course again.
+// TestHistoriesOfHolders simulates random scenarios of pauses, partitions, restarts, lost responses
+// and delayed writes, some of them with two versions at the same time. It checks the calls that
+// reach the platform: no token is used by two hosts or decreases, the calls of two hosts are at
+// least the TTL of a lease apart, no usage window is reported with two different contents, and no
+// call is made without a lease that outlives it. In the quiet period the duties must be done again.
+// A scenario lasts 100 s of virtual time. Goroutines that wake at the same moment run in any
+// order, so a seed may not reproduce exactly the same calls.
 func TestHistoriesOfHolders(t *testing.T) {
 	t.Parallel()
-	checkHistories(t, drawCourse)
+	checkHistories(t, drawScenario)
 }
 
-// TestHistoriesOfHoldersThatStartTogether plays courses in which candidates start together, as
-// TestHistoriesOfHolders does. One that loses the duties may have taken the lease of former versions
-// under a higher token, and keep it.
+// TestHistoriesOfHoldersThatStartTogether is like TestHistoriesOfHolders for candidates that start
+// at the same moment. It guards against a candidate that fails to get the lease of the duties, but
+// has already acquired the legacy lease under a higher token, and keeps it.
 func TestHistoriesOfHoldersThatStartTogether(t *testing.T) {
 	t.Parallel()
-	checkHistories(t, drawStart)
+	checkHistories(t, drawStartScenario)
 }
 
-func checkHistories(t *testing.T, draw func(*rapid.T) course) {
-	courses, calls, grants, failed := 0, 0, 0, 0
+func checkHistories(t *testing.T, draw func(*rapid.T) scenario) {
+	scenarios, calls, grants, failed := 0, 0, 0, 0
 	t.Cleanup(func() {
-		t.Logf("%d courses, %d calls, %d grants of the lease; the first course that failed: %d", courses, calls, grants, failed)
+		t.Logf("%d scenarios, %d calls, %d grants of the lease; first failed scenario: %d", scenarios, calls, grants, failed)
 	})
 	rapid.Check(t, func(rt *rapid.T) {
 		c := draw(rt)
 		var w *world
-		synctest.Test(t, func(*testing.T) { w = play(c) })
-		courses++
+		synctest.Test(t, func(*testing.T) { w = simulate(c) })
+		scenarios++
 		calls += len(w.calls)
-		grants += int(w.holder(newShard).Token)
+		grants += int(w.holder(currentShard).Token)
 		wrong := w.check()
-		if len(w.calls) == 0 || w.calls[len(w.calls)-1].at.Before(w.begun.Add(played+calm-lately)) {
-			wrong = append(wrong, fmt.Sprintf("duties are not done in the end: %+v, %+v", w.holder(newShard), w.holder(formerShard)))
+		if len(w.calls) == 0 || w.calls[len(w.calls)-1].at.Before(w.startedAt.Add(faultPeriod+quietPeriod-maxIdleAtEnd)) {
+			wrong = append(wrong, fmt.Sprintf("duties are not done at the end: %+v, %+v", w.holder(currentShard), w.holder(legacyShard)))
 		}
 		if len(wrong) > 0 {
-			failed = cmp.Or(failed, courses)
-			rt.Fatalf("%d machines, %d former, %v:\n%s", c.machines, c.former, c.troubles, strings.Join(wrong, "\n"))
+			failed = cmp.Or(failed, scenarios)
+			rt.Fatalf("%d hosts, %d with the previous version, %v:\n%s", c.hosts, c.legacy, c.faults, strings.Join(wrong, "\n"))
 		}
 	})
 }
--- a/duty/model_test.go
+++ b/duty/model_test.go
@@ -28,62 +28,64 @@
 	"github.com/rockdoor/rockdoor/roles"
 )
 
-// The model plays some processes, a store and a platform in virtual time. Time passes only
-// while all wait, so a minute takes some tens of milliseconds.
+// The model simulates several processes, a store and a platform in virtual time. Time advances only
+// while all goroutines wait, so a minute takes some tens of milliseconds.
 
 const (
-	modelTTL    = 3 * time.Second
-	modelApart  = modelTTL + 500*time.Millisecond
-	modelWindow = 5 * time.Second
-	modelDue    = 10 * time.Second
-	// modelMargin is what a former version keeps from the end of its grant.
+	modelTTL           = 3 * time.Second
+	modelHandoverDelay = modelTTL + 500*time.Millisecond
+	modelWindow        = 5 * time.Second
+	modelDue           = 10 * time.Second
+	// modelMargin is the min remaining time of a grant under which the previous version sends a
+	// request.
 	modelMargin = 300 * time.Millisecond
-	// longestFlight bounds the way of a call to the platform.
-	longestFlight = 250 * time.Millisecond
-	// longestLate bounds how late the store carries out a write that it did not answer.
-	longestLate = 4 * time.Second
-	// fastest is how much faster the clock of one process runs than that of another.
-	fastest = 0.009
-	// modelDomains and modelEngines are what there is to be ordered.
+	// maxTransit is the max time in which a request reaches the platform.
+	maxTransit = 250 * time.Millisecond
+	// maxWriteDelay is the max delay of a write that the store carries out without a response.
+	maxWriteDelay = 4 * time.Second
+	// maxDrift is the max relative drift between the clocks of two processes.
+	maxDrift = 0.009
+	// modelDomains is the number of failure domains in which engines can be ordered. modelEngines
+	// is the number of engines whose roles can be changed.
 	modelDomains = 2
 	modelEngines = 6
 )
 
-// call is one that reached the platform.
+// call is a request that reached the platform.
 type call struct {
-	at      time.Time
-	machine string
-	token   int64
-	// subject is what the call is about: at one a time order counts.
+	at    time.Time
+	host  string
+	token int64
+	// subject is what the call changes. Tokens must not decrease among the calls of one subject.
 	subject string
-	// window and content are those of a report that was accepted.
+	// window and content are those of an accepted usage report.
 	window  int64
 	content string
 }
 
-// world is the store, the platform and all processes of one course.
+// world is the store, the platform and the state of all faults in one simulation.
 type world struct {
-	store *memstore.Store
-	begun time.Time
+	store     *memstore.Store
+	startedAt time.Time
 
 	mu    sync.Mutex
 	rng   *rand.Rand
 	calls []call
-	// unlawful are the calls without a lease that outlived them.
-	unlawful []string
-	roles    map[string]engine.Role
-	// faults are in force until a time; the store's are those of all processes.
+	// unauthorized describes the calls of processes that did not hold the lease at the time.
+	unauthorized []string
+	roles        map[string]engine.Role
+	// faults maps each active fault to the time at which it ends.
 	faults map[effect]time.Time
 }
 
-// effect is what a fault does to a process, or to all if machine is empty.
+// effect identifies a fault of one host, or of all hosts if host is empty.
 type effect struct {
-	kind    kind
-	machine string
+	kind faultKind
+	host string
 }
 
 func newWorld(seed uint64) *world {
-	w := &world{store: memstore.New(), begun: time.Now(), rng: rand.New(rand.NewPCG(seed, 1)), roles: map[string]engine.Role{}, faults: map[effect]time.Time{}}
+	w := &world{store: memstore.New(), startedAt: time.Now(), rng: rand.New(rand.NewPCG(seed, 1)), roles: map[string]engine.Role{}, faults: map[effect]time.Time{}}
 	for n := range modelEngines {
 		w.roles[fmt.Sprint("e", n)] = engine.RoleMixed
 	}
@@ -91,22 +93,23 @@
 	return w
 }
 
-func (w *world) between(low, high time.Duration) time.Duration {
+func (w *world) randomBetween(low, high time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return low + time.Duration(w.rng.Int64N(int64(high-low)))
 }
 
-// is reports whether a fault is in force.
-func (w *world) is(k kind, machine string) bool {
+// active reports whether a fault is active.
+func (w *world) active(k faultKind, host string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return time.Now().Before(w.faults[effect{k, machine}])
+	return time.Now().Before(w.faults[effect{k, host}])
 }
 
-// hit reports whether a fault strikes now, which it does three times in four.
-func (w *world) hit(k kind, machine string) bool {
-	if !w.is(k, machine) {
+// strikes reports whether a fault affects the current call. An active fault affects three calls in
+// four.
+func (w *world) strikes(k faultKind, host string) bool {
+	if !w.active(k, host) {
 		return false
 	}
 	w.mu.Lock()
@@ -120,7 +123,7 @@
 	w.faults[e] = time.Now().Add(length)
 }
 
-// holder returns what the store says of a lease.
+// holder returns the stored record of a lease.
 func (w *world) holder(shard string) lease.Record {
 	var rec lease.Record
 	obj, err := w.store.Get(context.Background(), lease.KeyPrefix+shard)
@@ -132,28 +135,28 @@
 
 // process is one run of a process.
 type process struct {
-	w       *world
-	machine string
-	run     string
-	// rate and ahead are those of its clock, skew how wrong its time of day is.
-	rate  float64
-	ahead time.Duration
-	skew  time.Duration
-	begun time.Time
-	stop  context.CancelFunc
-	ended sync.WaitGroup
+	world *world
+	host  string
+	run   string
+	// clockRate and clockOffset describe its boot-time clock, wallClockSkew its wall clock.
+	clockRate     float64
+	clockOffset   time.Duration
+	wallClockSkew time.Duration
+	startedAt     time.Time
+	stop          context.CancelFunc
+	done          sync.WaitGroup
 
 	mu sync.Mutex
-	// paused is until when it is paused; a dead one's calls reach nobody.
-	paused time.Time
-	dead   bool
+	// pausedUntil is the end of the current pause. The calls of a dead process reach nobody.
+	pausedUntil time.Time
+	dead        bool
 }
 
-// newProcess returns one that has to be started.
-func newProcess(w *world, machine, run string) *process {
+// newProcess returns a process that is not started yet.
+func newProcess(w *world, host, run string) *process {
 	return &process{
-		w: w, machine: machine, run: run, begun: time.Now(), skew: w.between(0, 200*time.Millisecond),
-		ahead: w.between(time.Second, time.Hour), rate: 1 + fastest*float64(w.between(0, time.Second))/float64(time.Second),
+		world: w, host: host, run: run, startedAt: time.Now(), wallClockSkew: w.randomBetween(0, 200*time.Millisecond),
+		clockOffset: w.randomBetween(time.Second, time.Hour), clockRate: 1 + maxDrift*float64(w.randomBetween(0, time.Second))/float64(time.Second),
 	}
 }
 
@@ -161,22 +164,23 @@
 func (p *process) start(duties func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	p.stop = cancel
-	p.ended.Add(1)
+	p.done.Add(1)
 	go func() {
-		defer p.ended.Done()
+		defer p.done.Done()
 		duties(ctx)
 	}()
 }
 
 func (p *process) now() bootclock.Instant {
-	return bootclock.Instant(p.ahead).Add(time.Duration(p.rate * float64(time.Since(p.begun))))
+	return bootclock.Instant(p.clockOffset).Add(time.Duration(p.clockRate * float64(time.Since(p.startedAt))))
 }
 
-// gate is passed where the process may be paused.
-func (p *process) gate() (alive bool) {
+// waitWhilePaused blocks while the process is paused, and returns false if it is dead. It is called
+// wherever a pause may take effect.
+func (p *process) waitWhilePaused() (alive bool) {
 	for {
 		p.mu.Lock()
-		left, dead := time.Until(p.paused), p.dead
+		left, dead := time.Until(p.pausedUntil), p.dead
 		p.mu.Unlock()
 		if dead || left <= 0 {
 			return !dead
@@ -188,10 +192,10 @@
 func (p *process) pause(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.paused = time.Now().Add(d)
+	p.pausedUntil = time.Now().Add(d)
 }
 
-// kill ends the process without a word.
+// kill ends the process without releasing its leases.
 func (p *process) kill() {
 	p.mu.Lock()
 	p.dead = true
@@ -199,17 +203,17 @@
 	p.stop()
 }
 
-// newest runs all duties of this version.
-func (p *process) newest(ctx context.Context) {
-	member := members.Member{Name: p.machine, Incarnation: p.run}
+// runCurrentVersion runs all duties of this version.
+func (p *process) runCurrentVersion(ctx context.Context) {
+	member := members.Member{Name: p.host, Incarnation: p.run}
 	a := duty.New(duty.Options{
-		Store: link{p.w.store, p}, Self: member, TTL: modelTTL, Apart: modelApart, View: p.view,
+		Store: storeLink{p.world.store, p}, Self: member, TTL: modelTTL, Apart: modelHandoverDelay, View: p.view,
 		Heard: func() []string { return nil }, Now: p.now, Logger: log.NewNopLogger(),
 	})
-	now := func() time.Time { return time.Now().Add(p.skew) }
-	ledger := usage.NewLedger(usage.Source{Process: p.machine, Incarnation: p.run}, modelWindow, now)
+	now := func() time.Time { return time.Now().Add(p.wallClockSkew) }
+	ledger := usage.NewLedger(usage.Source{Process: p.host, Incarnation: p.run}, modelWindow, now)
 	reporter := usage.NewReporter(usage.ReporterOptions{
-		Store: link{p.w.store, p}, Prefix: "usage/", Writer: p.run, Authority: a, Biller: p, Ledger: ledger, Due: modelDue,
+		Store: storeLink{p.world.store, p}, Prefix: "usage/", Writer: p.run, Authority: a, Biller: p, Ledger: ledger, Due: modelDue,
 		Collect: func(context.Context, int64) bool { return true }, Metrics: metrics.NewRegistry(), Logger: log.NewNopLogger(),
 	})
 	s := scaler.New(scaler.Options{Authority: a, Orderer: p, View: p.view, Metrics: metrics.NewRegistry(), Logger: log.NewNopLogger()})
@@ -220,46 +224,46 @@
 	count := func(ctx context.Context) {
 		for ctx.Err() == nil {
 			ledger.Began("w")
-			time.Sleep(p.w.between(50*time.Millisecond, time.Second))
+			time.Sleep(p.world.randomBetween(50*time.Millisecond, time.Second))
 		}
 	}
 	a.Run(ctx, reporter.Run, s.Run, k.Run, count)
 }
 
-// former does the duty of the version before, under the lease that it had.
-func (p *process) former(ctx context.Context) {
+// runLegacyVersion runs the duty of the previous version under the legacy lease.
+func (p *process) runLegacyVersion(ctx context.Context) {
 	l := lease.New(lease.Options{
-		Store: link{p.w.store, p}, Shard: formerShard, Holder: p.machine, Incarnation: p.run, TTL: modelTTL, Now: p.now, Logger: log.NewNopLogger(),
+		Store: storeLink{p.world.store, p}, Shard: legacyShard, Holder: p.host, Incarnation: p.run, TTL: modelTTL, Now: p.now, Logger: log.NewNopLogger(),
 	})
 	var token int64
 	var since, stepped bootclock.Instant
-	for ctx.Err() == nil && p.gate() {
+	for ctx.Err() == nil && p.waitWhilePaused() {
 		if p.now().Sub(stepped) > modelTTL/3 {
 			stepped = p.now()
 			sctx, cancel := context.WithTimeout(ctx, time.Second)
-			_ = l.Step(sctx) // a failure shows in the grant
+			_ = l.Step(sctx) // the grant shows whether it failed
 			cancel()
 		}
 		g, held := l.Grant()
 		if held && g.Token != token {
 			token, since = g.Token, p.now()
 		}
-		if held && p.now().Sub(since) >= modelApart && p.gate() && g.Valid(modelMargin) {
-			p.send(formerShard, call{token: g.Token, subject: "role e1"})
+		if held && p.now().Sub(since) >= modelHandoverDelay && p.waitWhilePaused() && g.Valid(modelMargin) {
+			p.send(legacyShard, call{token: g.Token, subject: "role e1"})
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
 	sctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = l.Release(sctx) // it ends by itself
+	_ = l.Release(sctx) // if it fails, the lease expires
 }
 
-// view is a fleet whose engines change their number and their load every few seconds.
+// view returns a fleet in which the number of engines changes every few seconds.
 func (p *process) view() *fleet.View {
-	p.gate()
+	p.waitWhilePaused()
 	phase := int(time.Now().Unix() / 7)
 	prices := map[string]float64{}
-	v := &fleet.View{Scheduling: !p.w.is(demoted, p.machine), Listed: true, StoreUp: true, Instances: map[string]*fleet.Instance{}}
+	v := &fleet.View{Scheduling: !p.world.active(demoted, p.host), Listed: true, StoreUp: true, Instances: map[string]*fleet.Instance{}}
 	for n := range modelDomains {
 		domain := fmt.Sprint("d", n)
 		prices[domain] = 1
@@ -268,11 +272,11 @@
 			v.Instances[id] = &fleet.Instance{ID: id, Service: "plain", Domain: domain, Spot: m > 0}
 		}
 	}
-	p.w.mu.Lock()
-	for id, role := range p.w.roles {
+	p.world.mu.Lock()
+	for id, role := range p.world.roles {
 		v.Instances[id] = &fleet.Instance{ID: id, Service: "model", Address: id, Domain: "a", Slots: 4, Role: role}
 	}
-	p.w.mu.Unlock()
+	p.world.mu.Unlock()
 	v.Config = &fleet.Config{Services: map[string]fleet.Service{
 		"plain": {Name: "plain", Scaling: &fleet.Scaling{Least: 1, Most: 6, Startup: time.Second, SpotPrice: 0.2, Prices: prices}},
 		"model": {Name: "model", KVCapacity: 1, RoleChange: 50 * time.Millisecond},
@@ -281,7 +285,7 @@
 	return v
 }
 
-// load alternates between prompts that wait and answers that run.
+// load alternates between waiting prompts and running requests.
 func (p *process) load(id string) placement.Load {
 	var l placement.Load
 	if time.Now().Unix()/9%2 == 0 {
@@ -292,45 +296,45 @@
 	return l
 }
 
-// send has a call reach the platform some time later.
+// send records that a call reaches the platform after a random transit time.
 func (p *process) send(shard string, c call) {
-	rec := p.w.holder(shard)
-	c.machine = p.machine
-	if rec.Holder != p.machine || rec.Incarnation != p.run || rec.Token != c.token || rec.Released {
-		p.w.mu.Lock()
-		p.w.unlawful = append(p.w.unlawful, fmt.Sprintf("%s calls with token %d while the lease is %s's with %d", p.run, c.token, rec.Incarnation, rec.Token))
-		p.w.mu.Unlock()
+	rec := p.world.holder(shard)
+	c.host = p.host
+	if rec.Holder != p.host || rec.Incarnation != p.run || rec.Token != c.token || rec.Released {
+		p.world.mu.Lock()
+		p.world.unauthorized = append(p.world.unauthorized, fmt.Sprintf("%s calls with token %d while the lease is %s's with %d", p.run, c.token, rec.Incarnation, rec.Token))
+		p.world.mu.Unlock()
 	}
-	flight := p.w.between(time.Millisecond, longestFlight)
+	transit := p.world.randomBetween(time.Millisecond, maxTransit)
 	go func() {
-		time.Sleep(flight)
-		p.w.mu.Lock()
-		defer p.w.mu.Unlock()
+		time.Sleep(transit)
+		p.world.mu.Lock()
+		defer p.world.mu.Unlock()
 		c.at = time.Now()
-		p.w.calls = append(p.w.calls, c)
+		p.world.calls = append(p.world.calls, c)
 	}()
 }
 
-// post is the way of a call to the platform, and of its answer.
+// post simulates a call to the platform and its response.
 func (p *process) post(ctx context.Context, shard string, check func() error, c call) error {
-	if !p.gate() || p.w.hit(cutPlatform, p.machine) {
+	if !p.waitWhilePaused() || p.world.strikes(platformPartition, p.host) {
 		<-ctx.Done()
 		return fault.New(fault.Unavailable, "platform is cut off", "wait")
 	}
 	if err := check(); err != nil {
 		return err
 	}
-	refused := p.w.hit(platformDown, "")
+	refused := p.world.strikes(platformDown, "")
 	if refused {
 		c.content = ""
 	}
 	p.send(shard, c)
-	if p.w.hit(platformLost, "") {
+	if p.world.strikes(platformLosesResponses, "") {
 		<-ctx.Done()
 		return fault.New(fault.Unknown, "no answer", "wait")
 	}
-	time.Sleep(longestFlight + p.w.between(time.Millisecond, 100*time.Millisecond))
-	p.gate()
+	time.Sleep(maxTransit + p.world.randomBetween(time.Millisecond, 100*time.Millisecond))
+	p.waitWhilePaused()
 	if refused {
 		return fault.New(fault.Unavailable, "platform is down", "wait")
 	}
@@ -339,92 +343,93 @@
 
 // ReportUsage implements usage.Biller.
 func (p *process) ReportUsage(ctx context.Context, g duty.Grant, r usage.Report) error {
-	return p.post(ctx, newShard, g.Check, call{token: g.Token, subject: "usage", window: r.Window, content: fmt.Sprint("counts ", r.Counts)})
+	return p.post(ctx, currentShard, g.Check, call{token: g.Token, subject: "usage", window: r.Window, content: fmt.Sprint("counts ", r.Counts)})
 }
 
 // Order implements capacity.Orderer.
 func (p *process) Order(ctx context.Context, g duty.Grant, o capacity.Order) error {
-	return p.post(ctx, newShard, g.Check, call{token: g.Token, subject: fmt.Sprint("scale ", o.Domain, o.Spot)})
+	return p.post(ctx, currentShard, g.Check, call{token: g.Token, subject: fmt.Sprint("scale ", o.Domain, o.Spot)})
 }
 
-// engines are the engines as a process reaches them.
+// engines is the access of a process to the engines.
 type engines struct{ *process }
 
 // Report implements engine.Keeper.
 func (e engines) Report(_ context.Context, address string) (engine.Report, error) {
-	if !e.gate() {
+	if !e.waitWhilePaused() {
 		return engine.Report{}, fault.New(fault.Unavailable, "process is dead", "wait")
 	}
-	time.Sleep(e.w.between(time.Millisecond, 50*time.Millisecond))
-	e.w.mu.Lock()
-	defer e.w.mu.Unlock()
-	return engine.Report{Role: e.w.roles[address]}, nil
+	time.Sleep(e.world.randomBetween(time.Millisecond, 50*time.Millisecond))
+	e.world.mu.Lock()
+	defer e.world.mu.Unlock()
+	return engine.Report{Role: e.world.roles[address]}, nil
 }
 
 // Order implements engine.Keeper.
 func (e engines) Order(ctx context.Context, address string, o engine.RoleOrder) error {
-	err := e.post(ctx, newShard, o.Check, call{token: o.Token, subject: "role " + address})
+	err := e.post(ctx, currentShard, o.Check, call{token: o.Token, subject: "role " + address})
 	if err == nil {
-		e.w.mu.Lock()
-		defer e.w.mu.Unlock()
-		e.w.roles[address] = o.Role
+		e.world.mu.Lock()
+		defer e.world.mu.Unlock()
+		e.world.roles[address] = o.Role
 	}
 	return err
 }
 
-// link is the store as a process reaches it.
-type link struct {
+// storeLink is the access of a process to the store.
+type storeLink struct {
 	objstore.Store
-	p *process
+	process *process
 }
 
 // Get implements objstore.Store.
-func (l link) Get(ctx context.Context, key string) (objstore.Object, error) {
-	if !l.there(ctx) {
+func (l storeLink) Get(ctx context.Context, key string) (objstore.Object, error) {
+	if !l.request(ctx) {
 		return objstore.Object{}, fault.New(fault.Unavailable, "store is cut off", "wait")
 	}
 	obj, err := l.Store.Get(ctx, key)
-	l.back()
+	l.response()
 	return obj, err
 }
 
 // Put implements objstore.Store.
-func (l link) Put(ctx context.Context, key string, value []byte, ifVersion objstore.Version, writeID string) (objstore.Object, error) {
-	if !l.there(ctx) {
+func (l storeLink) Put(ctx context.Context, key string, value []byte, ifVersion objstore.Version, writeID string) (objstore.Object, error) {
+	if !l.request(ctx) {
 		return objstore.Object{}, fault.New(fault.Unavailable, "store is cut off", "wait")
 	}
-	if l.p.w.hit(storeLate, "") {
-		late := l.p.w.between(0, longestLate)
+	if l.process.world.strikes(storeLateWrites, "") {
+		late := l.process.world.randomBetween(0, maxWriteDelay)
 		go func() {
 			time.Sleep(late)
-			_, _ = l.Store.Put(context.Background(), key, value, ifVersion, writeID) // nobody hears of it
+			_, _ = l.Store.Put(context.Background(), key, value, ifVersion, writeID) // the process does not learn the result
 		}()
 		return objstore.Object{}, fault.New(fault.Unknown, "no answer", "read it back")
 	}
 	obj, err := l.Store.Put(ctx, key, value, ifVersion, writeID)
-	l.back()
-	if l.p.w.hit(storeLost, "") {
+	l.response()
+	if l.process.world.strikes(storeLosesResponses, "") {
 		return objstore.Object{}, fault.New(fault.Unknown, "no answer", "read it back")
 	}
 	return obj, err
 }
 
-// there reports whether a call reaches the store.
-func (l link) there(ctx context.Context) bool {
-	if !l.p.gate() || l.p.w.hit(cutStore, l.p.machine) {
+// request simulates the transit of a request. It returns false if the request does not reach the
+// store.
+func (l storeLink) request(ctx context.Context) bool {
+	if !l.process.waitWhilePaused() || l.process.world.strikes(storePartition, l.process.host) {
 		<-ctx.Done()
 		return false
 	}
 	slowest := 10 * time.Millisecond
-	if l.p.w.hit(storeSlow, "") {
+	if l.process.world.strikes(storeSlow, "") {
 		slowest = 700 * time.Millisecond
 	}
-	time.Sleep(l.p.w.between(time.Millisecond, slowest))
-	return l.p.gate()
+	time.Sleep(l.process.world.randomBetween(time.Millisecond, slowest))
+	return l.process.waitWhilePaused()
 }
 
-// back is the way of an answer.
-func (l link) back() {
-	time.Sleep(l.p.w.between(time.Millisecond, 5*time.Millisecond))
-	l.p.gate()
+// response simulates the transit of a response.
+func (l storeLink) response() {
+	time.Sleep(l.process.world.randomBetween(time.Millisecond, 5*time.Millisecond))
+	l.process.waitWhilePaused()
 }
--- a/duty/upgrade_test.go
+++ b/duty/upgrade_test.go
@@ -13,16 +13,17 @@
 	"github.com/rockdoor/rockdoor/platform"
 )
 
-// formerShard is the lease under which versions before gave orders.
-const formerShard = "roles"
+// legacyShard is the name of the lease of previous versions.
+const legacyShard = "roles"
 
-// former is a process of a version that wants only the former lease.
-func former(t *testing.T, address, name string) *lease.Lessee {
+// legacyLessee returns the lessee of a process of a previous version, which competes only for the
+// legacy lease.
+func legacyLessee(t *testing.T, address, name string) *lease.Lessee {
 	t.Helper()
 	store := platform.NewStore(address)
 	t.Cleanup(store.Close)
 	return lease.New(lease.Options{
-		Store: store, Prefix: platform.LeasePrefix, Shard: formerShard, Holder: name, Incarnation: name, TTL: testTTL, Logger: log.NewNopLogger(),
+		Store: store, Prefix: platform.LeasePrefix, Shard: legacyShard, Holder: name, Incarnation: name, TTL: testTTL, Logger: log.NewNopLogger(),
 	})
 }
 
@@ -35,53 +36,53 @@
 	return g
 }
 
-// TestUpgradeKeepsOneHolder has a process of the version before hold its lease, under the
-// name that it has there, while a new one starts: the new one acts only when the old one has
-// ended and its calls are over, under a higher token, and no old one gets its lease meanwhile.
-// When the new one has stopped, an old one goes on under a token that is higher again.
+// TestUpgradeKeepsOneHolder starts a process of this version while one of the previous version holds
+// the legacy lease. The new process acts only after the old one has released the lease and the
+// handover delay has passed, under a higher token, and no old process acquires the lease meanwhile.
+// When the new process has stopped, an old one acquires the lease under a still higher token.
 func TestUpgradeKeepsOneHolder(t *testing.T) {
 	_, address := newStore(t)
-	old := former(t, address, "old")
-	for range 3 { // three holders in a row: the token is 3
+	old := legacyLessee(t, address, "old")
+	for range 3 { // the token is 3 after three holders
 		step(t, old)
 		require.NoError(t, old.Release(context.Background()))
 	}
 	oldToken := step(t, old).Token
 
-	next, stopNext := holder(t, address, "new")
-	for end := time.Now().Add(testTTL + testApart); time.Now().Before(end); time.Sleep(testTTL / 3) {
+	next, stopNext := runAuthority(t, address, "new")
+	for end := time.Now().Add(testTTL + testHandoverDelay); time.Now().Before(end); time.Sleep(testTTL / 3) {
 		require.Equal(t, oldToken, step(t, old).Token)
-		require.False(t, acts(next)(), "two holders at once")
+		require.False(t, mayAct(next)(), "two holders at once")
 	}
 	require.NoError(t, old.Release(context.Background()))
 	released := time.Now()
-	require.Eventually(t, acts(next), 3*testApart, time.Millisecond)
-	require.GreaterOrEqual(t, time.Since(released), testApart)
+	require.Eventually(t, mayAct(next), 3*testHandoverDelay, time.Millisecond)
+	require.GreaterOrEqual(t, time.Since(released), testHandoverDelay)
 	g, _ := next.Grant()
 	require.Greater(t, g.Token, oldToken)
 
-	other := former(t, address, "other")
+	other := legacyLessee(t, address, "other")
 	for end := time.Now().Add(3 * testTTL); time.Now().Before(end); time.Sleep(testTTL / 3) {
 		step(t, other)
 		_, held := other.Grant()
 		require.False(t, held, "two holders at once")
 	}
-	require.True(t, acts(next)())
+	require.True(t, mayAct(next)())
 	g, _ = next.Grant()
 	stopNext()
 	back := step(t, other)
 	require.Greater(t, back.Token, g.Token)
 }
 
-// TestSuccessorTakesTheFormerLeaseAtOnce has a new process end without a word: the next new
-// one need not wait for the former lease, which is held for long.
-func TestSuccessorTakesTheFormerLeaseAtOnce(t *testing.T) {
+// TestSuccessorTakesLegacyLeaseAtOnce has a process of this version end without releasing its
+// leases. Its successor of this version must not wait for the legacy lease, which has a long TTL.
+func TestSuccessorTakesLegacyLeaseAtOnce(t *testing.T) {
 	fake, address := newStore(t)
-	first, stopFirst := holder(t, address, "a")
-	require.Eventually(t, acts(first), soon, time.Millisecond)
+	first, stopFirst := runAuthority(t, address, "a")
+	require.Eventually(t, mayAct(first), soon, time.Millisecond)
 	fake.SetFaults(fleetstore.Faults{Down: true})
 	stopFirst()
 	fake.SetFaults(fleetstore.Faults{})
-	next, _ := holder(t, address, "b")
-	require.Eventually(t, acts(next), 2*(testTTL+testApart), time.Millisecond)
+	next, _ := runAuthority(t, address, "b")
+	require.Eventually(t, mayAct(next), 2*(testTTL+testHandoverDelay), time.Millisecond)
 }
