--- a/orders/giver.go
+++ b/orders/giver.go
@@ -15,24 +15,25 @@
 )
 
 const (
-	// FlightTime bounds how long bytes that were handed to the kernel may still
-	// be on their way: the kernel gives the connection up after it.
-	FlightTime = 500 * time.Millisecond
-	// writeMargin is how long before the end of a grant the last write may be.
-	writeMargin = FlightTime + 100*time.Millisecond
-	giveTimeout = 3 * time.Second
+	// MaxInFlightTime is how long bytes that were passed to the kernel may remain in flight. If
+	// they are not acknowledged by then, the kernel drops the connection.
+	MaxInFlightTime = 500 * time.Millisecond
+	// writeMargin is the min remaining time of a grant for a write under it.
+	writeMargin = MaxInFlightTime + 100*time.Millisecond
+	sendTimeout = 3 * time.Second
 )
 
-// GuardedGiver gives orders over HTTP. Each order has a connection of its own,
-// whose writes happen under the kernel deadline guard, whose unacknowledged
-// bytes are given up after FlightTime, and which is reset when it is closed.
+// GuardedGiver sends orders over HTTP. Each order has a connection of its own.
+// Package guard ensures that no write happens after the end of the grant. The
+// kernel drops the connection if bytes are not acknowledged within
+// MaxInFlightTime, and closing the connection resets it.
 type GuardedGiver struct{}
 
 var _ Giver = GuardedGiver{}
 
 // Give implements Giver.
 func (GuardedGiver) Give(ctx context.Context, g lease.Grant, address string, o engine.Order) error {
-	ctx, cancel := context.WithTimeout(ctx, giveTimeout)
+	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	tr := &http.Transport{
 		DisableKeepAlives: true,
@@ -44,7 +45,7 @@
 	return httpcontrol.New(tr).Give(ctx, address, o)
 }
 
-// guardedConn writes only under the guard.
+// guardedConn is a connection whose writes fail after the end of the grant.
 type guardedConn struct {
 	net.Conn
 	grant lease.Grant
@@ -56,16 +57,16 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := boundFlight(conn.(*net.TCPConn)); err != nil {
+	if err := limitInFlight(conn.(*net.TCPConn)); err != nil {
 		conn.Close()
 		return nil, err
 	}
 	return &guardedConn{Conn: conn, grant: g}, nil
 }
 
-// boundFlight makes the kernel drop what is not acknowledged within FlightTime,
-// and what is unsent when the connection is closed.
-func boundFlight(c *net.TCPConn) error {
+// limitInFlight makes the kernel drop the connection if bytes are not acknowledged
+// within MaxInFlightTime, and discard unsent bytes when the connection is closed.
+func limitInFlight(c *net.TCPConn) error {
 	if err := c.SetLinger(0); err != nil {
 		return err
 	}
@@ -73,18 +74,18 @@
 	if err != nil {
 		return err
 	}
-	var serr error
+	var sockErr error
 	err = raw.Control(func(fd uintptr) {
-		serr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(FlightTime.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(MaxInFlightTime.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return serr
+	return sockErr
 }
 
-// Write hands an order to the kernel if the grant still holds. An order is far
-// smaller than an empty send buffer, so the write does not block.
+// Write passes an order to the kernel if the grant is still valid. The write does
+// not block, since an order is much smaller than the empty send buffer.
 func (c *guardedConn) Write(p []byte) (n int, err error) {
 	err = guard.Do(c.grant.Until, writeMargin, func() error {
 		n, err = c.Conn.Write(p)
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -1,10 +1,10 @@
-// Package orders gives orders to engines so that each takes effect at most
-// once, one at a time per engine, and so that an order whose giver died at any
-// step is finished or undone by the successor.
+// Package orders sends orders to engines. Each order takes effect at most once,
+// and each engine has at most one open order. If the sender fails at any step,
+// its successor completes or reverts the order.
 //
-// The record of an order is written to the object API before the order is given
-// and after each step. What really happened is read from the engine's own
-// status; the record only says what to look for.
+// The record of an order is written to the object store before the order is sent
+// and after each step. The engine's own status is authoritative for what has
+// happened; the record only says what to check.
 package orders
 
 import (
@@ -24,8 +24,8 @@
 	"github.com/rockdoor/rockdoor/statechart"
 )
 
-// KeyPrefix is where records are kept, one for each engine. It is mirrored, so
-// that every process stops sending to an engine that is about to change.
+// KeyPrefix is the key prefix of the records, one for each engine. It is mirrored, so
+// that every process stops sending requests to an engine that is about to change.
 const KeyPrefix = "state/orders/"
 
 // Record is the last order to one engine.
@@ -34,14 +34,14 @@
 	Order  engine.Order     `json:"order"`
 	From   engine.Role      `json:"from"`
 	State  statechart.State `json:"state"`
-	// Reason says why the order was given or how it ended.
+	// Reason says why the order was sent or how it ended.
 	Reason string    `json:"reason"`
 	Holder string    `json:"holder"`
 	Since  time.Time `json:"since"`
 }
 
-// Open reports whether the order has not ended, so that the engine takes no
-// new requests.
+// Open reports whether the order is still in progress. The engine then accepts no new
+// requests.
 func (r Record) Open() bool {
 	return r.State != "" && r.State != charts.OrderDone && r.State != charts.OrderFailed
 }
@@ -55,20 +55,21 @@
 	return r, nil
 }
 
-// Giver gives orders under a grant. Implementations must make a late write
-// impossible: no byte of the order may leave the process, or stay on its way,
-// after the grant has ended.
+// Giver sends orders under a grant. Implementations must make a late write
+// impossible: after the grant has ended, no byte of the order may leave the process
+// or remain in flight.
 type Giver interface {
 	Give(ctx context.Context, g lease.Grant, address string, o engine.Order) error
 }
 
-// Target is an engine to give orders to.
+// Target is an engine that receives orders.
 type Target struct {
 	Name    string
 	Address string
-	// Fencing engines refuse an order with an old token.
+	// Fencing is true if the engine rejects orders with an old fencing token.
 	Fencing bool
-	// ChangeTimeout bounds a change and a restoration; 0 takes the chart's bound.
+	// ChangeTimeout limits a role change and its reversal. If it is 0, the timeout of the state
+	// chart applies.
 	ChangeTimeout time.Duration
 }
 
@@ -77,19 +78,19 @@
 	Store   objstore.Store
 	Engines engine.Controller
 	Giver   Giver
-	// Grant returns the authority in force.
+	// Grant returns the current grant, and false if it is not valid.
 	Grant  func() (lease.Grant, bool)
 	Holder string
-	// Drained reports whether no request of any process can be at the engine any
-	// more, given when its record was written.
+	// Drained reports whether no process can have a request at the engine any more. The record
+	// was written at time since, as version written.
 	Drained func(ctx context.Context, t Target, since time.Time, written objstore.Version) bool
 	Logger  log.Logger
-	// Poll is how often the state of an engine is looked at.
+	// Poll is the interval at which the status of an engine is polled.
 	Poll time.Duration
 }
 
-// Executor runs orders. It is safe for concurrent use, also for several engines at
-// once; the record keeps orders to one engine apart.
+// Executor executes orders. It is safe for concurrent use, also for several engines. The
+// record of an engine prevents two open orders to it.
 type Executor struct {
 	o      Options
 	logger log.Logger
@@ -100,58 +101,58 @@
 	return &Executor{o: o, logger: log.With(o.Logger, "component", "orders")}
 }
 
-// ErrNoGrant means that this process has no authority (any more).
+// ErrNoGrant means that this process does not, or does no longer, hold the lease.
 var ErrNoGrant = fault.New(fault.Denied, "this process holds no lease for the engine's pool", "the holder carries on")
 
-// run is the work on one order.
-type run struct {
-	e       *Executor
-	t       Target
-	rec     Record
-	version objstore.Version
-	chart   *statechart.Instance
-	// entered is when the present state was entered, by this process's clock.
-	entered time.Time
-	// moved is true if the last step needs another one at once.
-	moved bool
-	// asked is true once the engine has been asked to go back in the present state.
-	asked bool
+// orderRun is the execution of one order.
+type orderRun struct {
+	executor *Executor
+	target   Target
+	record   Record
+	version  objstore.Version
+	chart    *statechart.Instance
+	// enteredAt is when the current state was entered, on this process's clock.
+	enteredAt time.Time
+	// transitioned is true if the next step must follow without a delay.
+	transitioned bool
+	// resetSent is true if a reset has been sent to the engine in the current state.
+	resetSent bool
 }
 
-// ChangeRole brings an engine to a role. It returns when the order has ended or
-// this process may not go on; the record then tells where it stands.
+// ChangeRole changes the role of an engine. It returns when the order has ended or
+// this process must not continue. The record then has the state of the order.
 func (e *Executor) ChangeRole(ctx context.Context, t Target, from, to engine.Role, reason string) error {
 	g, ok := e.o.Grant()
 	if !ok {
 		return ErrNoGrant
 	}
-	obj, err := e.read(ctx, t.Name)
+	obj, err := e.readRecord(ctx, t.Name)
 	if err != nil {
 		return err
 	}
 	if old, err := ParseRecord(obj); obj.Version != 0 && (err != nil || old.Open()) {
-		return fault.Newf(fault.Conflict, "recover the order before first", "engine %s has an open order", t.Name)
+		return fault.Newf(fault.Conflict, "recover the open order first", "engine %s has an open order", t.Name)
 	}
-	r := &run{e: e, t: t, version: obj.Version, chart: charts.Order.Start(), entered: time.Now()}
-	r.rec = Record{
+	r := &orderRun{executor: e, target: t, version: obj.Version, chart: charts.Order.Start(), enteredAt: time.Now()}
+	r.record = Record{
 		Engine: t.Name, From: from, Reason: reason, Holder: e.o.Holder,
 		Order: engine.Order{ID: ulid.Make().String(), Token: g.Token, Kind: engine.OrderRole, Role: to},
 	}
 	if err := r.save(ctx); err != nil {
 		return err
 	}
-	level.Info(e.logger).Log("msg", "decision", "kind", "role", "engine", t.Name, "from", from, "to", to, "order", r.rec.Order.ID, "token", g.Token, "reason", reason)
+	level.Info(e.logger).Log("msg", "decision", "kind", "role", "engine", t.Name, "from", from, "to", to, "order", r.record.Order.ID, "token", g.Token, "reason", reason)
 	return r.drive(ctx)
 }
 
-// Recover goes on with the last order to an engine if it has not ended. It
-// returns true if there was something to do.
+// Recover continues the last order to an engine if it is still open. It returns
+// true if it was.
 func (e *Executor) Recover(ctx context.Context, t Target) (bool, error) {
 	g, ok := e.o.Grant()
 	if !ok {
 		return false, ErrNoGrant
 	}
-	obj, err := e.read(ctx, t.Name)
+	obj, err := e.readRecord(ctx, t.Name)
 	if err != nil || obj.Version == 0 {
 		return false, err
 	}
@@ -159,21 +160,21 @@
 	if err != nil || !rec.Open() {
 		return false, err
 	}
-	r := &run{e: e, t: t, rec: rec, version: obj.Version, chart: charts.Order.Resume(rec.State), entered: time.Now()}
+	r := &orderRun{executor: e, target: t, record: rec, version: obj.Version, chart: charts.Order.Resume(rec.State), enteredAt: time.Now()}
 	if rec.State == charts.OrderStuck {
-		r.entered = rec.Since // this process gives up in this state, and comes back in its next round
+		r.enteredAt = rec.Since // the timeout continues across rounds, as each round returns in this state
 	}
 	if rec.Order.Token != g.Token {
 		level.Info(e.logger).Log("msg", "order taken over", "engine", t.Name, "order", rec.Order.ID, "state", rec.State, "from_token", rec.Order.Token, "token", g.Token)
-		if err := r.takeOver(ctx, g); err != nil {
+		if err := r.adopt(ctx, g); err != nil {
 			return true, err
 		}
 	}
 	return true, r.drive(ctx)
 }
 
-// read returns the record's object, or the zero object.
-func (e *Executor) read(ctx context.Context, name string) (objstore.Object, error) {
+// readRecord returns the stored record of an engine, or the zero object if there is none.
+func (e *Executor) readRecord(ctx context.Context, name string) (objstore.Object, error) {
 	obj, err := e.o.Store.Get(ctx, KeyPrefix+name)
 	if fault.Is(err, fault.NotFound) {
 		return objstore.Object{}, nil
@@ -181,31 +182,31 @@
 	return obj, err
 }
 
-// takeOver makes an order of an earlier holder this process's own. At engines
-// that check tokens the first act is to raise the token, so that the earlier
-// order can no longer take effect.
-func (r *run) takeOver(ctx context.Context, g lease.Grant) error {
-	if r.t.Fencing {
+// adopt takes over an order of a previous holder. If the engine checks fencing
+// tokens, it first raises the engine's token, so that the previous holder's order
+// can no longer take effect.
+func (r *orderRun) adopt(ctx context.Context, g lease.Grant) error {
+	if r.target.Fencing {
 		fence := engine.Order{ID: ulid.Make().String(), Token: g.Token, Kind: engine.OrderFence}
-		if err := r.e.o.Giver.Give(ctx, g, r.t.Address, fence); err != nil && !fault.Is(err, fault.Unavailable) {
+		if err := r.executor.o.Giver.Give(ctx, g, r.target.Address, fence); err != nil && !fault.Is(err, fault.Unavailable) {
 			return err
 		}
 	}
-	r.rec.Order.Token = g.Token
-	r.rec.Holder = r.e.o.Holder
+	r.record.Order.Token = g.Token
+	r.record.Holder = r.executor.o.Holder
 	return r.fire(ctx, charts.Abandoned)
 }
 
-// drive moves the order on until it ends or this process may not go on.
-func (r *run) drive(ctx context.Context) error {
-	tick := time.NewTicker(r.e.o.Poll)
+// drive executes steps until the order has ended or this process must not continue.
+func (r *orderRun) drive(ctx context.Context) error {
+	tick := time.NewTicker(r.executor.o.Poll)
 	defer tick.Stop()
 	for !r.chart.Final() {
-		r.moved = false
+		r.transitioned = false
 		if err := r.step(ctx); err != nil {
 			return err
 		}
-		if r.moved {
+		if r.transitioned {
 			continue
 		}
 		if event, over := r.overdue(); over {
@@ -215,7 +216,7 @@
 			continue
 		}
 		if r.chart.State() == charts.OrderStuck {
-			return fault.Newf(fault.Unavailable, "look at the engine; it is tried again", "engine %s does not come back from an order", r.t.Name)
+			return fault.Newf(fault.Unavailable, "look at the engine; it is tried again", "engine %s is stuck after an order", r.target.Name)
 		}
 		select {
 		case <-ctx.Done():
@@ -226,125 +227,125 @@
 	return nil
 }
 
-// overdue reports whether the present state has lasted longer than it may, and the event that
-// is then due.
-func (r *run) overdue() (due statechart.Event, over bool) {
+// overdue reports whether the timeout of the current state has expired, and returns the event to
+// fire in that case.
+func (r *orderRun) overdue() (due statechart.Event, over bool) {
 	limit, event := r.chart.Timeout()
 	bound := limit.Std()
 	s := r.chart.State()
-	if r.t.ChangeTimeout > 0 && (s == charts.OrderChanging || s == charts.OrderRestoring) {
-		bound = r.t.ChangeTimeout
+	if r.target.ChangeTimeout > 0 && (s == charts.OrderChanging || s == charts.OrderRestoring) {
+		bound = r.target.ChangeTimeout
 	}
-	return event, event != "" && time.Since(r.entered) > bound
+	return event, event != "" && time.Since(r.enteredAt) > bound
 }
 
-func (r *run) step(ctx context.Context) error {
-	g, ok := r.e.o.Grant()
-	if !ok || g.Token != r.rec.Order.Token {
+func (r *orderRun) step(ctx context.Context) error {
+	g, ok := r.executor.o.Grant()
+	if !ok || g.Token != r.record.Order.Token {
 		return ErrNoGrant
 	}
 	switch r.chart.State() {
 	case charts.OrderDraining:
-		if r.e.o.Drained(ctx, r.t, r.rec.Since, r.version) {
+		if r.executor.o.Drained(ctx, r.target, r.record.Since, r.version) {
 			return r.fire(ctx, charts.Drained)
 		}
 	case charts.OrderIntended:
-		return r.give(ctx, g)
+		return r.send(ctx, g)
 	case charts.OrderChanging:
-		return r.look(ctx, charts.Reached, charts.Unchanged)
+		return r.checkChange(ctx, charts.Reached, charts.Unchanged)
 	case charts.OrderRestoring:
 		return r.restore(ctx, g)
 	}
 	return nil
 }
 
-// give sends the order. The record in state intended is in the store.
-func (r *run) give(ctx context.Context, g lease.Grant) error {
-	err := r.e.o.Giver.Give(ctx, g, r.t.Address, r.rec.Order)
+// send sends the order. Its record is in the store with state intended.
+func (r *orderRun) send(ctx context.Context, g lease.Grant) error {
+	err := r.executor.o.Giver.Give(ctx, g, r.target.Address, r.record.Order)
 	switch {
 	case err == nil:
 		return r.fire(ctx, charts.Taken)
 	case fault.Is(err, fault.Denied):
 		return ErrNoGrant
 	case fault.Is(err, fault.Unavailable), fault.Is(err, fault.Conflict):
-		r.rec.Reason = err.Error()
+		r.record.Reason = err.Error()
 		return r.fire(ctx, charts.NotTaken)
 	default:
 		return r.fire(ctx, charts.Lost)
 	}
 }
 
-// look reads the engine's status and fires reached or unchanged if it is not
-// changing. A single look is not enough for "unchanged": bytes of the order may
-// still be on their way to the engine, so the engine must look the same for the
-// whole settling time.
-func (r *run) look(ctx context.Context, reached, unchanged statechart.Event) error {
-	st, err := r.e.o.Engines.Status(ctx, r.t.Address)
+// checkChange polls the engine's status and fires reached or unchanged unless the
+// engine is changing. One poll is not enough for unchanged: bytes of the order may
+// still be in flight, so the engine must not change during the whole settleTime.
+func (r *orderRun) checkChange(ctx context.Context, reached, unchanged statechart.Event) error {
+	st, err := r.executor.o.Engines.Status(ctx, r.target.Address)
 	if err != nil || st.Changing {
 		return nil
 	}
-	if st.Role == r.rec.Order.Role {
+	if st.Role == r.record.Order.Role {
 		return r.fire(ctx, reached)
 	}
-	if time.Since(r.entered) < settleTime {
+	if time.Since(r.enteredAt) < settleTime {
 		return nil
 	}
-	r.rec.Reason = "engine did not change"
+	r.record.Reason = "engine did not change"
 	return r.fire(ctx, unchanged)
 }
 
-// settleTime bounds how long bytes of an order may stay on their way.
-const settleTime = 2 * FlightTime
+// settleTime is the max time for which bytes of an order may be in flight.
+const settleTime = 2 * MaxInFlightTime
 
-// restore asks a half-changed engine to go back and looks whether it did.
-func (r *run) restore(ctx context.Context, g lease.Grant) error {
-	st, err := r.e.o.Engines.Status(ctx, r.t.Address)
+// restore asks a half-changed engine to revert to its previous role, and checks whether it
+// has done so.
+func (r *orderRun) restore(ctx context.Context, g lease.Grant) error {
+	st, err := r.executor.o.Engines.Status(ctx, r.target.Address)
 	if err != nil {
 		return nil
 	}
 	switch {
-	case !st.Changing && st.Role == r.rec.Order.Role:
+	case !st.Changing && st.Role == r.record.Order.Role:
 		return r.fire(ctx, charts.Reached)
-	case !st.Changing && st.Role == r.rec.From:
-		r.rec.Reason = "restored after a half-done change"
+	case !st.Changing && st.Role == r.record.From:
+		r.record.Reason = "restored after a half-done change"
 		return r.fire(ctx, charts.Restored)
 	}
-	reset := engine.Order{ID: r.rec.Order.ID + "-reset", Token: g.Token, Kind: engine.OrderReset, Role: r.rec.From}
-	if err := r.e.o.Giver.Give(ctx, g, r.t.Address, reset); fault.Is(err, fault.Denied) {
+	reset := engine.Order{ID: r.record.Order.ID + "-reset", Token: g.Token, Kind: engine.OrderReset, Role: r.record.From}
+	if err := r.executor.o.Giver.Give(ctx, g, r.target.Address, reset); fault.Is(err, fault.Denied) {
 		return ErrNoGrant
 	}
-	// The state is not left before a look at what the first order to go back did, however long
-	// that order took.
-	r.moved = !r.asked
-	r.asked = true
+	// After the first reset the status is polled again before the timeout of the state is
+	// checked, however long the reset took.
+	r.transitioned = !r.resetSent
+	r.resetSent = true
 	return nil
 }
 
-// fire moves the chart and writes the record.
-func (r *run) fire(ctx context.Context, e statechart.Event) error {
+// fire fires an event in the state chart and writes the record.
+func (r *orderRun) fire(ctx context.Context, e statechart.Event) error {
 	before := r.chart.State()
 	if _, err := r.chart.Fire(e); err != nil {
 		return err
 	}
-	r.moved, r.asked = true, false
-	r.entered = time.Now()
+	r.transitioned, r.resetSent = true, false
+	r.enteredAt = time.Now()
 	if err := r.save(ctx); err != nil {
 		return err
 	}
-	level.Info(r.e.logger).Log("msg", "order", "engine", r.t.Name, "order", r.rec.Order.ID, "event", e, "from", before, "state", r.chart.State(), "reason", r.rec.Reason)
+	level.Info(r.executor.logger).Log("msg", "order", "engine", r.target.Name, "order", r.record.Order.ID, "event", e, "from", before, "state", r.chart.State(), "reason", r.record.Reason)
 	return nil
 }
 
-// save writes the record. If it fails, this process does not go on: whoever
-// holds the lease next reads what the store holds.
-func (r *run) save(ctx context.Context) error {
-	r.rec.State = r.chart.State()
-	r.rec.Since = time.Now().UTC()
-	value, err := json.Marshal(r.rec)
+// save writes the record. If this fails, the process must not continue: the next
+// holder of the lease continues from the record in the store.
+func (r *orderRun) save(ctx context.Context) error {
+	r.record.State = r.chart.State()
+	r.record.Since = time.Now().UTC()
+	value, err := json.Marshal(r.record)
 	if err != nil {
 		return fault.Wrap(err, fault.Internal, "order record cannot be encoded", "report this as a defect")
 	}
-	obj, err := objstore.PutSettled(ctx, r.e.o.Store, KeyPrefix+r.t.Name, value, r.version, ulid.Make().String())
+	obj, err := objstore.PutSettled(ctx, r.executor.o.Store, KeyPrefix+r.target.Name, value, r.version, ulid.Make().String())
 	if err != nil {
 		return err
 	}
