--- a/duty/duty.go
+++ b/duty/duty.go
@@ -83,7 +83,7 @@
 	}
 	a := &Authority{o: o, logger: log.With(o.Logger, "component", "duty"), legacy: newLegacyLease(o)}
 	l := o.leaseOptions(shard, o.TTL)
-	l.Token = a.legacy.acquire
+	l.NextToken = a.legacy.acquire
 	a.lessee = lease.New(l)
 	return a
 }
--- a/duty/former.go
+++ b/duty/former.go
@@ -30,7 +30,7 @@
 
 func newLegacyLease(o Options) *legacyLease {
 	l := o.leaseOptions(legacyShard, legacyTTL)
-	l.Heir = shard
+	l.GoverningLease = shard
 	return &legacyLease{lessee: lease.New(l), logger: log.With(o.Logger, "component", "duty")}
 }
 
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,10 +1,10 @@
-// Package lease gives one process at a time the authority over a shard, through
-// one object of the object API. Times are measured on the boot-time clock.
+// Package lease grants one process at a time the authority over a shard, through
+// one object in the object store. Times are measured on the boot-time clock.
 //
-// The holder counts its lease from before it sent the grant or renewal. A
-// successor counts from when it saw the last renewal, and adds a bound on the
-// drift between two clocks. Every grant carries a fencing token that is higher
-// than all before and is never used again.
+// The TTL of a lease starts for its holder before the holder sends the write that
+// acquires or renews it. For a successor it starts when the successor sees the last
+// renewal, and the max drift between two clocks is added to it. Every grant has a
+// fencing token that is higher than all previous ones and is never reused.
 package lease
 
 import (
@@ -24,49 +24,49 @@
 	"github.com/rockdoor/rockdoor/objstore"
 )
 
-// KeyPrefix is where leases are kept. It is not mirrored, since renewals are
+// KeyPrefix is the key prefix of leases. It is not mirrored, since renewals are
 // frequent and concern only the candidates.
 const KeyPrefix = "lease/"
 
 const (
-	// renewals is how often a lease is renewed in its life.
-	renewals = 3
-	// driftShare bounds how much faster one host's clock runs than another's, as
-	// a share of the lease's life.
-	driftShare = 100
+	// renewalsPerTTL is the number of renewals of a lease within its TTL.
+	renewalsPerTTL = 3
+	// maxDriftDivisor divides the TTL of a lease to give the max drift between the clocks of
+	// two hosts during the TTL.
+	maxDriftDivisor = 100
 )
 
 // Record is the content of a lease object.
 type Record struct {
-	// Holder and Incarnation name one run of a process.
+	// Holder is the name of the holder process, Incarnation identifies its current run.
 	Holder      string `json:"holder"`
 	Incarnation string `json:"incarnation"`
-	// Address is where the holder listens for its peers. A later process that
-	// listens there proves that the holder is over.
+	// Address is where the holder listens for its peers. If a later process listens there,
+	// the holder has terminated.
 	Address string         `json:"address"`
 	Token   int64          `json:"token"`
 	TTL     jsonc.Duration `json:"ttl"`
-	// Released is true if the holder gave the lease up in writing.
+	// Released is true if the holder has released the lease.
 	Released bool `json:"released"`
-	// Renewal makes every write of a holder different.
+	// Renewal counts renewals, so that every write of a holder is different.
 	Renewal int64 `json:"renewal"`
-	// Heir names another lease whose holder has this one too: whoever gets that one need not
-	// wait for this one.
-	Heir string `json:"heir,omitempty"`
+	// GoverningLease is the name of another lease whose holder also holds this one. A process that
+	// acquires the governing lease may take over this one without waiting for it to expire.
+	GoverningLease string `json:"heir,omitempty"`
 }
 
-// Grant is authority for a time.
+// Grant is authority for a limited time.
 type Grant struct {
 	Token int64
 	// Until is when the authority ends.
 	Until bootclock.Instant
-	// Resumed is true if nobody else has had the authority since this process had it last.
+	// Resumed is true if no other process has held the lease since this process last held it.
 	Resumed bool
-	// now is the clock of Until; nil is that of the host.
+	// now is the clock of Until. If it is nil, the clock of the host is used.
 	now func() bootclock.Instant
 }
 
-// Valid reports whether the grant holds for at least margin from now.
+// Valid reports whether the grant is valid for at least margin from now.
 func (g Grant) Valid(margin time.Duration) bool {
 	now := g.now
 	if now == nil {
@@ -78,29 +78,30 @@
 // Options of a Lessee.
 type Options struct {
 	Store objstore.Store
-	// Prefix is where the lease is kept; KeyPrefix if it is empty.
+	// Prefix is the key prefix of the lease. If it is empty, KeyPrefix is used.
 	Prefix string
-	// Shard names what the lease is about.
+	// Shard is the name of the lease.
 	Shard       string
 	Holder      string
 	Incarnation string
 	Address     string
 	TTL         time.Duration
-	// Gone says whether the holder in a record is proven to be over, so that its
-	// lease need not be waited out, and by what. It may be nil.
+	// Gone reports whether the holder in a record is known to have terminated, and how that is
+	// known. Its lease is then taken over before it expires. Gone may be nil.
 	Gone func(Record) (reason string, gone bool)
-	// Heir is written into the record, and a record with the same one is taken over at once.
-	// It is empty for a lease that is waited for.
-	Heir string
-	// Token returns the token of a new grant, which is least or more. It is asked just before
-	// the lease is taken, and an error leaves the lease alone. Without it the token is least.
-	Token func(ctx context.Context, least int64) (int64, error)
-	// Now is the clock; that of the host if it is nil.
+	// GoverningLease is written into the record. A lease whose record has the same value is taken
+	// over at once. If it is empty, a lease is only taken over when it has expired.
+	GoverningLease string
+	// NextToken returns the token of a new grant, which must be at least minToken. It is called
+	// immediately before the lease is acquired; if it fails, the lease is not acquired. If it is
+	// nil, the token is minToken.
+	NextToken func(ctx context.Context, minToken int64) (int64, error)
+	// Now is the clock. If it is nil, the clock of the host is used.
 	Now    func() bootclock.Instant
 	Logger log.Logger
 }
 
-// Lessee wants the lease of one shard. It is safe for concurrent use.
+// Lessee competes for the lease of one shard. It is safe for concurrent use.
 type Lessee struct {
 	o      Options
 	logger log.Logger
@@ -109,15 +110,15 @@
 	grant   Grant
 	version objstore.Version
 	record  Record
-	// seen is the last version of another holder's record, since seenAt.
-	seen    objstore.Version
-	seenAt  bootclock.Instant
-	waiting string
-	// era is that of the store in which the grant was given, seenEra the newest one that was seen,
-	// since eraAt.
-	era     int64
-	seenEra int64
-	eraAt   bootclock.Instant
+	// seenVersion is the latest version of another holder's record. It was first seen at seenAt.
+	seenVersion objstore.Version
+	seenAt      bootclock.Instant
+	waitReason  string
+	// grantEra is the era of the store in which the lease was acquired. seenEra is the latest era,
+	// first seen at seenEraAt.
+	grantEra  int64
+	seenEra   int64
+	seenEraAt bootclock.Instant
 }
 
 // New returns a Lessee that does not hold the lease yet.
@@ -131,35 +132,37 @@
 	return &Lessee{o: o, logger: log.With(o.Logger, "component", "lease", "shard", o.Shard)}
 }
 
-// Grant returns the authority in force, if any. One of an earlier era of the store is none: what the
-// store came back with may lack it, and another process may get the lease.
+// Grant returns the current grant, and whether it is valid. A grant of an earlier era of the store is
+// not valid: the snapshot from which the store was restored may lack it, so that another process may
+// acquire the lease.
 func (l *Lessee) Grant() (Grant, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.grant.Token != 0 && objstore.EraOf(l.o.Store) != l.era {
-		level.Warn(l.logger).Log("msg", "lease is of an earlier era of the store", "token", l.grant.Token, "era", l.era)
+	if l.grant.Token != 0 && objstore.EraOf(l.o.Store) != l.grantEra {
+		level.Warn(l.logger).Log("msg", "lease is of an earlier era of the store", "token", l.grant.Token, "era", l.grantEra)
 		l.grant = Grant{}
 	}
 	return l.grant, l.grant.Valid(0)
 }
 
-// Waiting says what an acquisition waits for; empty if it does not wait.
+// Waiting returns what prevents this process from acquiring the lease, or an empty string if
+// nothing does.
 func (l *Lessee) Waiting() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.waiting
+	return l.waitReason
 }
 
-// Drift returns what a successor adds to the life of a lease.
-func Drift(ttl time.Duration) time.Duration { return ttl / driftShare }
+// Drift returns the max clock drift, which a successor adds to the TTL of a lease.
+func Drift(ttl time.Duration) time.Duration { return ttl / maxDriftDivisor }
 
 // Interval returns how long to wait until the next Step.
 func (l *Lessee) Interval() time.Duration {
-	base := l.o.TTL / renewals
+	base := l.o.TTL / renewalsPerTTL
 	return base*9/10 + rand.N(base/5)
 }
 
-// Step renews the lease if it is held, and otherwise tries to get it.
+// Step renews the lease if it is held, and otherwise tries to acquire it.
 func (l *Lessee) Step(ctx context.Context) error {
 	if _, held := l.Grant(); held {
 		return l.renew(ctx)
@@ -167,18 +170,18 @@
 	return l.Acquire(ctx, 0)
 }
 
-// Acquire tries to get the lease under a new token of least or more, also if this process
-// holds it already.
-func (l *Lessee) Acquire(ctx context.Context, least int64) error {
-	l.drop()
+// Acquire tries to acquire the lease under a new token of at least minToken, even if this process
+// already holds it.
+func (l *Lessee) Acquire(ctx context.Context, minToken int64) error {
+	l.dropGrant()
 	obj, err := l.o.Store.Get(ctx, l.o.Prefix+l.o.Shard)
 	if err != nil && !fault.Is(err, fault.NotFound) {
-		l.wait("the platform store")
+		l.setWaitReason("the platform store")
 		return err
 	}
 	at := l.o.Now()
 	era := objstore.EraOf(l.o.Store)
-	if !l.settled(era, at) {
+	if !l.eraSettled(era, at) {
 		return nil
 	}
 	var rec Record
@@ -186,103 +189,103 @@
 		if jerr := json.Unmarshal(obj.Value, &rec); jerr != nil {
 			return fault.Wrap(jerr, fault.Internal, "lease of "+l.o.Shard+" cannot be read", "check who else writes to "+obj.Key)
 		}
-		if !l.free(obj.Version, rec, at) {
+		if !l.canTakeOver(obj.Version, rec, at) {
 			return nil
 		}
 	}
-	token, err := l.token(ctx, max(rec.Token+1, least, objstore.TokenBase(era)+1))
+	token, err := l.nextToken(ctx, max(rec.Token+1, minToken, objstore.TokenBase(era)+1))
 	if err != nil {
 		return err
 	}
 	next := Record{
-		Holder: l.o.Holder, Incarnation: l.o.Incarnation, Address: l.o.Address, Token: token, TTL: jsonc.Duration(l.o.TTL), Heir: l.o.Heir,
+		Holder: l.o.Holder, Incarnation: l.o.Incarnation, Address: l.o.Address, Token: token, TTL: jsonc.Duration(l.o.TTL), GoverningLease: l.o.GoverningLease,
 	}
 	l.mu.Lock()
-	same := l.era == era
+	same := l.grantEra == era
 	l.mu.Unlock()
-	return l.take(ctx, obj.Version, next, era, same && rec.Holder == l.o.Holder && rec.Incarnation == l.o.Incarnation)
+	return l.write(ctx, obj.Version, next, era, same && rec.Holder == l.o.Holder && rec.Incarnation == l.o.Incarnation)
 }
 
-// settled reports whether the store has been in its era for so long that all grants of earlier ones
-// have ended, as far as this process has seen: the copy that the store came back with need not say
-// who has the lease. A store that counts no eras never loses a grant, and a lease with an heir is
-// not waited for.
-func (l *Lessee) settled(era int64, at bootclock.Instant) bool {
-	if era == 0 || l.o.Heir != "" {
+// eraSettled reports whether all grants of earlier eras of the store have expired, based on when this
+// process first saw the current era: the snapshot from which the store was restored may not have the
+// latest holder of the lease. There is nothing to wait for if the store does not count eras, since it
+// then never loses a grant, or if the lease has a governing lease.
+func (l *Lessee) eraSettled(era int64, at bootclock.Instant) bool {
+	if era == 0 || l.o.GoverningLease != "" {
 		return true
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if era != l.seenEra {
-		l.seenEra, l.eraAt = era, at
+		l.seenEra, l.seenEraAt = era, at
 		level.Info(l.logger).Log("msg", "store's era", "era", era)
 	}
-	left := l.o.TTL + Drift(l.o.TTL) - at.Sub(l.eraAt)
+	left := l.o.TTL + Drift(l.o.TTL) - at.Sub(l.seenEraAt)
 	if left <= 0 {
 		return true
 	}
-	l.waiting = "grants of earlier eras of the store, for " + left.Round(time.Millisecond).String()
+	l.waitReason = "grants of earlier eras of the store, for " + left.Round(time.Millisecond).String()
 	return false
 }
 
-// drop ends the grant in force.
-func (l *Lessee) drop() {
+// dropGrant ends the current grant.
+func (l *Lessee) dropGrant() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.grant = Grant{}
 }
 
-func (l *Lessee) token(ctx context.Context, least int64) (int64, error) {
-	if l.o.Token == nil {
-		return least, nil
+func (l *Lessee) nextToken(ctx context.Context, minToken int64) (int64, error) {
+	if l.o.NextToken == nil {
+		return minToken, nil
 	}
-	return l.o.Token(ctx, least)
+	return l.o.NextToken(ctx, minToken)
 }
 
-// free reports whether the lease of another holder may be taken over now.
-func (l *Lessee) free(v objstore.Version, rec Record, at bootclock.Instant) bool {
+// canTakeOver reports whether a lease with the given record may be acquired now.
+func (l *Lessee) canTakeOver(v objstore.Version, rec Record, at bootclock.Instant) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if rec.Released {
 		return true
 	}
 	if rec.Holder == l.o.Holder && rec.Incarnation == l.o.Incarnation {
-		return true // this process's own grant, which has ended by its own clock
+		return true // this process's own grant, which has expired on its own clock
 	}
-	if rec.Heir != "" && rec.Heir == l.o.Heir {
+	if rec.GoverningLease != "" && rec.GoverningLease == l.o.GoverningLease {
 		return true
 	}
-	if reason, gone := l.gone(rec); gone {
+	if reason, gone := l.holderGone(rec); gone {
 		level.Info(l.logger).Log("msg", "lease taken over early", "holder", rec.Holder, "incarnation", rec.Incarnation, "reason", reason)
 		return true
 	}
-	if v != l.seen {
-		l.seen, l.seenAt = v, at
+	if v != l.seenVersion {
+		l.seenVersion, l.seenAt = v, at
 	}
 	left := rec.TTL.Std() + Drift(rec.TTL.Std()) - at.Sub(l.seenAt)
 	if left <= 0 {
 		return true
 	}
-	l.waiting = "lease of " + rec.Holder + ", for " + left.Round(time.Millisecond).String() + " unless it is renewed or released"
+	l.waitReason = "lease of " + rec.Holder + ", for " + left.Round(time.Millisecond).String() + " unless it is renewed or released"
 	return false
 }
 
-func (l *Lessee) gone(rec Record) (string, bool) {
+func (l *Lessee) holderGone(rec Record) (string, bool) {
 	if l.o.Gone == nil {
 		return "", false
 	}
 	return l.o.Gone(rec)
 }
 
-func (l *Lessee) wait(what string) {
+func (l *Lessee) setWaitReason(what string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.waiting = what
+	l.waitReason = what
 }
 
-// take writes a record and, if that succeeds in the same era of the store, holds the lease from before
-// the write was sent. resumed is that of the grant.
-func (l *Lessee) take(ctx context.Context, v objstore.Version, rec Record, era int64, resumed bool) error {
+// write writes a record and, if this succeeds in the given era of the store, updates the grant. Its
+// validity starts before the write is sent. resumed is the value of Grant.Resumed.
+func (l *Lessee) write(ctx context.Context, v objstore.Version, rec Record, era int64, resumed bool) error {
 	value, err := json.Marshal(rec)
 	if err != nil {
 		return fault.Wrap(err, fault.Internal, "lease cannot be encoded", "report this as a defect")
@@ -290,7 +293,7 @@
 	sent := l.o.Now()
 	obj, err := objstore.PutSettled(ctx, l.o.Store, l.o.Prefix+l.o.Shard, value, v, l.o.Holder+"/"+ulid.Make().String())
 	if err == nil && obj.Version.Era() != era {
-		err = fault.New(fault.Conflict, "store came back from an older copy while the lease was written", "it is tried again")
+		err = fault.New(fault.Conflict, "store was restored from an older snapshot while the lease was written", "it is tried again")
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -300,25 +303,25 @@
 		}
 		return err
 	}
-	l.era = era
+	l.grantEra = era
 	if l.grant.Token != rec.Token {
 		level.Info(l.logger).Log("msg", "lease held", "token", rec.Token)
 	}
-	l.version, l.record, l.waiting = obj.Version, rec, ""
+	l.version, l.record, l.waitReason = obj.Version, rec, ""
 	l.grant = Grant{Token: rec.Token, Until: sent.Add(rec.TTL.Std()), Resumed: resumed, now: l.o.Now}
 	return nil
 }
 
 func (l *Lessee) renew(ctx context.Context) error {
 	l.mu.Lock()
-	v, rec, era, resumed := l.version, l.record, l.era, l.grant.Resumed
+	v, rec, era, resumed := l.version, l.record, l.grantEra, l.grant.Resumed
 	l.mu.Unlock()
 	rec.Renewal++
-	return l.take(ctx, v, rec, era, resumed)
+	return l.write(ctx, v, rec, era, resumed)
 }
 
-// Release gives the lease up in writing, so that a successor need not wait.
-// Nothing may be done under the grant any more when it is called.
+// Release marks the lease as released in its record, so that a successor need not
+// wait. The caller must no longer act under the grant.
 func (l *Lessee) Release(ctx context.Context) error {
 	l.mu.Lock()
 	v, rec, held := l.version, l.record, l.grant.Valid(0)
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -16,14 +16,14 @@
 	"github.com/rockdoor/rockdoor/objstore/memstore"
 )
 
-func lessee(s *memstore.Store, name string, ttl time.Duration) *Lessee {
+func newLessee(s *memstore.Store, name string, ttl time.Duration) *Lessee {
 	return New(Options{Store: s, Shard: "x", Holder: name, Incarnation: "1", TTL: ttl, Logger: log.NewNopLogger()})
 }
 
-func TestReleasedLeaseIsTakenAtOnceWithAHigherToken(t *testing.T) {
+func TestReleasedLeaseIsAcquiredAtOnceWithAHigherToken(t *testing.T) {
 	ctx := context.Background()
 	s := memstore.New()
-	a, b := lessee(s, "a", time.Hour), lessee(s, "b", time.Hour)
+	a, b := newLessee(s, "a", time.Hour), newLessee(s, "b", time.Hour)
 	require.NoError(t, a.Step(ctx))
 	require.NoError(t, b.Step(ctx))
 	_, held := b.Grant()
@@ -38,10 +38,10 @@
 	require.EqualValues(t, 2, g.Token)
 }
 
-func TestProvenEndOfTheHolderLetsASuccessorGoSooner(t *testing.T) {
+func TestLeaseOfTerminatedHolderIsTakenOverEarly(t *testing.T) {
 	ctx := context.Background()
 	s := memstore.New()
-	a, b := lessee(s, "a", time.Hour), lessee(s, "b", time.Hour)
+	a, b := newLessee(s, "a", time.Hour), newLessee(s, "b", time.Hour)
 	gone := false
 	b.o.Gone = func(Record) (string, bool) { return "test", gone }
 	require.NoError(t, a.Step(ctx))
@@ -52,15 +52,15 @@
 	require.NoError(t, b.Step(ctx))
 	_, held = b.Grant()
 	require.True(t, held)
-	require.Error(t, a.Step(ctx), "the old holder learns it at its next renewal")
+	require.Error(t, a.Step(ctx), "the previous holder's next renewal fails")
 	_, held = a.Grant()
 	require.False(t, held)
 }
 
-func TestLostAnswerOfARenewalKeepsTheLease(t *testing.T) {
+func TestLostResponseOfARenewalKeepsTheLease(t *testing.T) {
 	ctx := context.Background()
 	s := memstore.New()
-	a := lessee(s, "a", time.Hour)
+	a := newLessee(s, "a", time.Hour)
 	require.NoError(t, a.Step(ctx))
 	lost := false
 	s.FailWith(func(op memstore.Op, _ string) memstore.Failure {
@@ -76,15 +76,15 @@
 	require.EqualValues(t, 1, g.Token)
 }
 
-// span is a time in which a process believed that it had authority.
+// span is a period in which a process had a valid grant, as far as it knew.
 type span struct {
 	name     string
 	token    int64
 	from, to bootclock.Instant
 }
 
-// Candidates that are paused, and whose store fails in every way, never hold
-// the lease at the same time.
+// Candidates never hold the lease at the same time, even if they are paused and the
+// store loses requests and responses.
 func TestNoTwoHoldersAtOnce(t *testing.T) {
 	const ttl = 60 * time.Millisecond
 	seed := uint64(time.Now().UnixNano())
@@ -112,7 +112,7 @@
 		go func() {
 			defer wg.Done()
 			rng := rand.New(rand.NewPCG(seed, uint64(i+1)))
-			l := lessee(s, fmt.Sprint(i), ttl)
+			l := newLessee(s, fmt.Sprint(i), ttl)
 			for time.Now().Before(end) {
 				ctx, cancel := context.WithTimeout(context.Background(), ttl/2)
 				_ = l.Step(ctx)
@@ -144,7 +144,7 @@
 	firstUse := map[int64]bootclock.Instant{}
 	for _, s := range spans {
 		if h, ok := holders[s.token]; ok {
-			require.Equal(t, h, s.name, "token %d was used by two", s.token)
+			require.Equal(t, h, s.name, "token %d was used by two holders", s.token)
 		} else {
 			firstUse[s.token] = s.from
 		}
@@ -156,7 +156,7 @@
 		if _, ok := holders[token]; !ok {
 			continue
 		}
-		require.Greater(t, firstUse[token], previous, "token %d was used while an earlier one still was", token)
+		require.Greater(t, firstUse[token], previous, "token %d was used before the last use of an earlier one", token)
 		previous = max(previous, lastUse[token])
 	}
 	t.Logf("%d spans, %d holders", len(spans), len(holders))
