--- a/capacity/policy.go
+++ b/capacity/policy.go
@@ -28,17 +28,17 @@
 	p.learn(in)
 	serving := 0
 	for n, d := range in.Domains {
-		out[n].Lasting = min(in.Scaling.Least, d.Lasting)
+		out[n].Lasting = min(in.Scaling.MinEngines, d.Lasting)
 		serving += d.Spot + out[n].Lasting
 	}
 	addLasting(in, out, p.wanted-serving)
 	for n, d := range in.Domains {
 		// Lasting engines that serve make room later; those that are ordered need it now.
-		room := in.Scaling.Least
+		room := in.Scaling.MinEngines
 		if out[n].Lasting > d.Lasting {
 			room = out[n].Lasting
 		}
-		out[n].Spot = max(in.Scaling.Most-room, 0)
+		out[n].Spot = max(in.Scaling.MaxEngines-room, 0)
 	}
 	return out
 }
@@ -65,7 +65,7 @@
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(in.Domains[a].Price, in.Domains[b].Price) })
 	for _, room := range []func(n int) int{
 		func(n int) int { return in.Domains[n].Lasting - out[n].Lasting },
-		func(n int) int { return in.Scaling.Most - in.Domains[n].Spot - out[n].Lasting },
+		func(n int) int { return in.Scaling.MaxEngines - in.Domains[n].Spot - out[n].Lasting },
 	} {
 		for _, n := range order {
 			more := max(min(missing, room(n)), 0)
--- a/capacity/policy_test.go
+++ b/capacity/policy_test.go
@@ -48,7 +48,7 @@
 			}
 			all += here.Lasting + here.Spot
 			here.Lasting = targets[n].Lasting
-			wanted := min(targets[n].Spot, w.scaling.Most-here.Lasting)
+			wanted := min(targets[n].Spot, w.scaling.MaxEngines-here.Lasting)
 			if more := wanted - here.Spot - starting; more > 0 && !w.empty[here.Name] {
 				w.coming[here.Name][w.now.Add(w.scaling.Startup)] += more
 			} else if more < 0 {
@@ -70,7 +70,7 @@
 var prices = map[string]float64{"a": 0.85, "b": 1.2, "c": 1}
 
 func scaling(most int, spot float64) *fleet.Scaling {
-	return &fleet.Scaling{Least: 1, Most: most, Startup: 4 * time.Second, SpotPrice: spot, Prices: prices}
+	return &fleet.Scaling{MinEngines: 1, MaxEngines: most, Startup: 4 * time.Second, SpotPrice: spot, Prices: prices}
 }
 
 // TestSpotEnginesTakeThePlaceOfLastingOnes checks that there are never fewer engines than at
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -48,11 +48,11 @@
 	Self   members.Member
 	// TTL is the time to live of the lease. Apart is how long a new holder waits before it acts,
 	// so that no request of the previous holder arrives after its own.
-	TTL, Apart time.Duration
+	TTL, HandoverDelay time.Duration
 	// View returns the latest view. Only schedulers perform duties, since they know the load.
 	View func() *fleet.View
-	// Heard returns the names of the other live gateways.
-	Heard func() []string
+	// LivePeers returns the names of the other live gateways.
+	LivePeers func() []string
 	// Now is the clock. If it is nil, the clock of the host is used.
 	Now    func() bootclock.Instant
 	Logger log.Logger
@@ -108,10 +108,10 @@
 	case held && g.Token != a.seenToken:
 		a.seenToken, a.seenSince = g.Token, a.o.Now()
 		a.hasActed = a.hasActed && g.Resumed && a.legacy.resumed()
-		level.Info(a.logger).Log("msg", "authority", "token", g.Token, "acts_after", a.o.Apart)
+		level.Info(a.logger).Log("msg", "authority", "token", g.Token, "acts_after", a.o.HandoverDelay)
 	}
 	noPredecessor := g.Token == firstToken || a.hasActed
-	mayAct := held && (noPredecessor || a.o.Now().Sub(a.seenSince) >= a.o.Apart)
+	mayAct := held && (noPredecessor || a.o.Now().Sub(a.seenSince) >= a.o.HandoverDelay)
 	a.hasActed = a.hasActed || mayAct
 	return Grant{Holder: a.o.Self.Name, Token: g.Token, lease: a.lessee}, mayAct
 }
@@ -199,5 +199,5 @@
 }
 
 func (a *Authority) isCandidate() bool {
-	return a.o.View().Scheduling && members.Rank(shard, a.o.Self.Name, a.o.Heard()) < maxCandidates
+	return a.o.View().Scheduling && members.Rank(shard, a.o.Self.Name, a.o.LivePeers()) < maxCandidates
 }
--- a/duty/duty_test.go
+++ b/duty/duty_test.go
@@ -45,8 +45,8 @@
 	t.Helper()
 	store := platform.NewStore(address)
 	a := duty.New(duty.Options{
-		Store: store, Prefix: platform.LeasePrefix, Self: members.Member{Name: name, Incarnation: name}, TTL: testTTL, Apart: testHandoverDelay,
-		View: func() *fleet.View { return &fleet.View{Scheduling: scheduling()} }, Heard: func() []string { return nil }, Logger: log.NewNopLogger(),
+		Store: store, Prefix: platform.LeasePrefix, Self: members.Member{Name: name, Incarnation: name}, TTL: testTTL, HandoverDelay: testHandoverDelay,
+		View: func() *fleet.View { return &fleet.View{Scheduling: scheduling()} }, LivePeers: func() []string { return nil }, Logger: log.NewNopLogger(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
--- a/duty/former.go
+++ b/duty/former.go
@@ -42,7 +42,7 @@
 	}
 	g, held := f.lessee.Grant()
 	if !held {
-		level.Info(f.logger).Log("msg", "a process of a former version holds the lease", "waiting_for", f.lessee.Waiting())
+		level.Info(f.logger).Log("msg", "a process of a former version holds the lease", "waiting_for", f.lessee.WaitReason())
 		return 0, fault.New(fault.Conflict, "a process of a former version holds the lease", "wait until the lease is released or expires")
 	}
 	return g.Token, nil
--- a/duty/model_test.go
+++ b/duty/model_test.go
@@ -207,8 +207,8 @@
 func (p *process) runCurrentVersion(ctx context.Context) {
 	member := members.Member{Name: p.host, Incarnation: p.run}
 	a := duty.New(duty.Options{
-		Store: storeLink{p.world.store, p}, Self: member, TTL: modelTTL, Apart: modelHandoverDelay, View: p.view,
-		Heard: func() []string { return nil }, Now: p.now, Logger: log.NewNopLogger(),
+		Store: storeLink{p.world.store, p}, Self: member, TTL: modelTTL, HandoverDelay: modelHandoverDelay, View: p.view,
+		LivePeers: func() []string { return nil }, Now: p.now, Logger: log.NewNopLogger(),
 	})
 	now := func() time.Time { return time.Now().Add(p.wallClockSkew) }
 	ledger := usage.NewLedger(usage.Source{Process: p.host, Incarnation: p.run}, modelWindow, now)
@@ -263,7 +263,7 @@
 	p.waitWhilePaused()
 	phase := int(time.Now().Unix() / 7)
 	prices := map[string]float64{}
-	v := &fleet.View{Scheduling: !p.world.active(demoted, p.host), Listed: true, StoreUp: true, Instances: map[string]*fleet.Instance{}}
+	v := &fleet.View{Scheduling: !p.world.active(demoted, p.host), InstancesKnown: true, StoreUp: true, Instances: map[string]*fleet.Instance{}}
 	for n := range modelDomains {
 		domain := fmt.Sprint("d", n)
 		prices[domain] = 1
@@ -278,7 +278,7 @@
 	}
 	p.world.mu.Unlock()
 	v.Config = &fleet.Config{Services: map[string]fleet.Service{
-		"plain": {Name: "plain", Scaling: &fleet.Scaling{Least: 1, Most: 6, Startup: time.Second, SpotPrice: 0.2, Prices: prices}},
+		"plain": {Name: "plain", Scaling: &fleet.Scaling{MinEngines: 1, MaxEngines: 6, Startup: time.Second, SpotPrice: 0.2, Prices: prices}},
 		"model": {Name: "model", KVCapacity: 1, RoleChange: 50 * time.Millisecond},
 	}}
 	v.Index()
@@ -289,9 +289,9 @@
 func (p *process) load(id string) placement.Load {
 	var l placement.Load
 	if time.Now().Unix()/9%2 == 0 {
-		l.Unread[0].Prompts = 100
+		l.Pending[0].Prompts = 100
 	} else {
-		l.Requests, l.Long = 8, 8
+		l.Requests, l.LongResponses = 8, 8
 	}
 	return l
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -53,9 +53,9 @@
 	LatencyTarget time.Duration
 	// GapTarget is the longest pause between events of a stream that is in time.
 	GapTarget time.Duration
-	// Patience is how long callers wait for the first event of a stream, however long
+	// FirstEventTimeout is how long callers wait for the first event of a stream, however long
 	// they say that they wait for all of it; 0 is no bound.
-	Patience time.Duration
+	FirstEventTimeout time.Duration
 	// MaxAttempts is how many instances one request may be sent to.
 	MaxAttempts int
 	// Rank orders routes by urgency; 0 is the most urgent.
@@ -94,8 +94,8 @@
 // Scaling bounds the number of a service's engines in each failure domain, and says what
 // they cost.
 type Scaling struct {
-	// Least and Most hold for engines of both kinds together.
-	Least, Most int
+	// MinEngines and Most hold for engines of both kinds together.
+	MinEngines, MaxEngines int
 	// Startup is how long an engine takes until it serves.
 	Startup time.Duration
 	// SpotPrice is that of an engine that the platform may take away, as a share of another.
@@ -154,8 +154,8 @@
 	return nil
 }
 
-// RouteNamed returns the route with the name, or nil if there is none.
-func (c *Config) RouteNamed(name string) *Route { return c.byName[name] }
+// RouteByName returns the route with the name, or nil if there is none.
+func (c *Config) RouteByName(name string) *Route { return c.byName[name] }
 
 // Pick returns the service that a request goes to. The same id goes to the same
 // share, so that a decision can be explained from the id.
@@ -184,10 +184,10 @@
 type Instance struct {
 	// ID names an instance and no other.
 	ID string
-	// Born differs for each run of the instance that keeps its ID; 0 if it does not say. A
+	// StartTime differs for each run of the instance that keeps its ID; 0 if it does not say. A
 	// later run knows nothing of what an earlier one had.
-	Born    int64
-	Service string
+	StartTime int64
+	Service   string
 	// Address is IP:PORT.
 	Address string
 	Domain  string
@@ -200,20 +200,20 @@
 	Draining bool
 	// Role is empty for plain services.
 	Role engine.Role
-	// Lapsed is true for an instance whose registration went while the store was
+	// Expired is true for an instance whose registration went while the store was
 	// away. It is used until it is known whether it comes back.
-	Lapsed bool
+	Expired bool
 }
 
 // runMark parts the ID of an instance from what differs from run to run.
 const runMark = '@'
 
-// Run names this run of the instance and no other.
-func (i *Instance) Run() string {
-	if i.Born == 0 {
+// RunID names this run of the instance and no other.
+func (i *Instance) RunID() string {
+	if i.StartTime == 0 {
 		return i.ID
 	}
-	return i.ID + string(runMark) + strconv.FormatInt(i.Born, 10)
+	return i.ID + string(runMark) + strconv.FormatInt(i.StartTime, 10)
 }
 
 // Labels returns the labels that selectors match: those that operators gave the
--- a/fleet/pool.go
+++ b/fleet/pool.go
@@ -33,7 +33,7 @@
 		}
 		p.groups = make([][]*Instance, n)
 		for _, i := range p.All {
-			g := GroupOf(i.ID, n)
+			g := GroupIndex(i.ID, n)
 			p.groups[g] = append(p.groups[g], i)
 		}
 	})
@@ -51,14 +51,14 @@
 	return nil
 }
 
-// FindRun returns the instance whose present run has a name, nil if that is not in the pool.
-func (p *Pool) FindRun(run string) *Instance {
+// FindByRunID returns the instance whose present run has a name, nil if that is not in the pool.
+func (p *Pool) FindByRunID(run string) *Instance {
 	id := run // that of an instance that does not say when it was born
 	if at := strings.LastIndexByte(run, runMark); at >= 0 {
 		id = run[:at]
 	}
 	for _, id := range []string{id, run} {
-		if i := p.Find(id); i != nil && i.Run() == run {
+		if i := p.Find(id); i != nil && i.RunID() == run {
 			return i
 		}
 	}
@@ -73,8 +73,8 @@
 	jumpShift  = 33
 )
 
-// GroupOf returns in which of n groups a key is, an instance's ID or a subject.
-func GroupOf(key string, n int) int {
+// GroupIndex returns in which of n groups a key is, an instance's ID or a subject.
+func GroupIndex(key string, n int) int {
 	hash := xxhash.Sum64String(key)
 	group, next := int64(0), int64(0)
 	for next < int64(n) {
--- a/fleet/pool_test.go
+++ b/fleet/pool_test.go
@@ -39,7 +39,7 @@
 			now[id] = &Instance{ID: id, Service: []string{"s", "t"}[rng.IntN(2)], Draining: rng.IntN(4) == 0}
 		}
 		next := &View{Instances: now}
-		next.IndexFrom(before, changed)
+		next.IndexChanges(before, changed)
 		anew := &View{Instances: maps.Clone(now)}
 		anew.Index()
 		require.Equal(t, anew.Instances, next.Instances)
@@ -57,7 +57,7 @@
 	v.Index()
 	allocations := testing.AllocsPerRun(10, func() {
 		next := *v
-		next.IndexFrom(v, nil)
+		next.IndexChanges(v, nil)
 	})
 	require.Zero(t, allocations)
 }
@@ -87,7 +87,7 @@
 	for _, n := range []int{2, 10, 80} {
 		moved := 0
 		for k := range keys {
-			old, now := GroupOf(fmt.Sprint(k), n), GroupOf(fmt.Sprint(k), n+1)
+			old, now := GroupIndex(fmt.Sprint(k), n), GroupIndex(fmt.Sprint(k), n+1)
 			if old != now {
 				moved++
 				require.Equal(t, n, now, "only to the new group")
@@ -103,13 +103,13 @@
 	p := v.Pool("r", "s")
 	require.Same(t, v.Instances["i-00017"], p.Find("i-00017"))
 	require.Nil(t, p.Find("i-1"))
-	require.Same(t, v.Instances["i-00017"], p.FindRun("i-00017"))
-	require.Nil(t, p.FindRun("i-00017@5"), "another run")
+	require.Same(t, v.Instances["i-00017"], p.FindByRunID("i-00017"))
+	require.Nil(t, p.FindByRunID("i-00017@5"), "another run")
 	odd := &Instance{ID: "x@5"}
-	born := &Instance{ID: "x", Born: 7}
+	born := &Instance{ID: "x", StartTime: 7}
 	p = &Pool{All: []*Instance{born, odd}}
-	require.Same(t, odd, p.FindRun("x@5"))
-	require.Same(t, born, p.FindRun("x@7"))
+	require.Same(t, odd, p.FindByRunID("x@5"))
+	require.Same(t, born, p.FindByRunID("x@7"))
 	require.Nil(t, (&View{}).Pool("r", "s").Find("i-1"))
 }
 
@@ -133,7 +133,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				next := *v
-				next.IndexFrom(v, c.changed)
+				next.IndexChanges(v, c.changed)
 			}
 		})
 	}
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -16,23 +16,23 @@
 type View struct {
 	// Config is nil until the first configuration is known.
 	Config *Config
-	// ConfigAt and InstancesAt are when the store last confirmed that there was
+	// ConfigConfirmedAt and InstancesAt are when the store last confirmed that there was
 	// nothing newer.
-	ConfigAt    bootclock.Instant
-	InstancesAt bootclock.Instant
-	// ProvenAt is the latest time of which it is proven that Config was the newest then: a
+	ConfigConfirmedAt    bootclock.Instant
+	InstancesConfirmedAt bootclock.Instant
+	// ConfigFreshAt is the latest time of which it is proven that Config was the newest then: a
 	// question was sent to the store, and its answer said so. An answer that was long on its
 	// way proves nothing of the time in which it arrived.
-	ProvenAt bootclock.Instant
+	ConfigFreshAt bootclock.Instant
 	// InstancesRevision is the store's revision up to which the registrations are known.
 	InstancesRevision objstore.Revision
-	// Listed is true once the registrations have been read for the first time.
-	Listed bool
-	// Headed is true once a scheduler has told the configuration and the rules: it places requests, and names
+	// InstancesKnown is true once the registrations have been read for the first time.
+	InstancesKnown bool
+	// Partial is true once a scheduler has told the configuration and the rules: it places requests, and names
 	// the instances, before the registrations are known here.
-	Headed bool
-	// CopyAt is from when on the registrations are copied then, 0 if there is no wait.
-	CopyAt bootclock.Instant
+	Partial bool
+	// FullSnapshotAt is from when on the registrations are copied then, 0 if there is no wait.
+	FullSnapshotAt bootclock.Instant
 	// Instances has every registered instance by its ID.
 	Instances map[string]*Instance
 	Rules     *Rules
@@ -42,10 +42,10 @@
 	// Scheduling is true if this process is a scheduler. Mesh are the schedulers, and those
 	// whose place another one has taken for as long as they are silent: all that tell each
 	// other of their work.
-	Schedulers []members.Member
-	Watchers   []members.Member
-	Mesh       []members.Member
-	Scheduling bool
+	Schedulers  []members.Member
+	Watchers    []members.Member
+	GossipPeers []members.Member
+	Scheduling  bool
 	// StoreUp is false while the store does not answer.
 	StoreUp bool
 	// Era counts how often the store has come back from an older copy, 0 if it does not say.
@@ -69,9 +69,9 @@
 	}
 }
 
-// IndexFrom does what Index does, from a view before of whose instances only those changed that
+// IndexChanges does what Index does, from a view before of whose instances only those changed that
 // changed names, by their IDs. It copies Instances if any did, and else shares those of before.
-func (v *View) IndexFrom(before *View, changed map[string]bool) {
+func (v *View) IndexChanges(before *View, changed map[string]bool) {
 	if len(changed) == 0 {
 		v.Instances, v.usable, v.pools = before.Instances, before.usable, before.pools
 		if v.Rules != before.Rules {
@@ -125,24 +125,26 @@
 // requests of the route, in the order of their IDs.
 func (v *View) Permitted(route, service string) []*Instance { return v.Pool(route, service).All }
 
-// Takes reports whether an instance still takes new requests of the service.
-func (v *View) Takes(service, id string) bool {
+// Accepts reports whether an instance still takes new requests of the service.
+func (v *View) Accepts(service, id string) bool {
 	i := v.Instances[id]
 	return i != nil && !i.Draining && i.Service == service
 }
 
-// Left reports whether an instance is known to take no new requests of the service any more.
-func (v *View) Left(service, id string) bool { return v.Listed && !v.Takes(service, id) }
+// StoppedAccepting reports whether an instance is known to take no new requests of the service any more.
+func (v *View) StoppedAccepting(service, id string) bool {
+	return v.InstancesKnown && !v.Accepts(service, id)
+}
 
 // Complete reports whether the view suffices to decide where requests run.
-func (v *View) Complete() bool { return v.Config != nil && v.Listed }
+func (v *View) Complete() bool { return v.Config != nil && v.InstancesKnown }
 
 // Ready reports whether the view suffices to serve requests.
-func (v *View) Ready() bool { return v.Complete() || v.Config != nil && v.Headed && !v.Scheduling }
+func (v *View) Ready() bool { return v.Complete() || v.Config != nil && v.Partial && !v.Scheduling }
 
-// PermittedOf returns those of some instances that take requests of the service and at which the rules permit
+// FilterPermitted returns those of some instances that take requests of the service and at which the rules permit
 // requests of the route, in the order of their IDs.
-func (v *View) PermittedOf(route, service string, instances []*Instance) []*Instance {
+func (v *View) FilterPermitted(route, service string, instances []*Instance) []*Instance {
 	few := View{Config: v.Config, Rules: v.Rules, Instances: map[string]*Instance{}}
 	for _, i := range instances {
 		few.Instances[i.ID] = i
@@ -152,13 +154,13 @@
 }
 
 // ConfigAge returns how long ago the store confirmed the configuration.
-func (v *View) ConfigAge() time.Duration { return bootclock.Since(v.ConfigAt) }
+func (v *View) ConfigAge() time.Duration { return bootclock.Since(v.ConfigConfirmedAt) }
 
-// ProofAge returns how old the proof is that Config is the newest one.
-func (v *View) ProofAge() time.Duration { return bootclock.Since(v.ProvenAt) }
+// ConfigStaleness returns how old the proof is that Config is the newest one.
+func (v *View) ConfigStaleness() time.Duration { return bootclock.Since(v.ConfigFreshAt) }
 
 // InstancesAge returns how long ago the store confirmed the registrations.
-func (v *View) InstancesAge() time.Duration { return bootclock.Since(v.InstancesAt) }
+func (v *View) InstancesAge() time.Duration { return bootclock.Since(v.InstancesConfirmedAt) }
 
 // Age returns how long ago the store confirmed what it confirmed longest ago.
 func (v *View) Age() time.Duration { return max(v.ConfigAge(), v.InstancesAge()) }
--- a/fleet/workspace.go
+++ b/fleet/workspace.go
@@ -52,8 +52,8 @@
 // Workspaces returns how many workspaces there are. Without any, callers need no key.
 func (c *Config) Workspaces() int { return c.workspaces }
 
-// WorkspaceOf returns the workspace that a key belongs to, nil if no workspace has it.
-func (c *Config) WorkspaceOf(key string) *Workspace {
+// WorkspaceByKey returns the workspace that a key belongs to, nil if no workspace has it.
+func (c *Config) WorkspaceByKey(key string) *Workspace {
 	if key == "" {
 		return nil
 	}
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -24,8 +24,8 @@
 // MaxEventBytes bounds one event of a stream.
 const MaxEventBytes = 1 << 20
 
-// Spec is what is sent.
-type Spec struct {
+// Request is what is sent.
+type Request struct {
 	// ID identifies the attempt; the target repeats it in its answer.
 	ID      string
 	Address string
@@ -36,32 +36,32 @@
 	Body   []byte
 }
 
-// Runner sends attempts over kept-alive connections.
-type Runner struct {
+// Sender sends attempts over kept-alive connections.
+type Sender struct {
 	client *upstream.Client
 }
 
-// NewRunner returns a runner that counts in reg, with connections of its own.
-func NewRunner(reg metrics.Registry) *Runner { return &Runner{client: upstream.New(reg)} }
+// NewSender returns a runner that counts in reg, with connections of its own.
+func NewSender(reg metrics.Registry) *Sender { return &Sender{client: upstream.New(reg)} }
 
 // Close drops idle connections.
-func (r *Runner) Close() { r.client.Close() }
+func (r *Sender) Close() { r.client.Close() }
 
-// Refuses reports whether an address refuses connections.
-func (r *Runner) Refuses(ctx context.Context, address string) bool {
-	return r.client.Refuses(ctx, address)
+// RefusesConnections reports whether an address refuses connections.
+func (r *Sender) RefusesConnections(ctx context.Context, address string) bool {
+	return r.client.RefusesConnections(ctx, address)
 }
 
 // Attempt is one try. It is used by one goroutine.
 type Attempt struct {
 	chart  *statechart.Instance
-	answer *upstream.Answer
+	answer *upstream.Response
 	err    error
 }
 
 // Start sends the request and waits for the head of the answer. The state of
 // the returned attempt is answering or final.
-func (r *Runner) Start(ctx context.Context, s Spec) *Attempt {
+func (r *Sender) Start(ctx context.Context, s Request) *Attempt {
 	a := &Attempt{chart: charts.Attempt.Start()}
 	s.Header.Set(openai.AttemptHeader, s.ID)
 	answer, err := r.client.Do(ctx, upstream.Request{
@@ -120,12 +120,12 @@
 // Header returns the header of the answer.
 func (a *Attempt) Header() http.Header { return a.answer.Header }
 
-// RestAsked returns for how long the target wants nothing more, 0 if it does not say.
-func (a *Attempt) RestAsked() time.Duration {
+// RequestedBackoff returns for how long the target wants nothing more, 0 if it does not say.
+func (a *Attempt) RequestedBackoff() time.Duration {
 	if a.answer == nil {
 		return 0
 	}
-	return notice.RestAsked(a.Status(), a.Header())
+	return notice.RequestedBackoff(a.Status(), a.Header())
 }
 
 // RateLimit returns what the target says of the rate of requests that it takes, false if it has not
@@ -151,8 +151,8 @@
 // Fail ends the attempt because the target's answer says that it failed.
 func (a *Attempt) Fail(err error) { a.end(charts.Errored, err) }
 
-// Cut ends the attempt because its answer cannot be used or carried on.
-func (a *Attempt) Cut(err error) { a.end(charts.Cut, err) }
+// Interrupt ends the attempt because its answer cannot be used or carried on.
+func (a *Attempt) Interrupt(err error) { a.end(charts.Cut, err) }
 
 // ReadAll reads the whole body, up to limit bytes. If check refuses it, the
 // answer counts as cut.
@@ -162,11 +162,11 @@
 		err = fault.Newf(fault.Exhausted, "ask for less", "answer is larger than %d bytes", limit)
 	}
 	if err != nil {
-		a.Cut(fault.Wrap(err, fault.Unknown, "answer was cut", "ask for the outcome before sending the request again"))
+		a.Interrupt(fault.Wrap(err, fault.Unknown, "answer was cut", "ask for the outcome before sending the request again"))
 		return nil, a.err
 	}
 	if err := check(body); err != nil {
-		a.Cut(err)
+		a.Interrupt(err)
 		return nil, err
 	}
 	a.end(charts.Finished, nil)
@@ -176,7 +176,7 @@
 // Copy passes the whole body on as it arrives.
 func (a *Attempt) Copy(w io.Writer) error {
 	if _, err := io.Copy(w, a.answer.Body); err != nil {
-		a.Cut(fault.Wrap(err, fault.Unknown, "answer was cut", "ask for the outcome before sending the request again"))
+		a.Interrupt(fault.Wrap(err, fault.Unknown, "answer was cut", "ask for the outcome before sending the request again"))
 		return a.err
 	}
 	a.end(charts.Finished, nil)
@@ -188,7 +188,7 @@
 func (a *Attempt) Events(f func(data string) error) error {
 	for ev, err := range sse.Read(a.answer.Body, &sse.ReadConfig{MaxEventSize: MaxEventBytes}) {
 		if err != nil {
-			a.Cut(fault.Wrap(err, fault.Unknown, "stream was cut", "it is resumed if the request is idempotent"))
+			a.Interrupt(fault.Wrap(err, fault.Unknown, "stream was cut", "it is resumed if the request is idempotent"))
 			return a.err
 		}
 		if ev.Data == openai.Done {
@@ -196,10 +196,10 @@
 			return nil
 		}
 		if err := f(ev.Data); err != nil {
-			a.Cut(err)
+			a.Interrupt(err)
 			return err
 		}
 	}
-	a.Cut(fault.New(fault.Unknown, "stream ended early", "it is resumed if the request is idempotent"))
+	a.Interrupt(fault.New(fault.Unknown, "stream ended early", "it is resumed if the request is idempotent"))
 	return a.err
 }
--- a/internal/cachescan/cachescan.go
+++ b/internal/cachescan/cachescan.go
@@ -33,7 +33,7 @@
 
 // Lister tells what an engine's prefix cache keeps.
 type Lister interface {
-	Kept(ctx context.Context, address string) ([]engine.Part, error)
+	CachedParts(ctx context.Context, address string) ([]engine.Part, error)
 }
 
 // Options of a scan.
@@ -83,11 +83,11 @@
 func (o *Options) ask(ctx context.Context, i *fleet.Instance, capacity int) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	parts, err := o.Lister.Kept(ctx, i.Address)
+	parts, err := o.Lister.CachedParts(ctx, i.Address)
 	if err != nil {
 		level.Info(o.Logger).Log("msg", "cache not listed", "engine", i.ID, "err", err)
 		return
 	}
-	o.Placer.Restore(i, capacity, parts)
+	o.Placer.RestoreCache(i, capacity, parts)
 	level.Debug(o.Logger).Log("msg", "cache listed", "engine", i.ID, "parts", len(parts))
 }
--- a/internal/cachescan/cachescan_test.go
+++ b/internal/cachescan/cachescan_test.go
@@ -38,7 +38,7 @@
 		if n == 1 {
 			read(t, s.URL)
 		}
-		i := &fleet.Instance{ID: id, Born: int64(n + 1), Service: "m", Address: s.Listener.Addr().String(), Domain: "a", Role: role, Slots: 8}
+		i := &fleet.Instance{ID: id, StartTime: int64(n + 1), Service: "m", Address: s.Listener.Addr().String(), Domain: "a", Role: role, Slots: 8}
 		v.Instances[id], all = i, append(all, i)
 	}
 	silent := &fleet.Instance{ID: "p-9", Service: "m", Address: "127.0.0.1:1", Domain: "a", Role: engine.RolePrefill}
@@ -46,14 +46,14 @@
 	v.Index()
 	placer := placement.New("a", nil, nil)
 	Run(context.Background(), Options{
-		View: func() *fleet.View { return v }, Lister: platform.NewKeeper(upstream.New(metrics.NewRegistry())), Placer: placer, Logger: log.NewNopLogger(),
+		View: func() *fleet.View { return v }, Lister: platform.NewEngineClient(upstream.New(metrics.NewRegistry())), Placer: placer, Logger: log.NewNopLogger(),
 	})
 	plan, _ := placer.Place(&placement.Job{
-		Route: &fleet.Route{}, Service: v.Config.Services["m"], Left: time.Second, Permitted: all,
+		Route: &fleet.Route{}, Service: v.Config.Services["m"], Remaining: time.Second, Permitted: all,
 		Call: &engine.Call{PromptTokens: 9000, Parts: []engine.Part{{ID: "aa", Tokens: 2500}, {ID: "bb", Tokens: 3800}, {ID: "ff", Tokens: 2700}}},
 	})
-	require.Equal(t, placement.ReasonHolder, plan.Reason)
-	require.Equal(t, "p-1", plan.Reader.ID)
+	require.Equal(t, placement.ReasonCacheHolder, plan.Reason)
+	require.Equal(t, "p-1", plan.PrefillEngine.ID)
 	require.Equal(t, 2700, plan.Uncached)
 }
 
@@ -74,7 +74,7 @@
 	asked, late atomic.Int64
 }
 
-func (l *slowLister) Kept(context.Context, string) ([]engine.Part, error) {
+func (l *slowLister) CachedParts(context.Context, string) ([]engine.Part, error) {
 	l.asked.Add(1)
 	if time.Now().After(l.until) {
 		l.late.Add(1)
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -99,7 +99,7 @@
 				st.Name, st.Ready, st.InHand, st.Config, st.ConfigAgeMs, st.InstancesAgeMs, st.StoreUp, st.Era, st.Scheduling, st.Members, len(st.Schedulers), len(st.Heard), strings.Join(st.Watchers, ", "))
 			t := newTable(c, "INSTANCE", "SERVICE", "DOMAIN", "ROLE", "STATE", "REQUESTS", "STARTING", "PROMPTS", "LATE")
 			for _, i := range st.Instances {
-				t.AppendRow([]any{i.ID, i.Service, i.Domain, i.Role, instanceState(i), i.Load.Requests, i.Load.Starting, i.Load.Unread.All().Prompts, i.Load.Unread.Late().Prompts})
+				t.AppendRow([]any{i.ID, i.Service, i.Domain, i.Role, instanceState(i), i.Load.Requests, i.Load.Starting, i.Load.Pending.All().Prompts, i.Load.Pending.Late().Prompts})
 			}
 			t.SortBy([]table.SortBy{{Name: "SERVICE"}, {Name: "INSTANCE"}})
 			t.Render()
@@ -149,7 +149,7 @@
 			fmt.Fprintf(c.App.Writer, "route %s, service %s, configuration %d (%d ms old), instances %d ms old\n\n", e.Route, e.Service, e.Config, e.ConfigAgeMs, e.InstancesAgeMs)
 			t := newTable(c, "INSTANCE", "DOMAIN", "ROLE", "SCORE", "AHEAD MS", "READ MS", "UNCACHED", "REQUESTS", "PACE", "FAILURES", "WHY NOT")
 			for _, i := range e.Considered {
-				t.AppendRow([]any{i.Instance, i.Domain, i.Role, short(i.Score), short(i.AheadMs), short(i.ReadMs), i.Uncached, i.Load.Requests, short(i.Pace), short(i.Failures), i.Why})
+				t.AppendRow([]any{i.Instance, i.Domain, i.Role, short(i.Score), short(i.QueueDelayMs), short(i.PrefillMs), i.Uncached, i.Load.Requests, short(i.Slowdown), short(i.Failures), i.Unavailable})
 			}
 			for _, r := range e.Rejected {
 				t.AppendRow([]any{r.Instance, "", "", "", "", "", "", "", "", "", "forbidden by " + r.Rule})
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -264,7 +264,7 @@
 		names[m.Name] = true
 	}
 	l.neighbours = map[string]bool{}
-	for _, m := range members.Neighbours(l.registered, l.o.Self.Name) {
+	for _, m := range members.GossipPeers(l.registered, l.o.Self.Name) {
 		l.neighbours[m.Name] = true
 	}
 	for name := range l.contacts {
@@ -383,12 +383,12 @@
 		s.Reports[name] = r
 	}
 	for _, m := range states {
-		if m.Health.Living() {
+		if m.Health.IsAlive() {
 			s.Serving++
 		}
 	}
 	fresh := l.majorityAgreed(states)
-	if age := l.o.Mirror.Age(); age != mirror.Never {
+	if age := l.o.Mirror.Age(); age != mirror.NeverConfirmed {
 		fresh = max(fresh, bootclock.Now().Add(-age))
 	}
 	if !l.behind() {
--- a/internal/control/heartbeat.go
+++ b/internal/control/heartbeat.go
@@ -112,7 +112,7 @@
 }
 
 func ageMillis(age time.Duration) int64 {
-	if age == mirror.Never {
+	if age == mirror.NeverConfirmed {
 		return -1
 	}
 	return (age + time.Millisecond - 1).Milliseconds()
@@ -120,7 +120,7 @@
 
 func ageOf(millis int64) time.Duration {
 	if millis < 0 {
-		return mirror.Never
+		return mirror.NeverConfirmed
 	}
 	return time.Duration(millis) * time.Millisecond
 }
@@ -151,7 +151,7 @@
 	for _, m := range h.loop.Snapshot().Members {
 		ms = append(ms, m.Member)
 	}
-	if out := members.Neighbours(ms, h.loop.o.Self.Name); len(out) > 0 {
+	if out := members.GossipPeers(ms, h.loop.o.Self.Name); len(out) > 0 {
 		return out
 	}
 	var out []members.Member
@@ -236,7 +236,7 @@
 // arrives by itself may have waited while this process was paused.
 func (h *Heart) answered(ctx context.Context, from *peerpb.Identity, beat *peerpb.Heartbeat, address string, sent bootclock.Instant) {
 	remote := objstore.Revision(beat.GetMirrorRevision())
-	if age := ageOf(beat.GetMirrorAgeMs()); age != mirror.Never {
+	if age := ageOf(beat.GetMirrorAgeMs()); age != mirror.NeverConfirmed {
 		h.mirror.Confirm(remote, age+bootclock.Since(sent))
 	}
 	if remote > h.mirror.Revision() {
@@ -278,7 +278,7 @@
 		return false
 	}
 	delta := decodeDelta(req.GetFetchMirror().GetAfter(), d)
-	if delta.Age != mirror.Never {
+	if delta.Age != mirror.NeverConfirmed {
 		delta.Age += bootclock.Since(sent)
 	}
 	return h.mirror.Apply(delta)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -41,7 +41,7 @@
 type Options struct {
 	Store    objstore.Store
 	Engines  engine.Controller
-	Giver    orders.Giver
+	Sender   orders.Sender
 	Snapshot func() *control.Snapshot
 	Mirror   *mirror.Mirror
 	Tracker  *routing.Tracker
@@ -81,7 +81,7 @@
 	out := []PoolStatus{}
 	for _, c := range m.pools {
 		g, held := c.lessee.Grant()
-		st := PoolStatus{Pool: c.pool, Held: held, Waiting: c.lessee.Waiting()}
+		st := PoolStatus{Pool: c.pool, Held: held, Waiting: c.lessee.WaitReason()}
 		if held {
 			st.Token = g.Token
 		}
@@ -138,7 +138,7 @@
 func rank(ms []control.MemberState, self, pool string) int {
 	var living []string
 	for _, m := range ms {
-		if m.Health.Living() {
+		if m.Health.IsAlive() {
 			living = append(living, m.Name)
 		}
 	}
@@ -196,11 +196,11 @@
 	c.logger = log.With(m.o.Logger, "component", "controller", "pool", pool)
 	c.lessee = lease.New(lease.Options{
 		Store: m.o.Store, Shard: "pool/" + pool, Holder: m.o.Self.Name, Incarnation: m.o.Self.Incarnation, Address: m.o.Self.Peer,
-		TTL: m.o.LeaseTTL, Gone: m.gone, Logger: m.o.Logger,
+		TTL: m.o.LeaseTTL, HolderTerminated: m.gone, Logger: m.o.Logger,
 	})
 	c.exec = orders.New(orders.Options{
-		Store: m.o.Store, Engines: m.o.Engines, Giver: m.o.Giver, Grant: c.lessee.Grant, Holder: m.o.Self.Name,
-		Drained: c.drained, Logger: m.o.Logger, Poll: pollTime,
+		Store: m.o.Store, Engines: m.o.Engines, Sender: m.o.Sender, Grant: c.lessee.Grant, Holder: m.o.Self.Name,
+		Drained: c.drained, Logger: m.o.Logger, PollInterval: pollTime,
 	})
 	var wg sync.WaitGroup
 	wg.Add(2)
--- a/internal/controller/drain.go
+++ b/internal/controller/drain.go
@@ -40,7 +40,7 @@
 	defer c.mu.Unlock()
 	d := c.drains[name]
 	if d == nil || d.version != written {
-		d = &drainState{version: written, seen: mirror.None}
+		d = &drainState{version: written, seen: mirror.NoRevision}
 		c.drains[name] = d
 	}
 	return d
@@ -53,7 +53,7 @@
 	if d.spread {
 		return true
 	}
-	if d.seen == mirror.None {
+	if d.seen == mirror.NoRevision {
 		obj, ok := c.m.o.Mirror.Get(orders.KeyPrefix + name)
 		if !ok || obj.Version != d.version {
 			return false
--- a/internal/daemon/claims.go
+++ b/internal/daemon/claims.go
@@ -60,7 +60,7 @@
 }
 
 func mayHold(m control.MemberState) bool {
-	return m.Health.Living() || m.Health == members.Suspected && bootclock.Since(m.Heard) < lostAfter
+	return m.Health.IsAlive() || m.Health == members.Suspected && bootclock.Since(m.Heard) < lostAfter
 }
 
 // registrar reports whether this process has the highest hash of all that live
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -60,15 +60,15 @@
 	store     *objstore.Limited
 	client    *httpapi.Client
 	mirror    *mirror.Mirror
-	keeper    *mirror.Keeper
+	keeper    *mirror.Refresher
 	loader    *confstore.Loader
 	loop      *control.Loop
 	heart     *control.Heart
 	transport *peer.Transport
 	// told is what the processes tell each other of calls that end their targets.
-	told *suspects.Sharer
+	told *suspects.Syncer
 	// grants is how the processes share the rates that targets limit themselves to.
-	grants   *ratelimit.Sharer
+	grants   *ratelimit.Syncer
 	reporter *control.Reporter
 	tracker  *routing.Tracker
 	entry    *entry.Server
@@ -104,7 +104,7 @@
 }
 
 func (d *Daemon) buildControl() {
-	d.keeper = mirror.NewKeeper(d.mirror, d.store, d.isWatcher, d.logger)
+	d.keeper = mirror.NewRefresher(d.mirror, d.store, d.isWatcher, d.logger)
 	d.transport = peer.NewTransport(&peerpb.Identity{Name: d.self.Name, Incarnation: d.self.Incarnation}, d, d.reg, d.logger)
 	d.loader = confstore.NewLoader(
 		func(ctx context.Context, digest string) ([]byte, error) { return d.heart.ChunkFromPeers(ctx, digest) },
@@ -121,7 +121,7 @@
 	engines := httpcontrol.New(nil)
 	d.reporter = control.NewReporter(d.loop, engines, d.set.Control.Report.Std())
 	d.manager = controller.New(controller.Options{
-		Store: d.store, Engines: engines, Giver: orders.GuardedGiver{}, Snapshot: d.loop.Snapshot, Mirror: d.mirror,
+		Store: d.store, Engines: engines, Sender: orders.GuardedSender{}, Snapshot: d.loop.Snapshot, Mirror: d.mirror,
 		Tracker: d.tracker, Self: d.self, LeaseTTL: d.set.Control.LeaseTTL.Std(), StaleAfter: d.set.Control.StaleAfter.Std(),
 		Logger: d.logger,
 	})
@@ -132,7 +132,7 @@
 	table := quarantine.NewTable()
 	d.told = suspects.New(suspects.Options{Run: d.self.Incarnation, Table: table, Transport: d.transport, Peers: d.others, Logger: d.logger})
 	limits := ratelimit.NewTable(d.self.Name, d.reg, d.logger)
-	d.grants = ratelimit.NewSharer(ratelimit.Options{Self: d.self.Name, Table: limits, Transport: d.transport, Deciders: d.deciders, Tell: d.others, Logger: d.logger})
+	d.grants = ratelimit.NewSyncer(ratelimit.Options{Self: d.self.Name, Table: limits, Transport: d.transport, Deciders: d.deciders, Peers: d.others, Logger: d.logger})
 	d.entry = entry.New(entry.Options{
 		Settings: d.set, Snapshot: d.loop.Snapshot, Tracker: d.tracker, Process: d.process(), Claims: d.claims, Quarantine: table, Limits: limits,
 		Metrics: d.reg, Logger: d.logger,
@@ -163,7 +163,7 @@
 func (d *Daemon) others() []members.Member {
 	var out []members.Member
 	for _, m := range d.loop.Snapshot().Members {
-		if m.Health.Living() && !m.Self {
+		if m.Health.IsAlive() && !m.Self {
 			out = append(out, m.Member)
 		}
 	}
@@ -176,8 +176,8 @@
 	var out ratelimit.Deciders
 	for _, m := range d.loop.Snapshot().Members {
 		out.All = append(out.All, m.Member)
-		if m.Health.Living() {
-			out.Heard = append(out.Heard, m.Name)
+		if m.Health.IsAlive() {
+			out.Reachable = append(out.Reachable, m.Name)
 		}
 	}
 	out.Processes = len(out.All)
@@ -188,7 +188,7 @@
 func (d *Daemon) isWatcher() bool {
 	var alive []members.Member
 	for _, m := range d.loop.Snapshot().Members {
-		if m.Health.Living() {
+		if m.Health.IsAlive() {
 			alive = append(alive, m.Member)
 		}
 	}
@@ -330,7 +330,7 @@
 	tried := false
 	for {
 		s := d.loop.Snapshot()
-		if tried && d.mirror.Revision() != mirror.None && s.Config != nil && d.heart.Asked() && s.Fresh() {
+		if tried && d.mirror.Revision() != mirror.NoRevision && s.Config != nil && d.heart.Asked() && s.Fresh() {
 			return nil
 		}
 		select {
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -38,7 +38,7 @@
 // readDirectory returns the directory. The error is of kind NotFound if there is none of use.
 func (d *Discovery) readDirectory(ctx context.Context) (directory, error) {
 	var dir directory
-	ctx, cancel := context.WithTimeout(ctx, AnswerWithin(d.o.Apply))
+	ctx, cancel := context.WithTimeout(ctx, StoreCallTimeout(d.o.ApplyLimit))
 	defer cancel()
 	obj, err := d.o.Stale.Get(ctx, d.directoryKey())
 	if err != nil {
@@ -47,10 +47,10 @@
 	if err := json.Unmarshal(obj.Value, &dir); err != nil {
 		return dir, fault.Wrap(err, fault.NotFound, "directory of the fleet cannot be read", "the members are listed")
 	}
-	if dir.Processes <= members.FullMesh || len(dir.Schedulers) == 0 {
+	if dir.Processes <= members.MaxFullMesh || len(dir.Schedulers) == 0 {
 		return dir, fault.New(fault.NotFound, "directory is that of a small fleet", "the members are listed")
 	}
-	if d.o.Self.WouldSchedule(dir.Schedulers) {
+	if d.o.Self.IsSchedulerCandidate(dir.Schedulers) {
 		return dir, fault.New(fault.NotFound, "this process is to work for the others", "the members are listed")
 	}
 	return dir, nil
@@ -86,7 +86,7 @@
 // has changed.
 func (d *Discovery) keepDirectory(ctx context.Context) {
 	first := len(d.cur.Watchers) > 0 && d.cur.Watchers[0].Name == d.o.Self.Name
-	if !first || d.cur.Processes <= members.FullMesh {
+	if !first || d.cur.Processes <= members.MaxFullMesh {
 		return
 	}
 	now := directory{Processes: d.cur.Processes, Instances: len(d.instances), Schedulers: d.cur.Schedulers, Watchers: members.Names(d.cur.Watchers)}
@@ -114,7 +114,7 @@
 	if err == nil && bytes.Equal(old.Value, value) {
 		return
 	}
-	_, err = objstore.PutSettled(ctx, d.o.Store, key, value, old.Version, d.o.Run+"-"+members.NewIncarnation())
+	_, err = objstore.PutSettled(ctx, d.o.Store, key, value, old.Version, d.o.RunID+"-"+members.NewIncarnation())
 	d.directoryKept(err)
 }
 
--- a/internal/discovery/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -43,7 +43,7 @@
 	relay := make(copies)
 	view := startOn(t, noLists{fake}, relay)
 	tell(relay, true, 10, registered("i-1", 5), configAt(1))
-	eventually(t, func() bool { return view().Ready() && view().Takes("s", "i-1") })
+	eventually(t, func() bool { return view().Ready() && view().Accepts("s", "i-1") })
 	require.Equal(t, []string{"other"}, members.Names(view().Schedulers))
 }
 
@@ -53,7 +53,7 @@
 	relay := make(copies)
 	view := startFollowing(t, relay)
 	head := followedWith(false, 10, configAt(1))
-	head.Head = true
+	head.Partial = true
 	relay <- head
 	eventually(t, func() bool { return view().Ready() })
 	return relay, view
@@ -64,10 +64,10 @@
 func TestAProcessIsReadyWithTheHeadOfACopy(t *testing.T) {
 	relay, view := startWithHead(t)
 	require.False(t, view().Complete())
-	require.False(t, view().Left("s", "i-1"), "nothing is known of it")
+	require.False(t, view().StoppedAccepting("s", "i-1"), "nothing is known of it")
 	tell(relay, true, 10, registered("i-1", 5), configAt(1))
-	eventually(t, func() bool { return view().Complete() && view().Takes("s", "i-1") })
-	require.True(t, view().Left("s", "i-2"))
+	eventually(t, func() bool { return view().Complete() && view().Accepts("s", "i-1") })
+	require.True(t, view().StoppedAccepting("s", "i-2"))
 }
 
 // TestAFirstCopyLeavesTimeForRequests has a process that serves already copy 2,000 registrations: it decodes them in
@@ -102,7 +102,7 @@
 // TestTheFirstWatcherKeepsTheDirectory has a process find itself the first watcher of a large fleet.
 func TestTheFirstWatcherKeepsTheDirectory(t *testing.T) {
 	fake := fleetstore.New()
-	for n := range members.FullMesh + 2 {
+	for n := range members.MaxFullMesh + 2 {
 		setMember(t, fake, fmt.Sprint("m-", n))
 	}
 	self := members.Member{Name: "z-self", Incarnation: members.NewIncarnation(), Domain: "a", Weight: 2}
@@ -120,7 +120,7 @@
 		obj, err := store.Get(context.Background(), platform.DirectoryPrefix+"main")
 		return err == nil && json.Unmarshal(obj.Value, &dir) == nil
 	})
-	require.Equal(t, members.FullMesh+3, dir.Processes)
+	require.Equal(t, members.MaxFullMesh+3, dir.Processes)
 	require.Equal(t, members.Names(watcher.View().Schedulers), members.Names(dir.Schedulers))
 	require.Equal(t, members.Names(watcher.View().Watchers), dir.Watchers)
 	require.Equal(t, "z-self", dir.Watchers[0])
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -36,19 +36,19 @@
 // Options of a Discovery.
 type Options struct {
 	// Self is this process as it registers, Run names this run of it.
-	Self members.Member
-	Run  string
+	Self  members.Member
+	RunID string
 	// Relay follows a scheduler.
 	Relay Relay
-	// Silent reports whether a scheduler has not answered for so long that another one
+	// IsUnresponsive reports whether a scheduler has not answered for so long that another one
 	// takes its place; nil if that is not known.
-	Silent func(name string) bool
-	// Missing is called when this process may not be registered any more; nil if nobody
+	IsUnresponsive func(name string) bool
+	// OnUnregistered is called when this process may not be registered any more; nil if nobody
 	// wants to know.
-	Missing func()
-	// Restored is called when the store came back from an older copy, which may lack the
+	OnUnregistered func()
+	// OnStoreRestored is called when the store came back from an older copy, which may lack the
 	// registration of this process; nil if nobody wants to know.
-	Restored func()
+	OnStoreRestored func()
 	// Store bounds each page of a list by AnswerWithin.
 	Store objstore.Store
 	// Stale is the same store for what may be seconds old: rules and members.
@@ -57,23 +57,23 @@
 	// DecodeConfig and DecodeInstance decode stored objects.
 	DecodeConfig   func(objstore.Object) (*fleet.Config, error)
 	DecodeInstance func(objstore.Object) (*fleet.Instance, error)
-	// Hide returns a configuration of the store as other processes may have it, without
+	// RedactConfig returns a configuration of the store as other processes may have it, without
 	// secrets; nil leaves it as it is.
-	Hide func(objstore.Object) objstore.Object
-	// Prove is how old the proof may get that the configuration is the newest one; 0 is no
+	RedactConfig func(objstore.Object) objstore.Object
+	// MaxConfigStaleness is how old the proof may get that the configuration is the newest one; 0 is no
 	// bound.
-	Prove time.Duration
-	// Apply is within what time a change must be in force.
-	Apply time.Duration
-	// Within is in what time a change in the store must have reached everybody.
-	Within time.Duration
-	// Settle is within what time after a fault of the network the view is up to date.
-	Settle time.Duration
-	// LapseKept is how long an instance is used whose registration went while the
+	MaxConfigStaleness time.Duration
+	// ApplyLimit is within what time a change must be in force.
+	ApplyLimit time.Duration
+	// PropagationLimit is in what time a change in the store must have reached everybody.
+	PropagationLimit time.Duration
+	// SettleTime is within what time after a fault of the network the view is up to date.
+	SettleTime time.Duration
+	// ExpiredRetention is how long an instance is used whose registration went while the
 	// store was away, counted from the store's return.
-	LapseKept time.Duration
-	Metrics   metrics.Registry
-	Logger    log.Logger
+	ExpiredRetention time.Duration
+	Metrics          metrics.Registry
+	Logger           log.Logger
 }
 
 const (
@@ -164,21 +164,21 @@
 // New returns a discovery that has to be run.
 func New(o Options) *Discovery {
 	d := &Discovery{
-		o: o, logger: log.With(o.Logger, "component", "discovery"), events: make(chan any, eventQueue), ready: make(chan struct{}), feed: feed.New(o.Run),
+		o: o, logger: log.With(o.Logger, "component", "discovery"), events: make(chan any, eventQueue), ready: make(chan struct{}), feed: feed.New(o.RunID),
 		instances: map[string]*fleet.Instance{}, touched: map[string]bool{}, versions: map[string]objstore.Version{}, gone: map[string]departure{},
 		members: map[string]members.Member{}, down: map[source]bool{}, lapsed: map[string]lapse{},
 	}
-	if d.o.Silent == nil {
-		d.o.Silent = func(string) bool { return false }
+	if d.o.IsUnresponsive == nil {
+		d.o.IsUnresponsive = func(string) bool { return false }
 	}
-	if d.o.Missing == nil {
-		d.o.Missing = func() {}
+	if d.o.OnUnregistered == nil {
+		d.o.OnUnregistered = func() {}
 	}
-	if d.o.Restored == nil {
-		d.o.Restored = func() {}
+	if d.o.OnStoreRestored == nil {
+		d.o.OnStoreRestored = func() {}
 	}
-	if d.o.Hide == nil {
-		d.o.Hide = func(obj objstore.Object) objstore.Object { return obj }
+	if d.o.RedactConfig == nil {
+		d.o.RedactConfig = func(obj objstore.Object) objstore.Object { return obj }
 	}
 	d.cur.StoreUp = true
 	first := d.cur
@@ -226,9 +226,9 @@
 		d.answered(e)
 		d.apply(e)
 	case followed:
-		d.adopt(e.Followed)
+		d.adopt(e.RelayUpdate)
 	case copied:
-		d.takeIn(e.Followed)
+		d.takeIn(e.RelayUpdate)
 	case directoryRead:
 		d.joinBy(e.directory)
 	}
@@ -257,7 +257,7 @@
 func (d *Discovery) answered(c changed) {
 	f, now := c.feed, bootclock.Now()
 	if f == feedInstances {
-		d.confirmedAt, d.absence = d.cur.InstancesAt, false
+		d.confirmedAt, d.absence = d.cur.InstancesConfirmedAt, false
 		d.listedAt, d.answeredAt = d.answeredAt, c.confirmed
 	}
 	if d.down[f] {
@@ -271,10 +271,10 @@
 	d.cur.StoreUp = len(d.down) == 0
 	switch f {
 	case feedConfig:
-		d.cur.ConfigAt = max(d.cur.ConfigAt, c.confirmed)
-		d.cur.ProvenAt = max(d.cur.ProvenAt, c.asked)
+		d.cur.ConfigConfirmedAt = max(d.cur.ConfigConfirmedAt, c.confirmed)
+		d.cur.ConfigFreshAt = max(d.cur.ConfigFreshAt, c.asked)
 	case feedInstances:
-		d.cur.InstancesAt = max(d.cur.InstancesAt, c.confirmed)
+		d.cur.InstancesConfirmedAt = max(d.cur.InstancesConfirmedAt, c.confirmed)
 	}
 }
 
@@ -313,7 +313,7 @@
 		}
 		d.cur.Config, d.configObject = cfg, obj
 		if !c.settled { // another process has hidden what it told
-			obj = d.o.Hide(obj)
+			obj = d.o.RedactConfig(obj)
 		}
 		d.tell(objstore.Event{Object: obj})
 		level.Info(d.logger).Log("msg", "configuration in force", "version", cfg.Version, "revision", obj.Version, "routes", len(cfg.Routes), "workspaces", cfg.Workspaces())
@@ -347,7 +347,7 @@
 	}
 	d.cur.Processes = len(d.members)
 	if _, listed := d.members[d.o.Prefixes.Members+d.o.Self.Name]; !listed && d.joined {
-		d.o.Missing()
+		d.o.OnUnregistered()
 	}
 	d.joined = true
 	d.nameSchedulers()
@@ -363,7 +363,7 @@
 func (d *Discovery) publish() {
 	v := d.cur
 	v.Instances = d.instances
-	v.IndexFrom(d.view.Load(), d.touched)
+	v.IndexChanges(d.view.Load(), d.touched)
 	clear(d.touched)
 	d.feed.Apply(d.news) // before the view, whose ages hold for who copies the feed after it
 	d.news = nil
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -43,7 +43,7 @@
 
 func followingOn(t *testing.T, fake *fleetstore.Server, relay discovery.Relay) func() *fleet.View {
 	t.Helper()
-	for n := range members.FullMesh + 2 {
+	for n := range members.MaxFullMesh + 2 {
 		setMember(t, fake, fmt.Sprint("m-", n))
 	}
 	return startOn(t, fake, relay)
@@ -78,16 +78,16 @@
 	t.Helper()
 	server := httptest.NewServer(fake)
 	t.Cleanup(server.Close)
-	store := platform.NewStore(server.Listener.Addr().String()).AnswerWithin(discovery.AnswerWithin(apply))
+	store := platform.NewStore(server.Listener.Addr().String()).WithPageTimeout(discovery.StoreCallTimeout(apply))
 	require.NoError(t, members.Register(context.Background(), store, platform.MemberPrefix, self))
 	d := discovery.New(discovery.Options{
-		Self: self, Run: self.Incarnation, Relay: relay, Missing: missing,
-		Store: store, Stale: store.Stale(),
+		Self: self, RunID: self.Incarnation, Relay: relay, OnUnregistered: missing,
+		Store: store, Stale: store.WithStaleReads(),
 		Prefixes: discovery.Prefixes{
 			Config: platform.ConfigPrefix, Instances: platform.InstancePrefix, Rules: platform.RulesPrefix, Members: platform.MemberPrefix, Directory: platform.DirectoryPrefix,
 		},
 		DecodeConfig: platform.DecodeConfig, DecodeInstance: platform.DecodeInstance,
-		Apply: apply, Settle: apply, Within: within, LapseKept: lapseKept, Metrics: metrics.NewRegistry(), Logger: log.NewNopLogger(),
+		ApplyLimit: apply, SettleTime: apply, PropagationLimit: within, ExpiredRetention: lapseKept, Metrics: metrics.NewRegistry(), Logger: log.NewNopLogger(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -169,7 +169,7 @@
 	eventually(t, func() bool { return len(view().Usable("s")) == 2 })
 	setInstance(fake, "i-1", "draining")
 	eventually(t, func() bool { return len(view().Usable("s")) == 1 })
-	require.False(t, view().Takes("s", "i-1"))
+	require.False(t, view().Accepts("s", "i-1"))
 	fake.Remove("servers", "i-2")
 	eventually(t, func() bool { return len(view().Usable("s")) == 0 })
 }
@@ -194,9 +194,9 @@
 	require.Nil(t, view().Instances["i-3"], "one that was draining does not")
 	setInstance(fake, "i-1", "ready")
 	eventually(t, func() bool { return len(view().Usable("s")) == 1 })
-	require.True(t, view().Takes("s", "i-1"))
+	require.True(t, view().Accepts("s", "i-1"))
 	time.Sleep(lapseKept)
-	require.True(t, view().Takes("s", "i-1"))
+	require.True(t, view().Accepts("s", "i-1"))
 }
 
 // TestGoneAndBackInOneAnswer is the fault that lost every engine for the rest of
@@ -213,7 +213,7 @@
 	fake.SetFaults(fleetstore.Faults{})
 	eventually(t, func() bool { return view().StoreUp })
 	time.Sleep(lapseKept + apply)
-	require.True(t, view().Takes("s", "i-1"))
+	require.True(t, view().Accepts("s", "i-1"))
 }
 
 // TestLapsedWhileAnotherFeedFailed covers an outage that the feed of the instances
@@ -226,8 +226,8 @@
 	eventually(t, func() bool { return !view().StoreUp })
 	fake.Remove("servers", "i-1")
 	time.Sleep(lapseKept / 3)
-	require.True(t, view().Takes("s", "i-1"), "it may come back")
-	eventually(t, func() bool { return !view().Takes("s", "i-1") })
+	require.True(t, view().Accepts("s", "i-1"), "it may come back")
+	eventually(t, func() bool { return !view().Accepts("s", "i-1") })
 }
 
 // TestProofNeedsAnAnswer checks that the proof ages while the store is silent, and through
@@ -235,11 +235,11 @@
 func TestProofNeedsAnAnswer(t *testing.T) {
 	fake, view := start(t)
 	setConfig(fake, 1)
-	eventually(t, func() bool { return version(view()) == 1 && view().ProofAge() < apply })
+	eventually(t, func() bool { return version(view()) == 1 && view().ConfigStaleness() < apply })
 	fake.SetFaults(fleetstore.Faults{Silent: true})
-	eventually(t, func() bool { return view().ProofAge() > 2*apply })
+	eventually(t, func() bool { return view().ConfigStaleness() > 2*apply })
 	fake.SetFaults(fleetstore.Faults{})
-	eventually(t, func() bool { return view().ProofAge() < apply })
+	eventually(t, func() bool { return view().ConfigStaleness() < apply })
 }
 
 // TestRegistrationsOfOtherWriters checks that what cannot be read names no instance and
@@ -254,8 +254,8 @@
 		setInstance(fake, "i-2", "ready")
 		eventually(t, func() bool { return len(view().Usable("s")) == 2 })
 		fake.Set("servers", "i-1", odd)
-		eventually(t, func() bool { return !view().Takes("s", "i-1") })
-		require.True(t, view().Takes("s", "i-2"))
+		eventually(t, func() bool { return !view().Accepts("s", "i-1") })
+		require.True(t, view().Accepts("s", "i-2"))
 	}
 }
 
@@ -272,7 +272,7 @@
 
 	fake = fleetstore.New()
 	told = make(chan struct{}, 100)
-	for n := range members.FullMesh + 2 {
+	for n := range members.MaxFullMesh + 2 {
 		setMember(t, fake, fmt.Sprint("m-", n))
 	}
 	startWith(t, fake, deaf{}, func() { told <- struct{}{} })
@@ -310,7 +310,7 @@
 func TestLossesInSuccessionKeepNobodyForLonger(t *testing.T) {
 	fake, view := start(t)
 	setInstance(fake, "i-1", "ready")
-	eventually(t, func() bool { return view().Takes("s", "i-1") })
+	eventually(t, func() bool { return view().Accepts("s", "i-1") })
 	fake.SetFaults(fleetstore.Faults{DownKind: "servers"})
 	eventually(t, func() bool { return !view().StoreUp })
 	fake.Remove("servers", "i-1")
@@ -321,7 +321,7 @@
 		fake.SetFaults(fleetstore.Faults{DownKind: "servers"})
 		eventually(t, func() bool { return !view().StoreUp })
 	}
-	require.False(t, view().Takes("s", "i-1"), "it left %s ago", time.Since(removed))
+	require.False(t, view().Accepts("s", "i-1"), "it left %s ago", time.Since(removed))
 }
 
 // heldBack answers from what the store holds when a question comes, and tells it later.
@@ -365,6 +365,6 @@
 	}
 	fake.SetFaults(fleetstore.Faults{Delay: way})
 	view := startOn(t, fake, nil)
-	require.Eventually(t, func() bool { return view().Listed }, soon, time.Millisecond)
+	require.Eventually(t, func() bool { return view().InstancesKnown }, soon, time.Millisecond)
 	require.Less(t, view().InstancesAge(), pages*way/2)
 }
--- a/internal/discovery/era.go
+++ b/internal/discovery/era.go
@@ -53,7 +53,7 @@
 
 // registerAgain has this process look whether the copy has its registration.
 func (d *Discovery) registerAgain() {
-	time.AfterFunc(d.ownPart(registerSpread), d.o.Restored)
+	time.AfterFunc(d.ownPart(registerSpread), d.o.OnStoreRestored)
 }
 
 // resetMembers begins to take in a whole list of the members. Those that were known stay a while if the
@@ -85,7 +85,7 @@
 // justRestored reports whether what is missing may still be written again: the platform has those that
 // run write again within about two seconds of the store's return.
 func (d *Discovery) justRestored() bool {
-	return d.era.restored && bootclock.Since(d.era.at) < max(d.o.LapseKept, registerSpread)
+	return d.era.restored && bootclock.Since(d.era.at) < max(d.o.ExpiredRetention, registerSpread)
 }
 
 // leftBefore reports whether a registration that may be of the copy is of an instance of which this
@@ -98,5 +98,5 @@
 		return went.version.Era() < v.Era()
 	}
 	old := d.instances[i.ID]
-	return old != nil && old.Draining && !i.Draining && old.Born == i.Born && d.versions[i.ID].Era() < v.Era()
+	return old != nil && old.Draining && !i.Draining && old.StartTime == i.StartTime && d.versions[i.ID].Era() < v.Era()
 }
--- a/internal/discovery/era_test.go
+++ b/internal/discovery/era_test.go
@@ -40,9 +40,9 @@
 	fake.Remove("servers", "i-gone")
 	setInstance(fake, "i-new", "ready")
 	eventually(t, func() bool {
-		return version(see()) == 2 && see().Takes("s", "i-new") && see().Instances["i-gone"] == nil
+		return version(see()) == 2 && see().Accepts("s", "i-new") && see().Instances["i-gone"] == nil
 	})
-	require.False(t, see().Takes("s", "i-drains"))
+	require.False(t, see().Accepts("s", "i-drains"))
 	fake.Restore(time.Since(copied) + before/10)
 	eventually(t, func() bool { return see().Era == 4 })
 	return fake, see
@@ -54,9 +54,9 @@
 func TestAStoreComesBackFromAnOlderCopy(t *testing.T) {
 	fake, see := restored(t)
 	setInstance(fake, "i-often", "draining")
-	eventually(t, func() bool { return !see().Takes("s", "i-often") })
+	eventually(t, func() bool { return !see().Accepts("s", "i-often") })
 	setInstance(fake, "i-later", "ready")
-	eventually(t, func() bool { return see().Takes("s", "i-later") })
+	eventually(t, func() bool { return see().Accepts("s", "i-later") })
 }
 
 // The copy says that instances are ready that have said since that they leave, or have gone, and it has
@@ -65,22 +65,22 @@
 	_, see := restored(t)
 	for begun := time.Now(); time.Since(begun) < 2*lapseKept; time.Sleep(tick) {
 		v := see()
-		require.False(t, v.Takes("s", "i-drains"))
-		require.False(t, v.Takes("s", "i-gone"))
+		require.False(t, v.Accepts("s", "i-drains"))
+		require.False(t, v.Accepts("s", "i-gone"))
 		require.Equal(t, int64(2), version(v))
-		require.True(t, v.Takes("s", "i-stays"))
+		require.True(t, v.Accepts("s", "i-stays"))
 	}
 }
 
 // An instance that the copy lacks is used for as long as instances have to write again.
 func TestWhatTheCopyLacksHasTimeToBeWrittenAgain(t *testing.T) {
 	fake, see := restored(t)
-	require.True(t, see().Takes("s", "i-new"))
+	require.True(t, see().Accepts("s", "i-new"))
 	time.Sleep(lapseKept / 3)
-	require.True(t, see().Takes("s", "i-new"))
+	require.True(t, see().Accepts("s", "i-new"))
 	setInstance(fake, "i-new", "ready")
 	time.Sleep(2 * lapseKept)
-	require.True(t, see().Takes("s", "i-new"), "it has written again")
+	require.True(t, see().Accepts("s", "i-new"), "it has written again")
 
 	_, see = restored(t)
 	eventually(t, func() bool { return see().Instances["i-new"] == nil })
@@ -92,7 +92,7 @@
 	fake.Set("config", "main", map[string]any{"version": 2, "services": []map[string]any{{"name": "anew"}}})
 	eventually(t, func() bool { _, anew := see().Config.Services["anew"]; return anew })
 	setInstance(fake, "i-gone", "ready")
-	eventually(t, func() bool { return see().Takes("s", "i-gone") })
+	eventually(t, func() bool { return see().Accepts("s", "i-gone") })
 	setConfig(fake, 3)
 	eventually(t, func() bool { return version(see()) == 3 })
 }
@@ -126,8 +126,8 @@
 		Key: "config/main", Version: objstore.Version(objstore.InEra(2, 30)), Value: []byte(`{"version": 1}`),
 	}})
 	eventually(t, func() bool { return version(see()) == 1 })
-	keepTelling(t, relay, func() discovery.Followed {
-		return discovery.Followed{Age: time.Millisecond, InstancesRevision: 7, Processes: 30, Schedulers: []members.Member{{Name: "other"}}}
+	keepTelling(t, relay, func() discovery.RelayUpdate {
+		return discovery.RelayUpdate{Age: time.Millisecond, InstancesRevision: 7, Processes: 30, Schedulers: []members.Member{{Name: "other"}}}
 	})
 	setConfig(fake, 2)
 	require.Eventually(t, func() bool { return version(see()) == 2 }, within, tick)
--- a/internal/discovery/flood_test.go
+++ b/internal/discovery/flood_test.go
@@ -21,7 +21,7 @@
 	fake, view := start(t)
 	setConfig(fake, 1)
 	setInstance(fake, "i-0", "ready")
-	eventually(t, func() bool { return view().Takes("s", "i-0") })
+	eventually(t, func() bool { return view().Accepts("s", "i-0") })
 	before, n := fake.Calls(), 0
 	for end := time.Now().Add(floodFor); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		n++
@@ -58,6 +58,6 @@
 	time.Sleep(within / 10)
 	begun := time.Now()
 	setInstance(fake, "i-0", "ready")
-	eventually(t, func() bool { return view().Takes("s", "i-0") })
+	eventually(t, func() bool { return view().Accepts("s", "i-0") })
 	require.Less(t, time.Since(begun), within/25)
 }
--- a/internal/discovery/instances.go
+++ b/internal/discovery/instances.go
@@ -51,7 +51,7 @@
 // one changed to it took engines out that had just registered, for up to a minute.
 func (d *Discovery) applyInstances(c changed) {
 	if c.reset {
-		d.cur.Listed = true
+		d.cur.InstancesKnown = true
 		listed := map[string]bool{}
 		for _, e := range c.events {
 			listed[nameOf(e.Object.Key)] = true
@@ -134,7 +134,7 @@
 // does one of which another process has settled this.
 func (d *Discovery) removeInstance(id string, settled bool) {
 	i := d.instances[id]
-	if i == nil || i.Lapsed && !settled {
+	if i == nil || i.Expired && !settled {
 		return
 	}
 	if !settled && !i.Draining && (d.justRestored() || d.storeWasAway()) {
@@ -154,12 +154,12 @@
 // reached an instance beyond the bound, after three watchers had been cut off for 1.1 s.
 func (d *Discovery) lapse(i *fleet.Instance) {
 	now := bootclock.Now()
-	l := lapse{until: now.Add(d.o.LapseKept), absence: d.absence || d.justRestored()}
+	l := lapse{until: now.Add(d.o.ExpiredRetention), absence: d.absence || d.justRestored()}
 	if !l.absence {
-		l.until = min(l.until, d.lapseFrom().Add(time.Duration(lapseShare*float64(d.o.Within))))
+		l.until = min(l.until, d.lapseFrom().Add(time.Duration(lapseShare*float64(d.o.PropagationLimit))))
 	}
 	kept := *i
-	kept.Lapsed = true
+	kept.Expired = true
 	d.instances[i.ID], d.touched[i.ID] = &kept, true
 	d.lapsed[i.ID] = l
 	level.Info(d.logger).Log("msg", "instance lapsed", "id", i.ID, "service", i.Service, "address", i.Address, "kept_for", l.until.Sub(now).Round(time.Millisecond),
@@ -181,10 +181,10 @@
 // 3 s some had not, and took what was kept here for registered.
 func (d *Discovery) returned(now bootclock.Instant) {
 	loss := now.Sub(d.confirmedAt)
-	d.absence = loss >= d.o.Within && now.Sub(d.lostAt) >= leastAbsence
+	d.absence = loss >= d.o.PropagationLimit && now.Sub(d.lostAt) >= leastAbsence
 	for id, l := range d.lapsed {
 		if d.absence && l.absence {
-			l.until = now.Add(d.o.LapseKept)
+			l.until = now.Add(d.o.ExpiredRetention)
 			d.lapsed[id] = l
 		}
 	}
@@ -215,7 +215,7 @@
 	if d.failedAt == 0 {
 		return false
 	}
-	return len(d.down) > 0 || bootclock.Since(d.failedAt) < awayRecent || bootclock.Since(d.backAt) < d.o.LapseKept
+	return len(d.down) > 0 || bootclock.Since(d.failedAt) < awayRecent || bootclock.Since(d.backAt) < d.o.ExpiredRetention
 }
 
 // dropLapsed removes lapsed instances that did not come back in time.
--- a/internal/discovery/mode.go
+++ b/internal/discovery/mode.go
@@ -75,7 +75,7 @@
 // knowsFleet reports whether a list shows that the fleet is large, that it has been there
 // for a while, or that the list is as new as this process's own registration.
 func (d *Discovery) knowsFleet(all []members.Member) bool {
-	if len(all) > members.FullMesh {
+	if len(all) > members.MaxFullMesh {
 		return true
 	}
 	return slices.ContainsFunc(all, func(m members.Member) bool {
@@ -89,7 +89,7 @@
 	mesh := members.Schedulers(all, nil)
 	schedulers := members.Schedulers(all, d.passOver)
 	for _, m := range schedulers {
-		if !members.Contain(mesh, m.Name) {
+		if !members.Contains(mesh, m.Name) {
 			mesh = append(mesh, m)
 		}
 	}
@@ -97,13 +97,15 @@
 }
 
 // passOver reports whether another scheduler takes the place of one.
-func (d *Discovery) passOver(name string) bool { return name != d.o.Self.Name && d.o.Silent(name) }
+func (d *Discovery) passOver(name string) bool {
+	return name != d.o.Self.Name && d.o.IsUnresponsive(name)
+}
 
 // setSchedulers takes in who the schedulers are.
 func (d *Discovery) setSchedulers(all, watchers, mesh []members.Member) {
 	same := sameNames(all, d.cur.Schedulers) && sameNames(watchers, d.cur.Watchers)
-	d.cur.Schedulers, d.cur.Watchers, d.cur.Mesh = all, watchers, mesh
-	d.cur.Scheduling = members.Contain(all, d.o.Self.Name)
+	d.cur.Schedulers, d.cur.Watchers, d.cur.GossipPeers = all, watchers, mesh
+	d.cur.Scheduling = members.Contains(all, d.o.Self.Name)
 	if !same {
 		level.Info(d.logger).Log("msg", "schedulers", "names", strings.Join(members.Names(all), ","), "watchers", strings.Join(members.Names(watchers), ","), "processes", d.cur.Processes)
 	}
@@ -134,7 +136,7 @@
 	if d.stopMode != nil {
 		d.stopMode()
 	}
-	if d.mode == following && next == watching && d.cur.Processes > members.FullMesh {
+	if d.mode == following && next == watching && d.cur.Processes > members.MaxFullMesh {
 		d.appointed = bootclock.Now() // not by one that has not seen the whole of a new fleet
 	}
 	level.Info(d.logger).Log("msg", "mode", "watching", next == watching, "processes", d.cur.Processes)
@@ -156,7 +158,7 @@
 	switch {
 	case !d.joined:
 		return undecided
-	case len(d.cur.Schedulers) == 0 || members.Contain(d.cur.Watchers, d.o.Self.Name):
+	case len(d.cur.Schedulers) == 0 || members.Contains(d.cur.Watchers, d.o.Self.Name):
 		return watching
 	case d.mode == watching && d.appointed != 0 && bootclock.Since(d.appointed) < appointedFor:
 		return watching
@@ -171,15 +173,15 @@
 	}
 }
 
-// AnswerWithin returns how long one answer of the store may take where a change must be in
+// StoreCallTimeout returns how long one answer of the store may take where a change must be in
 // force within apply.
-func AnswerWithin(apply time.Duration) time.Duration {
+func StoreCallTimeout(apply time.Duration) time.Duration {
 	return time.Duration(answerShare * float64(apply))
 }
 
 // follower returns a follower of one kind of objects.
 func (d *Discovery) follower(s source) *follower {
-	f := &follower{feed: s, prefix: d.prefixOf(s), store: d.o.Store, wait: d.wait, answerWithin: AnswerWithin(d.o.Apply), retryMost: retryMost, gap: d.gap(), events: d.events, logger: d.logger}
+	f := &follower{feed: s, prefix: d.prefixOf(s), store: d.o.Store, wait: d.wait, answerWithin: StoreCallTimeout(d.o.ApplyLimit), retryMost: retryMost, gap: d.gap(), events: d.events, logger: d.logger}
 	switch s {
 	case feedRules:
 		f.store, f.wait, f.retryMost = d.o.Stale, d.slowWait, retryMost*slowFactor
@@ -204,16 +206,18 @@
 }
 
 // ownWait is how long a watch waits in a fleet in which all watch.
-func (d *Discovery) ownWait() time.Duration { return time.Duration(waitShare * float64(d.o.Settle)) }
+func (d *Discovery) ownWait() time.Duration {
+	return time.Duration(waitShare * float64(d.o.SettleTime))
+}
 
 // wait is how long a watch of the configuration or the instances waits now.
 func (d *Discovery) wait() time.Duration {
 	wait := d.ownWait()
-	if d.View().Processes > members.FullMesh {
-		wait = min(wait, time.Duration(sharedShare*float64(d.o.Within)))
+	if d.View().Processes > members.MaxFullMesh {
+		wait = min(wait, time.Duration(sharedShare*float64(d.o.PropagationLimit)))
 	}
-	if d.o.Prove > 0 {
-		wait = min(wait, time.Duration(proveShare*float64(d.o.Prove)))
+	if d.o.MaxConfigStaleness > 0 {
+		wait = min(wait, time.Duration(proveShare*float64(d.o.MaxConfigStaleness)))
 	}
 	return wait
 }
@@ -224,7 +228,9 @@
 const gapShare = 0.04
 
 // gap is how far two questions lie apart while changes come.
-func (d *Discovery) gap() time.Duration { return time.Duration(gapShare * float64(d.o.Within)) }
+func (d *Discovery) gap() time.Duration {
+	return time.Duration(gapShare * float64(d.o.PropagationLimit))
+}
 
 // slowWait is how long a watch of rules or members waits.
 func (d *Discovery) slowWait() time.Duration { return d.ownWait() * slowFactor }
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -19,9 +19,9 @@
 
 // decodeAhead decodes the registrations of a process's first copy in small pieces, where it serves already: at once
 // they keep a small host from its requests for half a second. The copy gets older by that.
-func (d *Discovery) decodeAhead(ctx context.Context, f *Followed) {
+func (d *Discovery) decodeAhead(ctx context.Context, f *RelayUpdate) {
 	v := d.View()
-	if !f.Full || !v.Ready() || v.Listed {
+	if !f.Full || !v.Ready() || v.InstancesKnown {
 		return
 	}
 	begun := bootclock.Now()
--- a/internal/discovery/relay.go
+++ b/internal/discovery/relay.go
@@ -59,25 +59,25 @@
 type Relay interface {
 	// Follow returns what has changed since a position, as soon as something has or after
 	// a short while. It fails if no scheduler answers.
-	Follow(ctx context.Context, after feed.Position) (Followed, error)
-	// Newer returns all that another scheduler has, if it is fresher than what this process
+	Follow(ctx context.Context, after feed.Position) (RelayUpdate, error)
+	// FetchFresher returns all that another scheduler has, if it is fresher than what this process
 	// has, of an age. The error is of kind NotFound if none of those that were asked is.
-	Newer(ctx context.Context, age time.Duration) (Followed, error)
+	FetchFresher(ctx context.Context, age time.Duration) (RelayUpdate, error)
 }
 
-// Followed is what a scheduler says of the deployment.
-type Followed struct {
+// RelayUpdate is what a scheduler says of the deployment.
+type RelayUpdate struct {
 	feed.Update
 	// Age is how long ago the store confirmed to the scheduler that there was nothing newer.
 	Age time.Duration
-	// ProvenAt is until when the configuration is proven to have been the newest one, by the
+	// ConfigFreshAt is until when the configuration is proven to have been the newest one, by the
 	// clock of this process.
-	ProvenAt bootclock.Instant
+	ConfigFreshAt bootclock.Instant
 	// StoreUp is false while the store does not answer there.
 	StoreUp   bool
 	Processes int
-	// Head is true if Events are only the configuration and the rules.
-	Head bool
+	// Partial is true if Events are only the configuration and the rules.
+	Partial bool
 	// InstancesRevision is the store's revision up to which the scheduler knows the
 	// registrations.
 	InstancesRevision objstore.Revision
@@ -90,15 +90,15 @@
 }
 
 // before reports whether a copy is of a process that has not seen an era of the store.
-func (f *Followed) before(era int64) bool {
+func (f *RelayUpdate) before(era int64) bool {
 	return f.InstancesRevision != 0 && f.InstancesRevision.Era() < era
 }
 
 // followed is a Followed as an event.
-type followed struct{ Followed }
+type followed struct{ RelayUpdate }
 
 // copied is a Followed of a process that this one does not follow.
-type copied struct{ Followed }
+type copied struct{ RelayUpdate }
 
 // followSchedulers follows schedulers until ctx ends. While none answers it looks at the
 // store now and then.
@@ -111,13 +111,13 @@
 		f, err := d.o.Relay.Follow(ctx, at)
 		if err == nil {
 			if bootclock.Since(answered) > missedAfter {
-				d.o.Missing()
+				d.o.OnUnregistered()
 			}
 			at, answered = f.Position, bootclock.Now()
 			d.decodeAhead(ctx, &f)
 			d.send(ctx, followed{f})
 			lookNext = d.lookItself(ctx, f, lookNext)
-			if f.Head {
+			if f.Partial {
 				pause(ctx, d.tooOld(headShare))
 				continue
 			}
@@ -183,18 +183,18 @@
 // bound in a fleet of 65 whose three watchers were cut off, and rules of place stayed as they were
 // until the cut had ended. f is what it was told last. It looks from next on, and returns when
 // it may do so again.
-func (d *Discovery) lookItself(ctx context.Context, f Followed, next bootclock.Instant) bootclock.Instant {
+func (d *Discovery) lookItself(ctx context.Context, f RelayUpdate, next bootclock.Instant) bootclock.Instant {
 	v := d.View()
-	age, proof := v.Age(), v.ProofAge()
+	age, proof := v.Age(), v.ConfigStaleness()
 	if !f.before(v.Era) { // what is left out makes this process no younger
-		age, proof = min(age, f.Age), min(proof, bootclock.Since(f.ProvenAt))
+		age, proof = min(age, f.Age), min(proof, bootclock.Since(f.ConfigFreshAt))
 	}
 	var wanted []source
 	switch {
 	case bootclock.Now() < next:
 	case age > d.oldest(v):
 		wanted = []source{feedInstances, feedConfig, feedRules}
-	case d.o.Prove > 0 && proof > time.Duration(proveAloneShare*float64(d.o.Prove)):
+	case d.o.MaxConfigStaleness > 0 && proof > time.Duration(proveAloneShare*float64(d.o.MaxConfigStaleness)):
 		wanted = []source{feedConfig}
 	}
 	if wanted == nil {
@@ -229,7 +229,7 @@
 
 // copyNewer asks others for what is fresher than what this process has, of an age.
 func (d *Discovery) copyNewer(ctx context.Context, age time.Duration) {
-	f, err := d.o.Relay.Newer(ctx, age)
+	f, err := d.o.Relay.FetchFresher(ctx, age)
 	if err != nil {
 		level.Info(d.logger).Log("msg", "nobody has a fresher copy", "age", age.Round(time.Millisecond), "err", err)
 		return
@@ -249,11 +249,11 @@
 
 // tooOld returns the age that is a share of the bound.
 func (d *Discovery) tooOld(share float64) time.Duration {
-	return time.Duration(share * float64(d.o.Within))
+	return time.Duration(share * float64(d.o.PropagationLimit))
 }
 
 // adopt takes in what a scheduler says.
-func (d *Discovery) adopt(f Followed) {
+func (d *Discovery) adopt(f RelayUpdate) {
 	if d.mode != following {
 		return
 	}
@@ -265,23 +265,23 @@
 	d.cur.StoreUp = f.StoreUp
 	d.cur.Processes = f.Processes
 	d.setSchedulers(f.Schedulers, f.Watchers, f.Mesh)
-	if f.Head && d.cur.CopyAt == 0 {
-		d.cur.CopyAt = bootclock.Now().Add(d.ownPart(d.spreadBy(copyEach)))
+	if f.Partial && d.cur.FullSnapshotAt == 0 {
+		d.cur.FullSnapshotAt = bootclock.Now().Add(d.ownPart(d.spreadBy(copyEach)))
 	}
 }
 
 // takeIn takes in the copy of another process.
-func (d *Discovery) takeIn(f Followed) {
+func (d *Discovery) takeIn(f RelayUpdate) {
 	d.seeEra(f.InstancesRevision, "another process")
 	if f.before(d.era.number) {
 		return
 	}
 	at := bootclock.Now().Add(-f.Age)
-	d.cur.ConfigAt, d.cur.InstancesAt = max(d.cur.ConfigAt, at), max(d.cur.InstancesAt, at)
-	d.cur.ProvenAt = max(d.cur.ProvenAt, f.ProvenAt)
-	d.cur.Headed = true
+	d.cur.ConfigConfirmedAt, d.cur.InstancesConfirmedAt = max(d.cur.ConfigConfirmedAt, at), max(d.cur.InstancesConfirmedAt, at)
+	d.cur.ConfigFreshAt = max(d.cur.ConfigFreshAt, f.ConfigFreshAt)
+	d.cur.Partial = true
 	for _, s := range []source{feedConfig, feedInstances, feedRules} {
-		if f.Head && s == feedInstances {
+		if f.Partial && s == feedInstances {
 			continue
 		}
 		c := changed{feed: s, reset: f.Full, settled: true, revision: f.InstancesRevision, decoded: f.decoded}
--- a/internal/discovery/relay_test.go
+++ b/internal/discovery/relay_test.go
@@ -17,20 +17,20 @@
 )
 
 // copies is a relay that hands out what a test puts in.
-type copies chan discovery.Followed
+type copies chan discovery.RelayUpdate
 
-// Newer implements discovery.Relay.
-func (c copies) Newer(context.Context, time.Duration) (discovery.Followed, error) {
-	return discovery.Followed{}, fault.New(fault.NotFound, "no other scheduler has a fresher copy", "none in a test")
+// FetchFresher implements discovery.Relay.
+func (c copies) FetchFresher(context.Context, time.Duration) (discovery.RelayUpdate, error) {
+	return discovery.RelayUpdate{}, fault.New(fault.NotFound, "no other scheduler has a fresher copy", "none in a test")
 }
 
 // Follow implements discovery.Relay.
-func (c copies) Follow(ctx context.Context, _ feed.Position) (discovery.Followed, error) {
+func (c copies) Follow(ctx context.Context, _ feed.Position) (discovery.RelayUpdate, error) {
 	select {
 	case f := <-c:
 		return f, nil
 	case <-ctx.Done():
-		return discovery.Followed{}, ctx.Err()
+		return discovery.RelayUpdate{}, ctx.Err()
 	}
 }
 
@@ -39,14 +39,14 @@
 	relay <- followedWith(full, revision, events...)
 }
 
-func followedWith(full bool, revision int, events ...objstore.Event) discovery.Followed {
-	return discovery.Followed{
+func followedWith(full bool, revision int, events ...objstore.Event) discovery.RelayUpdate {
+	return discovery.RelayUpdate{
 		Update: feed.Update{Full: full, Events: events}, InstancesRevision: objstore.Revision(revision), Processes: 30, Schedulers: []members.Member{{Name: "other"}},
 	}
 }
 
 // followedAt is what a scheduler says after one more instance has registered.
-func followedAt(revision int) discovery.Followed {
+func followedAt(revision int) discovery.RelayUpdate {
 	return followedWith(false, revision, registered(fmt.Sprint("i-", revision), revision))
 }
 
@@ -69,25 +69,25 @@
 	tell(relay, true, 10, registered("i-1", 5), registered("i-2", 10))
 	eventually(t, func() bool { return len(view().Usable("s")) == 2 })
 	tell(relay, true, 9, registered("i-1", 5), registered("i-3", 9))
-	eventually(t, func() bool { return view().Takes("s", "i-3") })
-	require.True(t, view().Takes("s", "i-2"), "the copy may not have it yet")
+	eventually(t, func() bool { return view().Accepts("s", "i-3") })
+	require.True(t, view().Accepts("s", "i-2"), "the copy may not have it yet")
 	tell(relay, true, 11, registered("i-1", 5), registered("i-3", 9))
-	eventually(t, func() bool { return !view().Takes("s", "i-2") })
+	eventually(t, func() bool { return !view().Accepts("s", "i-2") })
 	tell(relay, true, 9, registered("i-1", 5), registered("i-2", 10), registered("i-4", 9))
-	eventually(t, func() bool { return view().Takes("s", "i-4") })
-	require.False(t, view().Takes("s", "i-2"), "it has gone")
+	eventually(t, func() bool { return view().Accepts("s", "i-4") })
+	require.False(t, view().Accepts("s", "i-2"), "it has gone")
 }
 
 // tellOlder has a process hear, until the test ends, what a scheduler has that was cut off from
 // the store at a time: a copy that gets older and older.
 func tellOlder(t *testing.T, relay copies, cut time.Time, events ...objstore.Event) {
-	keepTelling(t, relay, func() discovery.Followed {
-		return discovery.Followed{Age: time.Since(cut), InstancesRevision: 1, Processes: 30, Schedulers: []members.Member{{Name: "other"}}, Update: feed.Update{Events: events}}
+	keepTelling(t, relay, func() discovery.RelayUpdate {
+		return discovery.RelayUpdate{Age: time.Since(cut), InstancesRevision: 1, Processes: 30, Schedulers: []members.Member{{Name: "other"}}, Update: feed.Update{Events: events}}
 	})
 }
 
 // keepTelling has a process hear, until the test ends, what a scheduler has.
-func keepTelling(t *testing.T, relay copies, has func() discovery.Followed) {
+func keepTelling(t *testing.T, relay copies, has func() discovery.RelayUpdate) {
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
 	go func() {
@@ -116,26 +116,26 @@
 		configAt(1),
 		registered("i-1", 1),
 	)
-	require.Eventually(t, func() bool { return version(view()) == 1 && view().Takes("s", "i-1") }, within/2, tick)
-	require.Eventually(t, func() bool { return version(view()) == 2 && !view().Takes("s", "i-1") }, within-time.Since(cut), tick)
+	require.Eventually(t, func() bool { return version(view()) == 1 && view().Accepts("s", "i-1") }, within/2, tick)
+	require.Eventually(t, func() bool { return version(view()) == 2 && !view().Accepts("s", "i-1") }, within-time.Since(cut), tick)
 	before := fake.Calls()
 	time.Sleep(within / 2)
 	require.LessOrEqual(t, fake.Calls()-before, 6)
 	require.Equal(t, int64(2), version(view()), "older copies change nothing")
-	require.False(t, view().Takes("s", "i-1"))
+	require.False(t, view().Accepts("s", "i-1"))
 }
 
 // deaf is a relay in which no scheduler answers.
 type deaf struct{}
 
 // Follow implements discovery.Relay.
-func (deaf) Follow(context.Context, feed.Position) (discovery.Followed, error) {
-	return discovery.Followed{}, fault.New(fault.Unavailable, "no scheduler answers", "none in a test")
+func (deaf) Follow(context.Context, feed.Position) (discovery.RelayUpdate, error) {
+	return discovery.RelayUpdate{}, fault.New(fault.Unavailable, "no scheduler answers", "none in a test")
 }
 
-// Newer implements discovery.Relay.
-func (deaf) Newer(context.Context, time.Duration) (discovery.Followed, error) {
-	return discovery.Followed{}, fault.New(fault.Unavailable, "no scheduler answers", "none in a test")
+// FetchFresher implements discovery.Relay.
+func (deaf) FetchFresher(context.Context, time.Duration) (discovery.RelayUpdate, error) {
+	return discovery.RelayUpdate{}, fault.New(fault.Unavailable, "no scheduler answers", "none in a test")
 }
 
 // A watcher keeps a registration that lapsed while the store was away, since the platform then
@@ -152,7 +152,7 @@
 		configAt(1),
 		registered("i-1", 1),
 	)
-	eventually(t, func() bool { return view().Takes("s", "i-1") })
+	eventually(t, func() bool { return view().Accepts("s", "i-1") })
 	fake.SetFaults(fleetstore.Faults{Down: true})
 	time.Sleep(within + within/10 - time.Since(cut)) // it has looked in vain
 	fake.Remove("servers", "i-1")
@@ -169,8 +169,8 @@
 	instance objstore.Event
 }
 
-// Newer implements discovery.Relay.
-func (s stillHas) Newer(context.Context, time.Duration) (discovery.Followed, error) {
+// FetchFresher implements discovery.Relay.
+func (s stillHas) FetchFresher(context.Context, time.Duration) (discovery.RelayUpdate, error) {
 	return followedWith(true, 1, s.instance), nil
 }
 
@@ -181,18 +181,18 @@
 	fake := fleetstore.New()
 	setInstance(fake, "i-1", "ready")
 	view := startOn(t, fake, stillHas{instance: registered("i-1", 1)})
-	eventually(t, func() bool { return view().Takes("s", "i-1") })
+	eventually(t, func() bool { return view().Accepts("s", "i-1") })
 	fake.SetFaults(fleetstore.Faults{DownKind: "servers"})
 	eventually(t, func() bool { return !view().StoreUp })
 	fake.Remove("servers", "i-1")
 	removed := time.Now()
 	eventually(t, func() bool { return view().InstancesAge() > within/2 })
 	require.Eventually(t, func() bool { return view().InstancesAge() < within/4 }, 2*within, time.Millisecond, "it copies")
-	require.True(t, view().Takes("s", "i-1"))
+	require.True(t, view().Accepts("s", "i-1"))
 	fake.SetFaults(fleetstore.Faults{})
 	eventually(t, func() bool { return view().StoreUp })
 	time.Sleep(max(within-time.Since(removed), within/10))
-	require.False(t, view().Takes("s", "i-1"), "it left %s ago", time.Since(removed))
+	require.False(t, view().Accepts("s", "i-1"), "it left %s ago", time.Since(removed))
 }
 
 // A process changed from a scheduler to one that was behind, and then heard from this one that
@@ -202,27 +202,27 @@
 	relay := make(copies)
 	view := startFollowing(t, relay)
 	tell(relay, true, 12, registered("i-1", 12))
-	eventually(t, func() bool { return view().Takes("s", "i-1") })
+	eventually(t, func() bool { return view().Accepts("s", "i-1") })
 	tell(relay, true, 6, registered("i-1", 5))
 	gone := registered("i-1", 5)
 	gone.Deleted, gone.Object.Value = true, nil
 	tell(relay, false, 8, gone)
 	tell(relay, false, 12, registered("i-1", 12), registered("i-2", 12))
-	eventually(t, func() bool { return view().Takes("s", "i-2") })
-	require.True(t, view().Takes("s", "i-1"))
+	eventually(t, func() bool { return view().Accepts("s", "i-2") })
+	require.True(t, view().Accepts("s", "i-1"))
 }
 
 // refusing is a relay whose schedulers answer that they are not ready.
 type refusing struct{}
 
 // Follow implements discovery.Relay.
-func (refusing) Follow(context.Context, feed.Position) (discovery.Followed, error) {
-	return discovery.Followed{}, fault.New(fault.Denied, "scheduler is not ready", "none in a test")
+func (refusing) Follow(context.Context, feed.Position) (discovery.RelayUpdate, error) {
+	return discovery.RelayUpdate{}, fault.New(fault.Denied, "scheduler is not ready", "none in a test")
 }
 
-// Newer implements discovery.Relay.
-func (refusing) Newer(context.Context, time.Duration) (discovery.Followed, error) {
-	return discovery.Followed{}, fault.New(fault.Denied, "scheduler is not ready", "none in a test")
+// FetchFresher implements discovery.Relay.
+func (refusing) FetchFresher(context.Context, time.Duration) (discovery.RelayUpdate, error) {
+	return discovery.RelayUpdate{}, fault.New(fault.Denied, "scheduler is not ready", "none in a test")
 }
 
 // TestAProcessWaitsForSchedulersThatStart checks that a process that is not ready leaves the
@@ -230,7 +230,7 @@
 func TestAProcessWaitsForSchedulersThatStart(t *testing.T) {
 	fake := fleetstore.New()
 	setConfig(fake, 1)
-	for n := range members.FullMesh + 2 {
+	for n := range members.MaxFullMesh + 2 {
 		setMember(t, fake, fmt.Sprint("m-", n))
 	}
 	view := startOn(t, fake, refusing{})
--- a/internal/discovery/spread_test.go
+++ b/internal/discovery/spread_test.go
@@ -15,7 +15,7 @@
 // they list from the store a second stays the same.
 func TestLooksOfAFleetAreSpreadByWhatTheyCost(t *testing.T) {
 	for _, c := range []struct{ processes, instances int }{{100, 1000}, {300, 3000}, {985, 10_003}, {2000, 20_000}} {
-		d := New(Options{Self: members.Member{Name: "self"}, Run: "r", Metrics: metrics.NewRegistry(), Logger: log.NewNopLogger()})
+		d := New(Options{Self: members.Member{Name: "self"}, RunID: "r", Metrics: metrics.NewRegistry(), Logger: log.NewNopLogger()})
 		d.joinBy(directory{Processes: c.processes, Instances: c.instances, Schedulers: []members.Member{{Name: "other"}}, Watchers: []string{"other"}})
 		d.publish()
 		listed := float64(c.processes*c.instances) / d.spread().Seconds()
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -55,7 +55,7 @@
 
 // refusalFor maps an error found before the request ran.
 func refusalFor(err error) *reply {
-	var limited *limits.Refusal
+	var limited *limits.RejectionError
 	if errors.As(err, &limited) {
 		return refusal(http.StatusTooManyRequests, string(limited.Err.Kind), limited.Err, limited.RetryAfter)
 	}
--- a/internal/entry/notice.go
+++ b/internal/entry/notice.go
@@ -13,11 +13,11 @@
 // heed takes in what the target of an attempt says of itself: whether it asks for rest, and whether it
 // limits the rate of requests.
 func (r *run) heed(t *config.Target, a *attempt.Attempt, sent bootclock.Instant) {
-	if rest := a.RestAsked(); rest > 0 {
-		r.s.notices.Rests(t.Name, r.c.id, rest)
+	if rest := a.RequestedBackoff(); rest > 0 {
+		r.s.notices.RecordBackoff(t.Name, r.c.id, rest)
 	}
 	if l, answered := a.RateLimit(); answered {
-		r.s.limits.Heard(t.Name, r.c.id, l, sent)
+		r.s.limits.RecordResponse(t.Name, r.c.id, l, sent)
 	}
 }
 
@@ -37,7 +37,7 @@
 			first = after
 		}
 	}
-	if rest := r.s.notices.FirstRest(names); rest > 0 && (first == 0 || rest < first) {
+	if rest := r.s.notices.ShortestBackoff(names); rest > 0 && (first == 0 || rest < first) {
 		first = rest
 	}
 	return cmp.Or(first, otherwise)
--- a/internal/entry/phases.go
+++ b/internal/entry/phases.go
@@ -68,7 +68,7 @@
 	header.Set(openai.PriorityHeader, enginePriority(r.c.priority))
 	header.Set(openai.PhaseHeader, openai.PhasePrefill)
 	sentAt := bootclock.Now()
-	a := r.s.runner.Start(r.ctx, attempt.Spec{
+	a := r.s.runner.Start(r.ctx, attempt.Request{
 		ID: r.c.id + "-p" + strconv.Itoa(r.attempts), Address: t.Address,
 		Method: r.c.method, URI: r.c.uri, Header: header, Body: r.c.body,
 	})
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -22,11 +22,11 @@
 	if r.s.o.Quarantine.Empty() {
 		return nil
 	}
-	v := r.s.o.Quarantine.Judge(r.fingerprint())
+	v := r.s.o.Quarantine.Admit(r.fingerprint())
 	if !v.Refused {
 		return nil
 	}
-	return refusal(http.StatusServiceUnavailable, codeQuarantined, suspects.Refusal(strings.Join(v.Ended, ", ")), v.RetryAfter)
+	return refusal(http.StatusServiceUnavailable, codeQuarantined, suspects.QuarantinedError(strings.Join(v.CrashedInstances, ", ")), v.RetryAfter)
 }
 
 // observe takes in how an attempt at the target ended that was sent at a time. A target that was
@@ -34,10 +34,10 @@
 func (r *run) observe(s statechart.State, sent time.Time) {
 	switch {
 	case s == charts.AttemptComplete && !r.s.o.Quarantine.Empty():
-		r.s.o.Quarantine.Sound(r.fingerprint())
+		r.s.o.Quarantine.RecordSuccess(r.fingerprint())
 	case s == charts.AttemptUnknown && r.ctx.Err() == nil && r.s.o.Snapshot().Available(r.target):
-		r.s.watch.Broke(suspects.Broken{
-			Request: r.c.id, Fingerprint: r.fingerprint(), Instance: r.target.Name, Address: r.target.Address, Ran: time.Since(sent),
+		r.s.watch.ReportBroken(suspects.BrokenConnection{
+			Request: r.c.id, Fingerprint: r.fingerprint(), Instance: r.target.Name, Address: r.target.Address, RunTime: time.Since(sent),
 		})
 	}
 }
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -41,7 +41,7 @@
 	w     http.ResponseWriter
 	ctx   context.Context
 	stop  context.CancelFunc
-	life  *lifecycle.Life
+	life  *lifecycle.Request
 	start time.Time
 
 	attempts int
@@ -71,7 +71,7 @@
 // do sends the call until it has a final state. It returns the reply that is
 // still owed to the caller, or nil if the answer was passed on.
 func (r *run) do() *reply {
-	r.s.retries.Request()
+	r.s.retries.RecordRequest()
 	r.countDemand()
 	rep := lifecycle.Serve(r.life, r)
 	if rep == nil {
@@ -84,16 +84,16 @@
 	return rep
 }
 
-// Rebase implements lifecycle.Steps.
-func (r *run) Rebase() *reply {
+// RefreshConfig implements lifecycle.Steps.
+func (r *run) RefreshConfig() *reply {
 	if err := r.c.rebase(r.s.o.Snapshot()); err != nil {
 		return refusalFor(err)
 	}
 	return r.s.mayCarry(r.c)
 }
 
-// Choose implements lifecycle.Steps. It counts the call at the target that it finds.
-func (r *run) Choose() *reply {
+// ChooseTarget implements lifecycle.Steps. It counts the call at the target that it finds.
+func (r *run) ChooseTarget() *reply {
 	r.readApart()
 	if rep := r.quarantined(); rep != nil {
 		return rep
@@ -108,8 +108,8 @@
 		cost.PrefillTokens = 0
 	}
 	full, rep := r.place(permitted, cost)
-	for waited := time.Duration(0); rep == nil && r.work == nil && r.limited(permitted) && waited < ratelimit.GrantWait; waited += ratelimit.GrantPoll {
-		time.Sleep(ratelimit.GrantPoll)
+	for waited := time.Duration(0); rep == nil && r.work == nil && r.limited(permitted) && waited < ratelimit.MaxGrantWait; waited += ratelimit.GrantPollInterval {
+		time.Sleep(ratelimit.GrantPollInterval)
 		r.waiting = true
 		full, rep = r.place(permitted, cost)
 	}
@@ -181,7 +181,7 @@
 		if work == nil {
 			continue
 		}
-		if _, ok := r.s.limits.Take(t.Name); !ok {
+		if _, ok := r.s.limits.UseGrant(t.Name); !ok {
 			work.End()
 			continue
 		}
@@ -214,7 +214,7 @@
 // this call, and how many have no room.
 func (r *run) candidates(permitted []*config.Target, fits func(*config.Target) bool) (cands []routing.Candidate, full int) {
 	for _, t := range permitted {
-		if r.avoid[t.Name] || r.s.notices.Rest(t.Name) > 0 || !fits(t) {
+		if r.avoid[t.Name] || r.s.notices.Backoff(t.Name) > 0 || !fits(t) {
 			continue
 		}
 		load := r.s.load(t, r.c)
@@ -222,7 +222,7 @@
 			full++
 			continue
 		}
-		if !r.s.o.Snapshot().Available(t) || !r.s.limits.Allows(t.Name, r.waiting) {
+		if !r.s.o.Snapshot().Available(t) || !r.s.limits.CheckGrant(t.Name, r.waiting) {
 			continue
 		}
 		cands = append(cands, routing.Candidate{Target: t, Load: load, Rates: routing.DefaultRates, Broken: r.s.breakers.broken(t.Name)})
@@ -262,7 +262,7 @@
 		header.Set(openai.ResumeHeader, strconv.Itoa(r.delivered))
 	}
 	sent, sentAt := time.Now(), bootclock.Now()
-	a := r.s.runner.Start(r.ctx, attempt.Spec{
+	a := r.s.runner.Start(r.ctx, attempt.Request{
 		ID: r.c.id + "-" + strconv.Itoa(r.attempts), Address: t.Address,
 		Method: r.c.method, URI: r.c.uri, Header: header, Body: r.c.body,
 	})
@@ -299,14 +299,14 @@
 	return "1"
 }
 
-// Repeatable implements lifecycle.Steps: nothing has reached the caller, or a stream
+// CanRetryAfterRun implements lifecycle.Steps: nothing has reached the caller, or a stream
 // of which whole events have.
-func (r *run) Repeatable() bool {
+func (r *run) CanRetryAfterRun() bool {
 	return r.c.idempotent && r.ctx.Err() == nil && (!r.begun || r.c.stream())
 }
 
-// Ended implements lifecycle.Steps.
-func (r *run) Ended(o lifecycle.Outcome, err error) *reply {
+// FinalReply implements lifecycle.Steps.
+func (r *run) FinalReply(o lifecycle.Outcome, err error) *reply {
 	switch o {
 	case lifecycle.Delivered:
 		return nil
@@ -316,12 +316,12 @@
 	return refusal(http.StatusBadGateway, codeUnknown, err, 0)
 }
 
-// Again implements lifecycle.Steps.
-func (r *run) Again(err error) *reply {
+// PrepareRetry implements lifecycle.Steps.
+func (r *run) PrepareRetry(err error) *reply {
 	r.avoid[r.target.Name] = true
 	r.kv = openai.KVExport{} // the import may be what failed
 	level.Info(r.s.o.Logger).Log("msg", "attempt failed", "request", r.c.id, "attempt", r.attempts, "target", r.target.Name, "state", r.life.State(), "err", err)
-	if r.attempts >= maxAttempts || !r.s.retries.Retry() {
+	if r.attempts >= maxAttempts || !r.s.retries.TakeRetry() {
 		return refusal(http.StatusServiceUnavailable, codeOverloaded,
 			fault.Wrap(err, fault.Unavailable, "attempts failed and no more are made", "ask again after the time in Retry-After"), noTargetWait)
 	}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -59,11 +59,11 @@
 type Server struct {
 	o        Options
 	router   *mux.Router
-	gate     *limits.Gate
-	runner   *attempt.Runner
+	gate     *limits.AdmissionController
+	runner   *attempt.Sender
 	breakers *breakers
-	watch    *suspects.Watch
-	notices  *notice.Board
+	watch    *suspects.CrashDetector
+	notices  *notice.Table
 	limits   *ratelimit.Table
 	retries  *limits.RetryBudget
 	outcomes *outcomes
@@ -86,17 +86,17 @@
 	}
 	s := &Server{
 		o:        o,
-		gate:     limits.NewGate(o.Settings.Limits.Requests, o.Settings.Limits.UrgentReserve),
-		runner:   attempt.NewRunner(o.Metrics),
+		gate:     limits.NewAdmissionController(o.Settings.Limits.Requests, o.Settings.Limits.UrgentReserve),
+		runner:   attempt.NewSender(o.Metrics),
 		breakers: newBreakers(),
-		notices:  notice.NewBoard(o.Logger),
+		notices:  notice.NewTable(o.Logger),
 		limits:   o.Limits,
 		retries:  limits.NewRetryBudget(),
 		outcomes: newOutcomes(),
 		lengths:  newLengths(),
 		policies: map[string]routing.Policy{},
 	}
-	s.watch = &suspects.Watch{Table: o.Quarantine, Refuses: s.runner.Refuses, Logger: o.Logger}
+	s.watch = &suspects.CrashDetector{Table: o.Quarantine, RefusesConnections: s.runner.RefusesConnections, Logger: o.Logger}
 	r := mux.NewRouter().SkipClean(true)
 	r.HandleFunc("/v1/models", s.models).Methods(http.MethodGet)
 	r.HandleFunc(pathChat, s.complete).Methods(http.MethodPost)
@@ -111,7 +111,7 @@
 }
 
 // InHand returns the number of requests that are being served.
-func (s *Server) InHand() int { return s.gate.InHand() }
+func (s *Server) InHand() int { return s.gate.InFlight() }
 
 // Close drops idle connections to the targets.
 func (s *Server) Close() { s.runner.Close() }
--- a/internal/entry/share_test.go
+++ b/internal/entry/share_test.go
@@ -50,7 +50,7 @@
 			go func() {
 				defer found.Done()
 				together.Wait()
-				runs[n].Choose()
+				runs[n].ChooseTarget()
 			}()
 		}
 		together.Done()
@@ -64,7 +64,7 @@
 			r.stop()
 		}
 		require.LessOrEqual(t, float64(placed), math.Ceil(shortFrom*room))
-		f.entry.gate = limits.NewGate(f.entry.o.Settings.Limits.Requests, f.entry.o.Settings.Limits.UrgentReserve)
+		f.entry.gate = limits.NewAdmissionController(f.entry.o.Settings.Limits.Requests, f.entry.o.Settings.Limits.UrgentReserve)
 	}
 }
 
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -18,9 +18,9 @@
 // Position is up to where a copy of a feed is complete. The zero Position is that of a copy
 // with nothing in it.
 type Position struct {
-	// Run names the feed; positions of two runs don't compare.
-	Run string
-	At  uint64
+	// RunID names the feed; positions of two runs don't compare.
+	RunID    string
+	Sequence uint64
 }
 
 // Update is what a copy lacks.
@@ -138,10 +138,10 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	u := Update{Position: Position{f.run, f.at}}
-	u.Full = p.Run != f.run || p.At < f.floor || p.At > f.at
+	u.Full = p.RunID != f.run || p.Sequence < f.floor || p.Sequence > f.at
 	lacks := f.order
 	if !u.Full {
-		lacks = f.after(p.At)
+		lacks = f.after(p.Sequence)
 	}
 	for _, o := range lacks {
 		c := f.changes[o.key]
@@ -152,11 +152,11 @@
 	return u, f.changed
 }
 
-// Run names the feed.
-func (f *Feed) Run() string { return f.run }
+// RunID names the feed.
+func (f *Feed) RunID() string { return f.run }
 
-// At returns the position of the newest change.
-func (f *Feed) At() uint64 {
+// Sequence returns the position of the newest change.
+func (f *Feed) Sequence() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.at
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -44,7 +44,7 @@
 	none, _ := f.Since(next.Position)
 	require.Empty(t, none.Events)
 
-	other, _ := f.Since(Position{Run: "r0", At: 5})
+	other, _ := f.Since(Position{RunID: "r0", Sequence: 5})
 	require.True(t, other.Full, "positions of another run don't compare")
 	require.Equal(t, []string{"a4"}, keys(other))
 }
@@ -74,7 +74,7 @@
 		all, _ := f.Since(Position{})
 		require.Len(t, all.Events, objects)
 		f.Put(object("0", objects+1))
-		require.Len(t, f.after(all.Position.At), 1)
+		require.Len(t, f.after(all.Position.Sequence), 1)
 		u, _ := f.Since(all.Position)
 		require.Equal(t, []string{fmt.Sprint("0", objects+1)}, keys(u))
 	}
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -26,8 +26,8 @@
 	if v.Config.Workspaces() == 0 || route.Public && key == "" {
 		return nil, nil
 	}
-	proven := s.o.MaxProofAge == 0 || v.ProofAge() <= s.o.MaxProofAge
-	workspace := v.Config.WorkspaceOf(key)
+	proven := s.o.MaxConfigStaleness == 0 || v.ConfigStaleness() <= s.o.MaxConfigStaleness
+	workspace := v.Config.WorkspaceByKey(key)
 	switch {
 	case route.Public && (!proven || workspace == nil):
 		return nil, nil
--- a/internal/gateway/admit_test.go
+++ b/internal/gateway/admit_test.go
@@ -24,7 +24,7 @@
 		}
 	}
 	v := *r.view.Load()
-	v.Config, v.ProvenAt = c, provenAt
+	v.Config, v.ConfigFreshAt = c, provenAt
 	r.view.Store(&v)
 }
 
--- a/internal/gateway/backup.go
+++ b/internal/gateway/backup.go
@@ -26,11 +26,11 @@
 	}
 	var others []*fleet.Instance
 	for _, i := range v.Permitted(q.route.Name, q.service) {
-		if i.Role == engine.RoleMixed && i.Domain != runner.Domain && !q.avoid[i.ID] && !q.s.notices.Unwilling(i.Run()) {
+		if i.Role == engine.RoleMixed && i.Domain != runner.Domain && !q.avoid[i.ID] && !q.s.notices.RefusesWork(i.RunID()) {
 			others = append(others, i)
 		}
 	}
-	return placement.Home(q.call.ID, others)
+	return placement.PreferredEngine(q.call.ID, others)
 }
 
 // goOn has the backup go on with a stream that was cut at its runner, after the last event
@@ -54,7 +54,7 @@
 	q.sends++
 	if err == nil {
 		if verdict.NotRun || !verdict.Genuine || !isStream(a) {
-			a.CloseUnread()
+			a.DiscardBody()
 			err = fault.Newf(fault.Unavailable, "the stream ends here", "backup %s answered %d", backup.ID, a.Status)
 		}
 	}
@@ -74,12 +74,12 @@
 // mayGoOn reports why a run cannot go on at its backup, nil if it can.
 func (q *request) mayGoOn(backup *fleet.Instance) error {
 	takes := slices.ContainsFunc(q.s.o.View().Permitted(q.route.Name, q.service), func(i *fleet.Instance) bool {
-		return i.ID == backup.ID && i.Born == backup.Born && i.Role == engine.RoleMixed
+		return i.ID == backup.ID && i.StartTime == backup.StartTime && i.Role == engine.RoleMixed
 	})
 	switch {
 	case !takes:
 		return fault.New(fault.Unavailable, "backup has left, generates no more or is not permitted any more", "the stream ends here")
-	case !q.s.limits.Request(backup.Run()):
+	case !q.s.limits.TryAcquire(backup.RunID()):
 		return fault.New(fault.Unavailable, "backup limits its rate of requests and takes no more now", "the stream ends here")
 	case !q.s.budget.extra(q.service):
 		q.s.count("budget_empty")
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -13,7 +13,7 @@
 // caller and the stand-ins in the same process.
 func BenchmarkPath(b *testing.B) {
 	all := engines("", "i-1", "i-2")
-	r := newRig(b, rigOptions{plain: all, budget: gateway.BudgetBounds{Ratio: 0.2, Slack: 10, Window: time.Second}})
+	r := newRig(b, rigOptions{plain: all, budget: gateway.RetryBudgetConfig{Ratio: 0.2, Slack: 10, Window: time.Second}})
 	b.ReportAllocs()
 	n := 0
 	for b.Loop() {
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -10,9 +10,9 @@
 // budgetSlots is into how many parts the window of a budget is cut.
 const budgetSlots = 20
 
-// BudgetBounds bound the sends beyond the first of each request, for all
+// RetryBudgetConfig bound the sends beyond the first of each request, for all
 // processes together, in any window.
-type BudgetBounds struct {
+type RetryBudgetConfig struct {
 	// Ratio is the share of the requests, Slack a number that is always allowed.
 	Ratio  float64
 	Slack  float64
@@ -33,7 +33,7 @@
 // budget counts the requests and the sends beyond the first, by service. It is
 // safe for concurrent use.
 type budget struct {
-	bounds BudgetBounds
+	bounds RetryBudgetConfig
 
 	started bootclock.Instant
 
@@ -50,7 +50,7 @@
 	lastExtra bootclock.Instant
 }
 
-func newBudget(b BudgetBounds) *budget {
+func newBudget(b RetryBudgetConfig) *budget {
 	return &budget{bounds: b, started: bootclock.Now(), services: map[string]*budgetWindow{}}
 }
 
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -15,7 +15,7 @@
 	const processes, slack = 66, 172
 	total := 0
 	for range processes {
-		b := newBudget(BudgetBounds{Slack: slack, Window: 10 * time.Second, Processes: func() int { return processes }})
+		b := newBudget(RetryBudgetConfig{Slack: slack, Window: 10 * time.Second, Processes: func() int { return processes }})
 		for b.extra("s") {
 			total++
 		}
@@ -26,7 +26,7 @@
 
 // TestBudgetWindowSlides checks that what was spent is free again a window later.
 func TestBudgetWindowSlides(t *testing.T) {
-	b := newBudget(BudgetBounds{Ratio: 1, Window: 10 * time.Second})
+	b := newBudget(RetryBudgetConfig{Ratio: 1, Window: 10 * time.Second})
 	now := bootclock.Now()
 	b.window("s", now).slots[b.window("s", now).at%budgetSlots].extras = 5
 	sum := func(at bootclock.Instant) float64 {
@@ -49,7 +49,7 @@
 	taken := make([]int, 4*steps) // by step
 	begun := bootclock.Now()
 	for n := range processes {
-		b := newBudget(BudgetBounds{Ratio: ratio, Slack: slack, Window: window, Processes: func() int { return processes }})
+		b := newBudget(RetryBudgetConfig{Ratio: ratio, Slack: slack, Window: window, Processes: func() int { return processes }})
 		b.started = begun
 		own := 0
 		for k := range taken {
--- a/internal/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -10,8 +10,8 @@
 	"github.com/rockdoor/rockdoor/placement"
 )
 
-// Question asks where a request would run now.
-type Question struct {
+// ExplainRequest asks where a request would run now.
+type ExplainRequest struct {
 	Host string
 	Path string
 	// ID decides the service of a route that is split.
@@ -20,7 +20,7 @@
 	// SharedTokens of it belong to parts that other requests share.
 	PromptTokens int
 	SharedTokens int
-	Subject      string
+	PromptPrefix string
 }
 
 // Rejected is an instance that the rules forbid.
@@ -34,18 +34,18 @@
 	Route   string `json:"route"`
 	Service string `json:"service"`
 	// Config is the version of the configuration in force.
-	Config         int64                  `json:"config"`
-	ConfigAgeMs    int64                  `json:"configAgeMs"`
-	InstancesAgeMs int64                  `json:"instancesAgeMs"`
-	Considered     []placement.Considered `json:"considered"`
-	Rejected       []Rejected             `json:"rejected"`
+	Config         int64                 `json:"config"`
+	ConfigAgeMs    int64                 `json:"configAgeMs"`
+	InstancesAgeMs int64                 `json:"instancesAgeMs"`
+	Considered     []placement.Candidate `json:"considered"`
+	Rejected       []Rejected            `json:"rejected"`
 	// Draining are instances that finish what they have.
 	Draining []string `json:"draining"`
 }
 
 // Explain answers a question. The error is of kind Unavailable while nothing is
 // known and of kind NotFound if there is no route.
-func (s *Server) Explain(q Question) (*Explanation, error) {
+func (s *Server) Explain(q ExplainRequest) (*Explanation, error) {
 	v := s.o.View()
 	if !v.Complete() {
 		return nil, fault.New(fault.Unavailable, "no configuration is known yet", "check the path to the store")
@@ -56,14 +56,14 @@
 	}
 	service := route.Pick(q.ID)
 	call := &engine.Call{ID: q.ID, PromptTokens: q.PromptTokens, Parts: []engine.Part{
-		{ID: q.Subject, Tokens: q.SharedTokens}, {Tokens: q.PromptTokens - q.SharedTokens},
+		{ID: q.PromptPrefix, Tokens: q.SharedTokens}, {Tokens: q.PromptTokens - q.SharedTokens},
 	}}
 	pool := v.Pool(route.Name, service)
 	out := &Explanation{
 		Route: route.Name, Service: service, Config: v.Config.Version,
 		ConfigAgeMs: v.ConfigAge().Milliseconds(), InstancesAgeMs: v.InstancesAge().Milliseconds(),
 		Considered: s.o.Placer.Explain(&placement.Job{
-			Route: route, Service: v.Config.Services[service], Call: call, Left: time.Minute, Domain: s.o.Domain, Permitted: pool.All, Groups: pool.Groups,
+			Route: route, Service: v.Config.Services[service], Call: call, Remaining: time.Minute, Domain: s.o.FailureDomain, Permitted: pool.All, Groups: pool.Groups,
 		}),
 		Rejected: []Rejected{}, Draining: []string{},
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -53,29 +53,29 @@
 	// Scheduler decides where requests run, Placer explains what this process would do.
 	Scheduler scheduler.Scheduler
 	Placer    *placement.Placer
-	// Domain is the failure domain of this process.
-	Domain string
-	// MaxProofAge is how old the proof may be that the configuration is the newest one, for
+	// FailureDomain is the failure domain of this process.
+	FailureDomain string
+	// MaxConfigStaleness is how old the proof may be that the configuration is the newest one, for
 	// requests with a key to run: later, the key may have been taken away. 0 is no bound.
-	MaxProofAge time.Duration
-	Budget      BudgetBounds
+	MaxConfigStaleness time.Duration
+	Budget             RetryBudgetConfig
 	// Quarantine knows which requests end the instances that run them; without one this
 	// process alone learns it.
 	Quarantine *quarantine.Table
-	// Limits are the rates that instances limit themselves to. The Placer keeps them too.
-	Limits *ratelimit.Table
-	// Began is told of each request of a workspace that begins to run; it may be nil.
-	Began   func(workspace string)
-	Metrics metrics.Registry
-	Logger  log.Logger
+	// RateLimits are the rates that instances limit themselves to. The Placer keeps them too.
+	RateLimits *ratelimit.Table
+	// OnRunStart is told of each request of a workspace that begins to run; it may be nil.
+	OnRunStart func(workspace string)
+	Metrics    metrics.Registry
+	Logger     log.Logger
 }
 
 // Server is the handler of callers' requests.
 type Server struct {
 	o        Options
 	budget   *budget
-	watch    *suspects.Watch
-	notices  *notice.Board
+	watch    *suspects.CrashDetector
+	notices  *notice.Table
 	limits   *ratelimit.Table
 	holdings holdings
 	startup  startup
@@ -88,31 +88,31 @@
 	if o.Quarantine == nil {
 		o.Quarantine = quarantine.NewTable()
 	}
-	if o.Limits == nil {
-		o.Limits = ratelimit.NewTable("", o.Metrics, o.Logger)
+	if o.RateLimits == nil {
+		o.RateLimits = ratelimit.NewTable("", o.Metrics, o.Logger)
 	}
 	return &Server{
 		o: o, budget: newBudget(o.Budget), startup: startup{began: time.Now(), ready: o.Ready},
-		notices: notice.NewBoard(o.Logger), limits: o.Limits,
-		watch: &suspects.Watch{Table: o.Quarantine, Refuses: o.Client.Refuses, Logger: o.Logger},
+		notices: notice.NewTable(o.Logger), limits: o.RateLimits,
+		watch: &suspects.CrashDetector{Table: o.Quarantine, RefusesConnections: o.Client.RefusesConnections, Logger: o.Logger},
 	}
 }
 
-// ApplyRetries replaces the bounds of the retry budget but for its window.
-func (s *Server) ApplyRetries(ratio, slack float64) { s.budget.allow(ratio, slack) }
+// SetRetryBudget replaces the bounds of the retry budget but for its window.
+func (s *Server) SetRetryBudget(ratio, slack float64) { s.budget.allow(ratio, slack) }
 
-// Retain forgets what instances have said, but for those whose runs keep names.
-func (s *Server) Retain(keep func(run string) bool) {
+// RetainInstances forgets what instances have said, but for those whose runs keep names.
+func (s *Server) RetainInstances(keep func(run string) bool) {
 	s.notices.Retain(keep)
 	s.limits.Retain(keep)
 }
 
-// InHand returns the number of requests that are being served.
-func (s *Server) InHand() int64 { return s.inHand.Load() }
+// InFlight returns the number of requests that are being served.
+func (s *Server) InFlight() int64 { return s.inHand.Load() }
 
-// Stop makes each further answer close its connection, so that callers move to
+// DisableKeepAlives makes each further answer close its connection, so that callers move to
 // other processes.
-func (s *Server) Stop() { s.stopping.Store(true) }
+func (s *Server) DisableKeepAlives() { s.stopping.Store(true) }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -231,7 +231,7 @@
 		version = v.Config.Version
 	}
 	level.Warn(s.o.Logger).Log("msg", "request", "request", call.ID, "host", r.Host, "path", r.URL.Path, "status", rep.status, "outcome", rep.code,
-		"config", version, "config_age", v.ConfigAge().Round(time.Millisecond), "proof_age", v.ProofAge().Round(time.Millisecond), "err", rep.err)
+		"config", version, "config_age", v.ConfigAge().Round(time.Millisecond), "proof_age", v.ConfigStaleness().Round(time.Millisecond), "err", rep.err)
 	rep.write(w)
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -255,7 +255,7 @@
 
 func TestRetriesStayInsideTheBudget(t *testing.T) {
 	all := engines("", "i-1", "i-2", "i-3")
-	r := newRig(t, rigOptions{plain: all, budget: gateway.BudgetBounds{Ratio: 0.2, Slack: 16, Window: 10 * time.Second}})
+	r := newRig(t, rigOptions{plain: all, budget: gateway.RetryBudgetConfig{Ratio: 0.2, Slack: 16, Window: 10 * time.Second}})
 	for _, e := range all {
 		e.Fail(fleetengine.LoseAnswer, -1)
 	}
@@ -271,7 +271,7 @@
 // registered: nothing arrives at them.
 func TestVainConnectionsCostNoBudget(t *testing.T) {
 	all := engines("", "i-1")
-	r := newRig(t, rigOptions{plain: all, budget: gateway.BudgetBounds{Ratio: 0, Slack: 0, Window: 10 * time.Second}})
+	r := newRig(t, rigOptions{plain: all, budget: gateway.RetryBudgetConfig{Ratio: 0, Slack: 0, Window: 10 * time.Second}})
 	v := *r.view.Load()
 	v.Instances = map[string]*fleet.Instance{"i-1": v.Instances["i-1"], "i-0": {ID: "i-0", Service: "plain", Address: "127.0.0.1:1", Domain: "a", Slots: 8}}
 	v.Index()
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -54,7 +54,7 @@
 }
 
 type rigOptions struct {
-	budget gateway.BudgetBounds
+	budget gateway.RetryBudgetConfig
 	plain  []*fleetengine.Engine
 	model  []*fleetengine.Engine
 	// domains are those of instances that are not in domain a.
@@ -86,10 +86,10 @@
 func newRig(t testing.TB, o rigOptions) *rig {
 	t.Helper()
 	if o.budget.Window == 0 {
-		o.budget = gateway.BudgetBounds{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second}
+		o.budget = gateway.RetryBudgetConfig{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second}
 	}
 	r := &rig{t: t, servers: map[string]*httptest.Server{}}
-	v := &fleet.View{Config: config(), Listed: true, Instances: map[string]*fleet.Instance{}, StoreUp: true}
+	v := &fleet.View{Config: config(), InstancesKnown: true, Instances: map[string]*fleet.Instance{}, StoreUp: true}
 	for service, engines := range map[string][]*fleetengine.Engine{"plain": o.plain, "model": o.model} {
 		for _, e := range engines {
 			s := httptest.NewServer(e)
@@ -117,10 +117,10 @@
 		schedules = observed{schedules, func(p placement.Plan) { o.placed(r, p) }}
 	}
 	g := gateway.New(gateway.Options{
-		View: r.view.Load, Ready: o.ready, Protocol: platform.Protocol{}, Client: upstream.New(reg), Placer: placer, Scheduler: schedules, Domain: "a",
-		MaxProofAge: testProofAge, Quarantine: o.quarantine, Budget: o.budget, Limits: limits, Metrics: reg, Logger: log.NewNopLogger(),
+		View: r.view.Load, Ready: o.ready, Protocol: platform.Protocol{}, Client: upstream.New(reg), Placer: placer, Scheduler: schedules, FailureDomain: "a",
+		MaxConfigStaleness: testProofAge, Quarantine: o.quarantine, Budget: o.budget, RateLimits: limits, Metrics: reg, Logger: log.NewNopLogger(),
 	})
-	g.LimitMemory(o.hold)
+	g.SetBufferLimit(o.hold)
 	r.gateway = g
 	s := httptest.NewServer(g)
 	t.Cleanup(s.Close)
@@ -137,7 +137,7 @@
 	}
 	long := route(pathLong, fleet.Streaming, "model", 1, false)
 	model := route(pathModel, fleet.Streaming, "model", 2, true)
-	model.Patience = testPatience
+	model.FirstEventTimeout = testPatience
 	c := &fleet.Config{
 		Version: 1,
 		Routes: []fleet.Route{
--- a/internal/gateway/hold.go
+++ b/internal/gateway/hold.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// LimitMemory bounds the bytes of requests and answers that are held, 0 for no bound.
-func (s *Server) LimitMemory(bytes int64) { s.holdings.most.Store(bytes) }
+// SetBufferLimit bounds the bytes of requests and answers that are held, 0 for no bound.
+func (s *Server) SetBufferLimit(bytes int64) { s.holdings.most.Store(bytes) }
 
 // hold reads up to limit bytes and counts them for the request. The error is io.EOF if that was all there is,
 // and errHoldFull, with what was read, if no more may be held.
@@ -66,8 +66,8 @@
 	return out, errHoldFull
 }
 
-// Held returns how many bytes of requests and answers are counted as held.
-func (s *Server) Held() int64 { return s.holdings.held.Load() }
+// BufferedBytes returns how many bytes of requests and answers are counted as held.
+func (s *Server) BufferedBytes() int64 { return s.holdings.held.Load() }
 
 // release gives back what is counted for the request.
 func (q *request) release() {
@@ -77,7 +77,7 @@
 
 // passOn passes on an answer of which a part has been read as the caller reads it: it cannot be asked for
 // again, and the instance waits for a slow caller.
-func (q *request) passOn(a *upstream.Answer, begun []byte) (lifecycle.Outcome, error) {
+func (q *request) passOn(a *upstream.Response, begun []byte) (lifecycle.Outcome, error) {
 	q.begun = true
 	q.head(a)
 	if a.Length >= 0 {
--- a/internal/gateway/hold_test.go
+++ b/internal/gateway/hold_test.go
@@ -54,7 +54,7 @@
 	}()
 	most := int64(0)
 	for asking := true; asking; {
-		most = max(most, r.gateway.Held())
+		most = max(most, r.gateway.BufferedBytes())
 		select {
 		case <-all:
 			asking = false
@@ -66,7 +66,7 @@
 	close(goOn)
 	read.Wait()
 	require.Positive(t, metrics.GetOrRegisterCounter("gateway.answers_passed_on", r.reg).Count())
-	require.Eventually(t, func() bool { return r.gateway.Held() == 0 }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return r.gateway.BufferedBytes() == 0 }, time.Second, time.Millisecond)
 }
 
 // TestABodyThatCannotBeHeldIsRefusedUnrun sends a body for which there is no memory.
@@ -77,7 +77,7 @@
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	require.NotEmpty(t, got.header.Get("Retry-After"))
 	require.Empty(t, e.Runs())
-	require.Zero(t, r.gateway.Held())
+	require.Zero(t, r.gateway.BufferedBytes())
 }
 
 // TestAnAnswerThatIsCutIsNotWhole has an instance that may not be asked again break off in the middle of an
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -22,8 +22,8 @@
 		}
 		return out
 	}
-	runner := func(p placement.Plan) *fleet.Instance { return p.Runner }
-	reader := func(p placement.Plan) *fleet.Instance { return p.Reader }
+	runner := func(p placement.Plan) *fleet.Instance { return p.Target }
+	reader := func(p placement.Plan) *fleet.Instance { return p.PrefillEngine }
 	for name, c := range map[string]struct {
 		path         string
 		header       http.Header
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -13,21 +13,21 @@
 	p := &q.plan
 	kv := []any{
 		"msg", "decision", "request", q.call.ID, "send", q.sends + 1, "route", q.route.Name, "service", q.service, "config", q.version,
-		"workspace", q.workspaceName(), "config_age", v.ConfigAge().Round(time.Millisecond), "proof_age", v.ProofAge().Round(time.Millisecond), "instances_age", v.InstancesAge().Round(time.Millisecond),
-		"reason", p.Reason, "prompt", q.call.PromptTokens, "uncached", p.Uncached, "late", p.Late, "ahead", p.Ahead.Round(time.Millisecond), "read", p.Read.Round(time.Millisecond),
+		"workspace", q.workspaceName(), "config_age", v.ConfigAge().Round(time.Millisecond), "proof_age", v.ConfigStaleness().Round(time.Millisecond), "instances_age", v.InstancesAge().Round(time.Millisecond),
+		"reason", p.Reason, "prompt", q.call.PromptTokens, "uncached", p.Uncached, "late", p.Late, "ahead", p.QueueDelay.Round(time.Millisecond), "read", p.PrefillTime.Round(time.Millisecond),
 		"left", time.Until(q.deadline).Round(time.Millisecond),
 	}
-	if p.By != "" {
-		kv = append(kv, "by", p.By)
+	if p.DecidedBy != "" {
+		kv = append(kv, "by", p.DecidedBy)
 	}
-	if p.Reader != nil {
-		kv = append(kv, "subject", q.call.Subject(), "reader", p.Reader.ID)
+	if p.PrefillEngine != nil {
+		kv = append(kv, "subject", q.call.Subject(), "reader", p.PrefillEngine.ID)
 	}
 	if p.FetchFrom != nil {
 		kv = append(kv, "fetch_from", p.FetchFrom.ID)
 	}
-	if p.Runner != nil {
-		kv = append(kv, "runner", p.Runner.ID)
+	if p.Target != nil {
+		kv = append(kv, "runner", p.Target.ID)
 	}
 	level.Debug(q.s.o.Logger).Log(kv...)
 }
@@ -42,8 +42,8 @@
 		"sends", q.sends, "runs", q.runs, "events", q.events, "may_have_run", q.life.MayHaveRun(),
 		"read", q.readFor.Round(time.Millisecond), "took", took.Round(time.Millisecond),
 	}
-	if q.plan.Runner != nil {
-		kv = append(kv, "runner", q.plan.Runner.ID)
+	if q.plan.Target != nil {
+		kv = append(kv, "runner", q.plan.Target.ID)
 	}
 	if q.life.MayHaveRun() && err != nil {
 		kv = append(kv, "fingerprint", q.fingerprint())
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -13,7 +13,7 @@
 
 // exchange sends the request to an instance, and takes in what the head of the answer says of the
 // instance.
-func (q *request) exchange(ctx context.Context, i *fleet.Instance, s engine.Send) (*upstream.Answer, engine.Verdict, error) {
+func (q *request) exchange(ctx context.Context, i *fleet.Instance, s engine.Send) (*upstream.Response, engine.Verdict, error) {
 	q.withheld = false
 	a, err := q.s.o.Client.Do(ctx, q.upstream(i, s))
 	if err != nil {
@@ -24,12 +24,12 @@
 		return a, v, nil // another instance says it of itself
 	}
 	if v.Leaving {
-		q.s.notices.Leaves(i.Run(), q.call.ID)
+		q.s.notices.RecordShutdown(i.RunID(), q.call.ID)
 	}
 	if v.Rest > 0 {
-		q.s.notices.Rests(i.Run(), q.call.ID, v.Rest)
+		q.s.notices.RecordBackoff(i.RunID(), q.call.ID, v.Rest)
 	}
-	q.s.limits.Heard(i.Run(), q.call.ID, v.RateLimit, q.sentAt)
+	q.s.limits.RecordResponse(i.RunID(), q.call.ID, v.RateLimit, q.sentAt)
 	return a, v, nil
 }
 
@@ -37,13 +37,13 @@
 // that have said that they leave, or that they want nothing from this process now. Another
 // process that decides is told of them, since it may not have heard them.
 func (q *request) unwilling(pool *fleet.Pool) map[string]bool {
-	runs := q.s.notices.AllUnwilling()
+	runs := q.s.notices.InstancesRefusingWork()
 	if len(runs) == 0 {
 		return q.avoid
 	}
 	out := maps.Clone(q.avoid)
 	for _, run := range runs {
-		if i := pool.FindRun(run); i != nil {
+		if i := pool.FindByRunID(run); i != nil {
 			out[i.ID] = true
 		}
 	}
@@ -54,6 +54,6 @@
 // again, 0 if none rests.
 func (q *request) restLeft() time.Duration {
 	pool := q.s.o.View().Pool(q.route.Name, q.service)
-	runs := slices.DeleteFunc(q.s.notices.AllUnwilling(), func(run string) bool { return pool.FindRun(run) == nil })
-	return q.s.notices.FirstRest(runs)
+	runs := slices.DeleteFunc(q.s.notices.InstancesRefusingWork(), func(run string) bool { return pool.FindByRunID(run) == nil })
+	return q.s.notices.ShortestBackoff(runs)
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -36,37 +36,37 @@
 	if q.s.o.Quarantine.Empty() {
 		return nil
 	}
-	v := q.s.o.Quarantine.Judge(q.fingerprint())
+	v := q.s.o.Quarantine.Admit(q.fingerprint())
 	q.trial = v.Trial
 	if !v.Refused {
 		return nil
 	}
-	return refusedBy(strings.Join(v.Ended, ", "), v.RetryAfter)
+	return refusedBy(strings.Join(v.CrashedInstances, ", "), v.RetryAfter)
 }
 
 func refusedBy(known string, retryAfter time.Duration) *reply {
-	return given(codeQuarantined, suspects.Refusal(known), retryAfter)
+	return given(codeQuarantined, suspects.QuarantinedError(known), retryAfter)
 }
 
 // convicted reports whether it has become known since the decision that the request ends instances.
 func (q *request) convicted() bool {
-	return !q.trial && !q.s.o.Quarantine.Empty() && q.s.o.Quarantine.Look(q.fingerprint()).Refused
+	return !q.trial && !q.s.o.Quarantine.Empty() && q.s.o.Quarantine.Verdict(q.fingerprint()).Refused
 }
 
 // broke takes in that the connection to an instance that may have been at work on the request broke.
 // One that was leaving has ended as planned.
 func (q *request) broke(i *fleet.Instance) {
-	if q.gone || q.ctx.Err() != nil || !q.s.o.View().Takes(q.service, i.ID) {
+	if q.gone || q.ctx.Err() != nil || !q.s.o.View().Accepts(q.service, i.ID) {
 		return
 	}
-	q.s.watch.Broke(suspects.Broken{
-		Request: q.call.ID, Fingerprint: q.fingerprint(), Instance: i.Run(), Address: i.Address, Ran: bootclock.Since(q.sentAt),
+	q.s.watch.ReportBroken(suspects.BrokenConnection{
+		Request: q.call.ID, Fingerprint: q.fingerprint(), Instance: i.RunID(), Address: i.Address, RunTime: bootclock.Since(q.sentAt),
 	})
 }
 
 // sound takes in that an instance has run the request to a good end.
 func (q *request) sound() {
 	if !q.s.o.Quarantine.Empty() {
-		q.s.o.Quarantine.Sound(q.fingerprint())
+		q.s.o.Quarantine.RecordSuccess(q.fingerprint())
 	}
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -26,7 +26,7 @@
 	r := newRig(t, rigOptions{plain: []*fleetengine.Engine{e}, quarantine: table})
 	f := quarantine.FingerprintOf("", http.MethodPost, testHost, pathSafe, []byte("x"))
 	for n := range 3 {
-		table.Ended(f, fmt.Sprint("gone-", n), 0)
+		table.RecordCrash(f, fmt.Sprint("gone-", n), 0)
 	}
 	a := r.send(http.MethodPost, pathSafe, id, "x", nil)
 	require.Equal(t, http.StatusServiceUnavailable, a.status)
--- a/internal/gateway/read.go
+++ b/internal/gateway/read.go
@@ -26,34 +26,34 @@
 	begun := time.Now()
 	ctx, cancel := context.WithDeadline(q.ctx, q.firstBy())
 	defer cancel()
-	a, verdict, err := q.exchange(ctx, plan.Reader, engine.Send{
-		Instance: plan.Reader.ID, Left: time.Until(q.firstBy()), Rank: plan.Rank, ReadOnly: true, FetchFrom: addressOf(plan.FetchFrom),
+	a, verdict, err := q.exchange(ctx, plan.PrefillEngine, engine.Send{
+		Instance: plan.PrefillEngine.ID, Left: time.Until(q.firstBy()), Rank: plan.Rank, ReadOnly: true, FetchFrom: addressOf(plan.FetchFrom),
 	})
 	if err != nil {
 		if q.paid = fault.Is(err, fault.Unavailable); !q.paid { // something may have arrived at the engine
-			q.broke(plan.Reader)
+			q.broke(plan.PrefillEngine)
 		}
 		return q.unread(plan, ticket, q.blame(err), err)
 	}
 	if verdict.Replaced {
-		a.CloseUnread()
-		return q.unread(plan, ticket, placement.Replaced, fault.Newf(fault.Unavailable, "another engine is tried", "engine %s has lost its address", plan.Reader.ID))
+		a.DiscardBody()
+		return q.unread(plan, ticket, placement.Replaced, fault.Newf(fault.Unavailable, "another engine is tried", "engine %s has lost its address", plan.PrefillEngine.ID))
 	}
 	body, err := readAll(a, maxReadResult)
 	if err != nil {
-		q.broke(plan.Reader)
+		q.broke(plan.PrefillEngine)
 		return q.unread(plan, ticket, q.blame(err), err)
 	}
 	if a.Status != http.StatusOK {
-		return q.unread(plan, ticket, placement.Failed, fault.Newf(fault.Unavailable, "another engine is tried", "engine %s answered %d to reading", plan.Reader.ID, a.Status))
+		return q.unread(plan, ticket, placement.Failed, fault.Newf(fault.Unavailable, "another engine is tried", "engine %s answered %d to reading", plan.PrefillEngine.ID, a.Status))
 	}
 	handle, err := q.s.o.Protocol.ReadResult(body)
 	if err != nil {
 		return q.unread(plan, ticket, placement.Failed, err)
 	}
-	ticket.Read(true, placement.Sound)
+	ticket.PrefillEnded(true, placement.Succeeded)
 	q.read = true
-	q.source, q.sourceReader, q.sourceUses = &engine.KVSource{Address: plan.Reader.Address, Handle: handle}, plan.Reader, 0
+	q.source, q.sourceReader, q.sourceUses = &engine.KVSource{Address: plan.PrefillEngine.Address, Handle: handle}, plan.PrefillEngine, 0
 	q.readFor = time.Since(begun)
 	q.s.time("read", q.readFor)
 	return lifecycle.Delivered, nil
@@ -62,10 +62,10 @@
 // unread records that an engine did not read the prompt.
 func (q *request) unread(plan *placement.Plan, ticket scheduler.Ticket, o placement.Outcome, err error) (lifecycle.Outcome, error) {
 	if q.ctx.Err() != nil || time.Until(q.firstBy()) <= 0 {
-		o = placement.Sound // that the caller's time is up says nothing of the engine
+		o = placement.Succeeded // that the caller's time is up says nothing of the engine
 	}
-	ticket.Read(false, o)
-	q.avoid[plan.Reader.ID] = true
+	ticket.PrefillEnded(false, o)
+	q.avoid[plan.PrefillEngine.ID] = true
 	return lifecycle.NotRun, err
 }
 
@@ -93,6 +93,6 @@
 			level.Info(q.s.o.Logger).Log("msg", "handle not freed", "request", q.call.ID, "engine", reader.ID, "err", err)
 			return
 		}
-		a.CloseUnread()
+		a.DiscardBody()
 	}()
 }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -48,7 +48,7 @@
 }
 
 // readAll reads a whole body of at most limit bytes and closes the answer.
-func readAll(a *upstream.Answer, limit int64) ([]byte, error) {
+func readAll(a *upstream.Response, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a.Body, limit+1))
 	if err == nil && int64(len(body)) > limit {
 		err = fault.Newf(fault.Exhausted, "ask for less", "answer is larger than %d bytes", limit)
@@ -61,7 +61,7 @@
 }
 
 // relay passes an answer on.
-func (q *request) relay(a *upstream.Answer) (lifecycle.Outcome, error) {
+func (q *request) relay(a *upstream.Response) (lifecycle.Outcome, error) {
 	_ = http.NewResponseController(q.w).SetWriteDeadline(q.deadline.Add(writeSlack)) // without it the caller's own pace holds
 	if isStream(a) {
 		return q.relayEvents(a)
@@ -95,7 +95,7 @@
 }
 
 // head copies the headers of an answer.
-func (q *request) head(a *upstream.Answer) {
+func (q *request) head(a *upstream.Response) {
 	h := q.w.Header()
 	for name, values := range endToEnd(a.Header) {
 		h[name] = values
@@ -107,7 +107,7 @@
 
 // relayEvents passes on each whole event of a stream as it arrives. The head is
 // passed on with the first one, so that until then another instance may answer.
-func (q *request) relayEvents(a *upstream.Answer) (lifecycle.Outcome, error) {
+func (q *request) relayEvents(a *upstream.Response) (lifecycle.Outcome, error) {
 	in := bufio.NewReader(a.Body)
 	for {
 		event, err := readEvent(in)
@@ -130,20 +130,20 @@
 }
 
 // isStream reports whether an answer is a stream of events.
-func isStream(a *upstream.Answer) bool {
+func isStream(a *upstream.Response) bool {
 	return strings.HasPrefix(a.Header.Get("Content-Type"), eventStream)
 }
 
 // countRun counts that the request has begun to run, once.
 func (q *request) countRun() {
-	if q.counted || q.workspace == nil || q.s.o.Began == nil {
+	if q.counted || q.workspace == nil || q.s.o.OnRunStart == nil {
 		return
 	}
 	q.counted = true
-	q.s.o.Began(q.workspace.Name)
+	q.s.o.OnRunStart(q.workspace.Name)
 }
 
-func (q *request) begin(a *upstream.Answer) {
+func (q *request) begin(a *upstream.Response) {
 	q.begun = true
 	q.countRun()
 	q.head(a)
@@ -152,7 +152,7 @@
 	q.s.time("first_event", time.Since(q.arrived))
 }
 
-func (q *request) passEvent(a *upstream.Answer, event []byte) (lifecycle.Outcome, error) {
+func (q *request) passEvent(a *upstream.Response, event []byte) (lifecycle.Outcome, error) {
 	q.ticket.Event()
 	id := eventID(event)
 	if id != "" && q.lastEvent != "" && !later(id, q.lastEvent) {
--- a/internal/gateway/reply.go
+++ b/internal/gateway/reply.go
@@ -32,7 +32,7 @@
 
 // statusIn returns the status for a request that has ended: 503 promises that it has
 // not run and never will.
-func (p *reply) statusIn(l *lifecycle.Life) int {
+func (p *reply) statusIn(l *lifecycle.Request) int {
 	switch {
 	case p.status != 0:
 		return p.status
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -68,7 +68,7 @@
 	// backup gets a copy of the run's memory, nil for none.
 	backup *fleet.Instance
 	// life says whether some instance may have begun the request.
-	life *lifecycle.Life
+	life *lifecycle.Request
 	// counted is true once the request is known to have begun to run.
 	counted bool
 	// paid is true if the next send has been taken from the budget.
@@ -109,9 +109,9 @@
 	q.finish(rep)
 }
 
-// Rebase implements lifecycle.Steps: it decides under the newest configuration which
+// RefreshConfig implements lifecycle.Steps: it decides under the newest configuration which
 // service runs the next attempt.
-func (q *request) Rebase() *reply {
+func (q *request) RefreshConfig() *reply {
 	view := q.s.o.View()
 	route := view.Config.Route(hostOnly(q.http.Host), q.http.URL.EscapedPath())
 	if route == nil {
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// Choose implements lifecycle.Steps.
-func (q *request) Choose() *reply {
+// ChooseTarget implements lifecycle.Steps.
+func (q *request) ChooseTarget() *reply {
 	if time.Until(q.deadline) < minLeft || q.ctx.Err() != nil {
 		return q.expired()
 	}
@@ -157,13 +157,13 @@
 	return q.send()
 }
 
-// Repeatable implements lifecycle.Steps.
-func (q *request) Repeatable() bool {
+// CanRetryAfterRun implements lifecycle.Steps.
+func (q *request) CanRetryAfterRun() bool {
 	return q.ctx.Err() == nil && q.route.Repeatable() && q.runs < q.route.MaxAttempts
 }
 
-// Ended implements lifecycle.Steps.
-func (q *request) Ended(o lifecycle.Outcome, err error) *reply {
+// FinalReply implements lifecycle.Steps.
+func (q *request) FinalReply(o lifecycle.Outcome, err error) *reply {
 	switch {
 	case o == lifecycle.Delivered:
 		return nil
@@ -177,17 +177,17 @@
 func (q *request) job(v *fleet.View) *placement.Job {
 	pool := v.Pool(q.route.Name, q.service)
 	return &placement.Job{
-		Route: q.route, Ranked: q.workspace != nil && q.workspace.Ranked, Workspace: q.workspaceName(), Service: v.Config.Services[q.service],
-		Call: q.call, Left: time.Until(q.firstBy()), Spent: time.Since(q.arrived), Fingerprint: q.asked(), Domain: q.s.o.Domain,
-		Permitted: pool.All, Groups: pool.Groups, Avoid: q.unwilling(pool), NoRead: q.begun || q.source != nil,
+		Route: q.route, WorkspaceRank: q.workspace != nil && q.workspace.Ranked, Workspace: q.workspaceName(), Service: v.Config.Services[q.service],
+		Call: q.call, Remaining: time.Until(q.firstBy()), Elapsed: time.Since(q.arrived), Fingerprint: q.asked(), Domain: q.s.o.FailureDomain,
+		Permitted: pool.All, Groups: pool.Groups, Avoid: q.unwilling(pool), SkipPrefill: q.begun || q.source != nil,
 	}
 }
 
 // firstBy returns until when an answer must begin: a caller that has to be refused
 // after all is told before it leaves.
 func (q *request) firstBy() time.Time {
-	by := q.arrived.Add(q.route.Patience - refusalTime)
-	if q.begun || q.route.Patience == 0 || by.After(q.deadline) {
+	by := q.arrived.Add(q.route.FirstEventTimeout - refusalTime)
+	if q.begun || q.route.FirstEventTimeout == 0 || by.After(q.deadline) {
 		return q.deadline
 	}
 	return by
@@ -196,21 +196,21 @@
 // unplaced returns the reply to a request for which there is no instance.
 func (q *request) unplaced() *reply {
 	retry := q.plan.RetryAfter
-	if q.plan.Reason == placement.ReasonNone {
+	if q.plan.Reason == placement.ReasonNonePermitted {
 		retry = q.restLeft()
 	}
 	if retry == 0 {
 		retry = unknownRetry
 	}
 	if q.plan.Reason == placement.ReasonQuarantined {
-		return refusedBy("known to "+q.plan.By, retry)
+		return refusedBy("known to "+q.plan.DecidedBy, retry)
 	}
 	err := fault.New(fault.Unavailable, "no instance of "+q.service+" takes the request: "+string(q.plan.Reason), "ask again after the time in Retry-After")
 	return given(string(q.plan.Reason), err, retry)
 }
 
-// Again implements lifecycle.Steps.
-func (q *request) Again(err error) *reply {
+// PrepareRetry implements lifecycle.Steps.
+func (q *request) PrepareRetry(err error) *reply {
 	switch {
 	case q.ctx.Err() != nil:
 		return q.expired()
@@ -241,53 +241,53 @@
 // returns notRun without an error.
 func (q *request) send() (lifecycle.Outcome, error) {
 	plan := &q.plan
-	if plan.Reader != nil {
+	if plan.PrefillEngine != nil {
 		if res, err := q.readPrompt(plan, q.ticket); err != nil {
 			return res, err
 		}
 		view := q.s.o.View()
-		next := q.ticket.PlaceRead(q.ctx, q.job(view), plan)
+		next := q.ticket.PlaceDecode(q.ctx, q.job(view), plan)
 		if next == nil {
 			return lifecycle.NotRun, nil
 		}
 		q.ticket = next
 		q.decision(view)
 	}
-	q.backup = q.chooseBackup(plan.Runner)
-	a, verdict, err := q.exchange(q.ctx, plan.Runner, engine.Send{
-		Instance: plan.Runner.ID, Left: time.Until(q.deadline), Rank: q.route.Rank, Source: q.source, ResumeAfter: q.resumeAfter(),
+	q.backup = q.chooseBackup(plan.Target)
+	a, verdict, err := q.exchange(q.ctx, plan.Target, engine.Send{
+		Instance: plan.Target.ID, Left: time.Until(q.deadline), Rank: q.route.Rank, Source: q.source, ResumeAfter: q.resumeAfter(),
 		Backup: addressOf(q.backup),
 	})
 	q.sends++
 	q.sourceUses++
 	if err != nil {
-		q.ticket.Run(q.blame(err))
-		q.avoid[plan.Runner.ID] = true
+		q.ticket.RunEnded(q.blame(err))
+		q.avoid[plan.Target.ID] = true
 		if fault.Is(err, fault.Unavailable) {
 			q.paid = true // nothing arrived at the instance
 			return lifecycle.NotRun, err
 		}
 		q.runs++
-		q.broke(plan.Runner)
+		q.broke(plan.Target)
 		return lifecycle.Lost, err
 	}
 	return q.receive(a, verdict, plan)
 }
 
 // receive judges the head of an answer and passes the answer on.
-func (q *request) receive(a *upstream.Answer, verdict engine.Verdict, plan *placement.Plan) (lifecycle.Outcome, error) {
+func (q *request) receive(a *upstream.Response, verdict engine.Verdict, plan *placement.Plan) (lifecycle.Outcome, error) {
 	if verdict.NotRun {
-		a.CloseUnread()
+		a.DiscardBody()
 		outcome := placement.Failed
 		if verdict.Replaced {
 			outcome = placement.Replaced
 		}
-		q.ticket.Run(outcome)
-		q.avoid[plan.Runner.ID] = true
+		q.ticket.RunEnded(outcome)
+		q.avoid[plan.Target.ID] = true
 		if q.sourceUses >= maxSourceUses {
 			q.free() // the prompt may be what the instances refuse
 		}
-		return lifecycle.NotRun, fault.Newf(fault.Unavailable, "another instance is tried", "instance %s refused with %d", plan.Runner.ID, a.Status)
+		return lifecycle.NotRun, fault.Newf(fault.Unavailable, "another instance is tried", "instance %s refused with %d", plan.Target.ID, a.Status)
 	}
 	q.runs++
 	q.source = nil // taken by the runner
@@ -296,24 +296,24 @@
 	}
 	if !verdict.Genuine && a.Status < http.StatusMultipleChoices {
 		a.Close(false)
-		q.ticket.Run(placement.Failed)
-		q.avoid[plan.Runner.ID] = true
-		return lifecycle.Lost, fault.Newf(fault.Unknown, "check the instance", "instance %s answered without its seal", plan.Runner.ID)
+		q.ticket.RunEnded(placement.Failed)
+		q.avoid[plan.Target.ID] = true
+		return lifecycle.Lost, fault.Newf(fault.Unknown, "check the instance", "instance %s answered without its seal", plan.Target.ID)
 	}
 	if a.Status >= http.StatusInternalServerError && q.mayRepeat() {
-		a.CloseUnread()
-		q.ticket.Run(placement.Failed)
-		q.avoid[plan.Runner.ID] = true
-		return lifecycle.Lost, fault.Newf(fault.Unknown, "another instance is tried", "instance %s answered %d", plan.Runner.ID, a.Status)
+		a.DiscardBody()
+		q.ticket.RunEnded(placement.Failed)
+		q.avoid[plan.Target.ID] = true
+		return lifecycle.Lost, fault.Newf(fault.Unknown, "another instance is tried", "instance %s answered %d", plan.Target.ID, a.Status)
 	}
 	res, err := q.relay(a)
-	q.ticket.Run(q.verdictOn(res))
+	q.ticket.RunEnded(q.verdictOn(res))
 	if res != lifecycle.Lost {
 		q.sound()
 		return res, err
 	}
-	q.avoid[plan.Runner.ID] = true
-	q.broke(plan.Runner)
+	q.avoid[plan.Target.ID] = true
+	q.broke(plan.Target)
 	return q.goOn(err)
 }
 
@@ -322,7 +322,7 @@
 func (q *request) blame(err error) placement.Outcome {
 	switch {
 	case q.ctx.Err() != nil, q.withheld, !time.Now().Before(q.deadline):
-		return placement.Sound
+		return placement.Succeeded
 	case fault.Is(err, fault.Unavailable):
 		return placement.Unreachable
 	}
@@ -335,7 +335,7 @@
 	if o == lifecycle.Lost && !q.gone {
 		return placement.Failed
 	}
-	return placement.Sound
+	return placement.Succeeded
 }
 
 // mayRepeat reports whether a failure that an instance answered is better asked
@@ -359,10 +359,10 @@
 	s.Workspace = q.workspaceName()
 	return upstream.Request{
 		Address: i.Address, Method: q.http.Method, URI: q.http.RequestURI, Host: q.http.Host, Body: q.body,
-		Header:  q.s.o.Protocol.Forward(endToEnd(q.http.Header), s),
-		Matches: func(h http.Header) bool { return q.s.o.Protocol.Matches(q.call.ID, h) },
-		MaxIdle: q.maxIdle(),
-		Check:   func() error { return q.mayStillRun(i) },
+		Header:     q.s.o.Protocol.Forward(endToEnd(q.http.Header), s),
+		Matches:    func(h http.Header) bool { return q.s.o.Protocol.Matches(q.call.ID, h) },
+		MaxIdle:    q.maxIdle(),
+		BeforeSend: func() error { return q.mayStillRun(i) },
 	}
 }
 
@@ -374,12 +374,12 @@
 	switch {
 	case q.convicted():
 		return fault.New(fault.Unavailable, "instances have ended under the request since the decision", "the request is refused")
-	case q.s.notices.Leaving(i.Run()), q.s.o.View().Left(q.service, i.ID):
+	case q.s.notices.ShuttingDown(i.RunID()), q.s.o.View().StoppedAccepting(q.service, i.ID):
 		return fault.Newf(fault.Unavailable, "another instance is tried", "instance %s has left since it was chosen", i.ID)
-	case q.s.notices.Rest(i.Run()) > 0:
+	case q.s.notices.Backoff(i.RunID()) > 0:
 		q.withheld = true
 		return fault.Newf(fault.Unavailable, "another instance is tried", "instance %s has asked for rest since it was chosen", i.ID)
-	case !q.plan.Granted && q.s.limits.Withholds(i.Run()):
+	case !q.plan.Granted && q.s.limits.BlocksUngranted(i.RunID()):
 		q.withheld = true
 		return fault.Newf(fault.Unavailable, "another instance is tried", "instance %s has limited its rate since it was chosen", i.ID)
 	}
--- a/internal/gatewayd/duties.go
+++ b/internal/gatewayd/duties.go
@@ -14,11 +14,11 @@
 // told of each request that begins to run.
 func (d *Daemon) buildDuties(self members.Member) (began func(workspace string)) {
 	pruner := prune.New(prune.Options{
-		Self: self, Authority: d.authority, Store: d.store, Stale: d.store.Stale(), Prefix: platform.MemberPrefix, View: d.discovery.View,
-		Hears: d.scheduler.Hears, Unheard: d.asker.Unheard, Every: prune.Every, After: prune.After, Logger: d.logger,
+		Self: self, Authority: d.authority, Store: d.store, Stale: d.store.WithStaleReads(), Prefix: platform.MemberPrefix, View: d.discovery.View,
+		Hears: d.scheduler.HasContact, Unheard: d.asker.WithoutContact, Every: prune.Every, After: prune.After, Logger: d.logger,
 	})
 	d.duties = append(d.duties, d.roles.Run, pruner.Run)
-	api := platform.NewDuties(d.client, d.set.Duties.Address)
+	api := platform.NewDutyClient(d.client, d.set.Duties.Address)
 	if d.set.Duties.Has(platform.DutyCapacity) {
 		s := scaler.New(scaler.Options{Authority: d.authority, Orderer: api, View: d.discovery.View, Metrics: d.reg, Logger: d.logger})
 		d.duties = append(d.duties, s.Run)
@@ -27,7 +27,7 @@
 		return nil
 	}
 	ledger := usage.NewLedger(usage.Source{Process: self.Name, Incarnation: self.Incarnation}, d.set.Duties.UsageWindow.Std(), d.clock.Now)
-	d.usage = usage.NewSharer(usage.SharerOptions{Ledger: ledger, Transport: d.transport, Keepers: d.asker.Others, Logger: d.logger})
+	d.usage = usage.NewSharer(usage.SharerOptions{Ledger: ledger, Transport: d.transport, Keepers: d.asker.OtherSchedulers, Logger: d.logger})
 	r := usage.NewReporter(usage.ReporterOptions{
 		Store: d.store, Prefix: platform.UsagePrefix, Writer: self.Incarnation, Authority: d.authority, Biller: api, Ledger: ledger,
 		Collect: d.usage.Collect, Due: d.set.Duties.UsageDue.Std(), Metrics: d.reg, Logger: d.logger,
--- a/internal/gatewayd/fleet_test.go
+++ b/internal/gatewayd/fleet_test.go
@@ -17,7 +17,7 @@
 )
 
 // fleetSize is the least size at which a few work for the others.
-const fleetSize = members.FullMesh + 2
+const fleetSize = members.MaxFullMesh + 2
 
 func processName(n int) string { return fmt.Sprintf("g-%02d", n) }
 
--- a/internal/gatewayd/gatewayd.go
+++ b/internal/gatewayd/gatewayd.go
@@ -92,14 +92,14 @@
 	client    *upstream.Client
 	placer    *placement.Placer
 	transport *peer.Transport
-	share     *loadshare.Sharer
+	share     *loadshare.Syncer
 	// suspects are requests under which instances have ended, told is what the processes tell
 	// each other of them.
 	suspects *quarantine.Table
-	told     *suspects.Sharer
+	told     *suspects.Syncer
 	// limits are the rates that instances limit themselves to, grants is how the processes share them.
 	limits    *ratelimit.Table
-	grants    *ratelimit.Sharer
+	grants    *ratelimit.Syncer
 	asker     *scheduler.Client
 	scheduler *scheduler.Server
 	authority *duty.Authority
@@ -121,8 +121,8 @@
 	d := &Daemon{set: set, file: file, dropped: dropped, reg: metrics.NewRegistry(), run: members.NewIncarnation(), clock: truetime.New()}
 	d.logger = log.With(logger, "process", set.Name)
 	d.bounds.Store(&set.Bounds)
-	d.store = platform.NewStore(set.Store).AnswerWithin(discovery.AnswerWithin(set.Bounds.Apply.Std()))
-	d.store.OnOddEra(func(text string) {
+	d.store = platform.NewStore(set.Store).WithPageTimeout(discovery.StoreCallTimeout(set.Bounds.Apply.Std()))
+	d.store.OnInvalidEra(func(text string) {
 		level.Error(d.logger).Log("msg", "era of the store cannot be used, the one known before is taken", "text", text)
 	})
 	self := members.Member{
@@ -130,14 +130,14 @@
 		Peer: set.Peer, Admin: set.Metrics, Listen: set.Listen, Weight: set.Weight,
 	}
 	d.discovery = discovery.New(discovery.Options{
-		Self: self, Run: d.run, Relay: d, Silent: func(name string) bool { return d.share.Silent(name) }, Missing: func() { d.share.CheckRegistration() },
-		Restored: func() { d.share.RegisterAnew() },
-		Store:    d.store, Stale: d.store.Stale(),
+		Self: self, RunID: d.run, Relay: d, IsUnresponsive: func(name string) bool { return d.share.Unresponsive(name) }, OnUnregistered: func() { d.share.CheckRegistration() },
+		OnStoreRestored: func() { d.share.RegisterAfterRestore() },
+		Store:           d.store, Stale: d.store.WithStaleReads(),
 		Prefixes: discovery.Prefixes{
 			Config: platform.ConfigPrefix, Instances: platform.InstancePrefix, Rules: platform.RulesPrefix, Members: platform.MemberPrefix, Directory: platform.DirectoryPrefix,
 		},
-		DecodeConfig: platform.DecodeConfig, DecodeInstance: platform.DecodeInstance, Hide: platform.HideKeys, Prove: set.Bounds.MaxProofAge(),
-		Apply: set.Bounds.Apply.Std(), Within: set.Bounds.Within(), Settle: set.Bounds.Settle.Std(), LapseKept: set.Bounds.Drain.Std() - lapseMargin, Metrics: d.reg, Logger: d.logger,
+		DecodeConfig: platform.DecodeConfig, DecodeInstance: platform.DecodeInstance, RedactConfig: platform.RedactKeys, MaxConfigStaleness: set.Bounds.MaxProofAge(),
+		ApplyLimit: set.Bounds.Apply.Std(), PropagationLimit: set.Bounds.Within(), SettleTime: set.Bounds.Settle.Std(), ExpiredRetention: set.Bounds.Drain.Std() - lapseMargin, Metrics: d.reg, Logger: d.logger,
 	})
 	d.client = upstream.New(d.reg)
 	d.placer = placement.New(set.Domain, d.peerLoad, d.isChanging)
@@ -147,13 +147,13 @@
 	d.buildShare(self)
 	began := d.buildDuties(self)
 	d.gateway = gateway.New(gateway.Options{
-		View: d.discovery.View, Ready: d.discovery.Ready(), Protocol: platform.Protocol{}, Client: d.client, Scheduler: d.asker, Placer: d.placer, Domain: set.Domain,
-		MaxProofAge: set.Bounds.MaxProofAge(),
-		Budget: gateway.BudgetBounds{
+		View: d.discovery.View, Ready: d.discovery.Ready(), Protocol: platform.Protocol{}, Client: d.client, Scheduler: d.asker, Placer: d.placer, FailureDomain: set.Domain,
+		MaxConfigStaleness: set.Bounds.MaxProofAge(),
+		Budget: gateway.RetryBudgetConfig{
 			Ratio: set.Bounds.RetryRatio, Slack: set.Bounds.RetrySlack, Window: set.Bounds.RetryWindow.Std(),
 			Processes: func() int { return d.discovery.View().Processes },
 		},
-		Quarantine: d.suspects, Limits: d.limits, Began: began, Metrics: d.reg, Logger: d.logger,
+		Quarantine: d.suspects, RateLimits: d.limits, OnRunStart: began, Metrics: d.reg, Logger: d.logger,
 	})
 	d.buildServers()
 	return d
@@ -163,30 +163,30 @@
 func (d *Daemon) buildShare(self members.Member) {
 	d.transport = peer.NewTransport(&peerpb.Identity{Name: self.Name, Incarnation: self.Incarnation}, d, d.reg, d.logger)
 	d.authority = duty.New(duty.Options{
-		Store: d.store, Prefix: platform.LeasePrefix, Self: self, TTL: d.set.Bounds.Lease.Std(), Apart: d.set.Bounds.Lease.Std() + apartMargin,
-		View: d.discovery.View, Heard: func() []string { return d.share.Heard() }, Logger: d.logger,
+		Store: d.store, Prefix: platform.LeasePrefix, Self: self, TTL: d.set.Bounds.Lease.Std(), HandoverDelay: d.set.Bounds.Lease.Std() + apartMargin,
+		View: d.discovery.View, LivePeers: func() []string { return d.share.Reachable() }, Logger: d.logger,
 	})
 	d.roles = rolekeeper.New(rolekeeper.Options{
-		Authority: d.authority, Policy: d.set.RolePolicy, Engines: platform.NewKeeper(d.client), Placer: d.placer, View: d.discovery.View,
+		Authority: d.authority, Policy: d.set.RolePolicy, Engines: platform.NewEngineClient(d.client), Placer: d.placer, View: d.discovery.View,
 		Metrics: d.reg, Logger: d.logger,
 	})
 	d.share = loadshare.New(loadshare.Options{
-		Self: self, Store: d.store, Prefix: platform.MemberPrefix, Transport: d.transport, Placer: d.placer, Changing: d.roles.Changing,
+		Self: self, Store: d.store, Prefix: platform.MemberPrefix, Transport: d.transport, Placer: d.placer, RoleChanges: d.roles.Changing,
 		Members: func() []members.Member { return d.mesh() }, Clock: d.clock, Logger: d.logger,
 	})
-	o := scheduler.Options{Self: self, View: d.discovery.View, Transport: d.transport, Placer: d.placer, Limits: d.limits, Quarantine: d.suspects, InstancePrefix: platform.InstancePrefix, Hears: d.hears, Within: d.set.Bounds.Within(), Clock: d.clock, Metrics: d.reg, Logger: d.logger}
+	o := scheduler.Options{Self: self, View: d.discovery.View, Transport: d.transport, Placer: d.placer, Limits: d.limits, Quarantine: d.suspects, InstancePrefix: platform.InstancePrefix, HasContact: d.hears, PropagationLimit: d.set.Bounds.Within(), Clock: d.clock, Metrics: d.reg, Logger: d.logger}
 	d.asker, d.scheduler = scheduler.NewClient(o), scheduler.NewServer(o, d.discovery.Feed())
 	d.told = suspects.New(suspects.Options{Run: d.run, Table: d.suspects, Transport: d.transport, Peers: d.tellWhom, Logger: d.logger})
-	d.grants = ratelimit.NewSharer(ratelimit.Options{Self: self.Name, Table: d.limits, Transport: d.transport, Deciders: d.deciders, Tell: d.tellWhom, Logger: d.logger})
+	d.grants = ratelimit.NewSyncer(ratelimit.Options{Self: self.Name, Table: d.limits, Transport: d.transport, Deciders: d.deciders, Peers: d.tellWhom, Logger: d.logger})
 }
 
 // hears reports whether another scheduler tells this one of its work.
-func (d *Daemon) hears(name string) bool { return slices.Contains(d.share.Heard(), name) }
+func (d *Daemon) hears(name string) bool { return slices.Contains(d.share.Reachable(), name) }
 
 // mesh returns the schedulers, none if this process is not one.
 func (d *Daemon) mesh() []members.Member {
 	if v := d.discovery.View(); v.Scheduling {
-		return v.Mesh
+		return v.GossipPeers
 	}
 	return nil
 }
@@ -194,7 +194,7 @@
 // deciders returns the processes that decide where requests run.
 func (d *Daemon) deciders() ratelimit.Deciders {
 	v := d.discovery.View()
-	return ratelimit.Deciders{All: v.Mesh, Heard: d.share.Heard(), Processes: v.Processes}
+	return ratelimit.Deciders{All: v.GossipPeers, Reachable: d.share.Reachable(), Processes: v.Processes}
 }
 
 // toldSchedulers is how many schedulers a process that is none tells of what it sees of instances.
@@ -203,7 +203,7 @@
 // tellWhom returns whom this process tells of what it sees of instances: the schedulers tell each
 // other, and another process those that it asks first.
 func (d *Daemon) tellWhom() []members.Member {
-	others := d.asker.Others()
+	others := d.asker.OtherSchedulers()
 	if d.discovery.View().Scheduling {
 		return others
 	}
@@ -211,17 +211,17 @@
 }
 
 // Follow implements discovery.Relay.
-func (d *Daemon) Follow(ctx context.Context, after feed.Position) (discovery.Followed, error) {
+func (d *Daemon) Follow(ctx context.Context, after feed.Position) (discovery.RelayUpdate, error) {
 	return d.asker.Follow(ctx, after)
 }
 
-// Newer implements discovery.Relay.
-func (d *Daemon) Newer(ctx context.Context, age time.Duration) (discovery.Followed, error) {
-	return d.asker.Newer(ctx, age)
+// FetchFresher implements discovery.Relay.
+func (d *Daemon) FetchFresher(ctx context.Context, age time.Duration) (discovery.RelayUpdate, error) {
+	return d.asker.FetchFresher(ctx, age)
 }
 
 func (d *Daemon) isChanging(i *fleet.Instance) bool {
-	return d.roles.IsChanging(i.ID) || d.share.Changing(i)
+	return d.roles.IsChanging(i.ID) || d.share.IsChangingRole(i)
 }
 
 func (d *Daemon) peerLoad(instance string) placement.Load { return d.share.Load(instance) }
@@ -302,7 +302,7 @@
 	g.Add(func() error { return d.live(ctx, reload) }, func(error) { stopBackground() })
 	err = g.Run()
 	d.store.Close()
-	level.Info(d.logger).Log("msg", "stop", "run", d.run, "in_hand", d.gateway.InHand())
+	level.Info(d.logger).Log("msg", "stop", "run", d.run, "in_hand", d.gateway.InFlight())
 	return err
 }
 
@@ -317,7 +317,7 @@
 		case <-ready:
 			ready = nil
 			v := d.discovery.View()
-			level.Info(d.logger).Log("msg", "ready", "config", v.Config.Version, "instances_known", v.Listed)
+			level.Info(d.logger).Log("msg", "ready", "config", v.Config.Version, "instances_known", v.InstancesKnown)
 		case <-reload:
 			d.reload()
 		}
@@ -334,7 +334,7 @@
 		return
 	}
 	d.bounds.Store(&set.Bounds)
-	d.gateway.ApplyRetries(set.Bounds.RetryRatio, set.Bounds.RetrySlack)
+	d.gateway.SetRetryBudget(set.Bounds.RetryRatio, set.Bounds.RetrySlack)
 	d.limitMemory(set.MemoryMB)
 	level.Info(d.logger).Log("msg", "reload", "changed", *set != *d.set, "at_next_start", set.AtNextStart(d.set))
 }
@@ -342,7 +342,7 @@
 func (d *Daemon) limitMemory(mb float64) {
 	if mb > 0 {
 		debug.SetMemoryLimit(int64(mb * memoryShare * (1 << 20)))
-		d.gateway.LimitMemory(int64(mb * holdShare * (1 << 20)))
+		d.gateway.SetBufferLimit(int64(mb * holdShare * (1 << 20)))
 	}
 }
 
@@ -351,8 +351,8 @@
 func (d *Daemon) stop() {
 	begun := time.Now()
 	d.stopping.Store(true)
-	d.gateway.Stop()
-	level.Info(d.logger).Log("msg", "stopping", "in_hand", d.gateway.InHand())
+	d.gateway.DisableKeepAlives()
+	level.Info(d.logger).Log("msg", "stopping", "in_hand", d.gateway.InFlight())
 	time.Sleep(d.bounds.Load().Notice.Std())
 	go d.leave()
 	ctx, cancel := context.WithDeadline(context.Background(), begun.Add(d.bounds.Load().Grace.Std()-exitMargin))
@@ -363,7 +363,7 @@
 		d.usage.Share(ctx) // what has been counted must not go with this process
 	}
 	if !empty {
-		level.Warn(d.logger).Log("msg", "requests were still in hand at the end of the grace period", "in_hand", d.gateway.InHand())
+		level.Warn(d.logger).Log("msg", "requests were still in hand at the end of the grace period", "in_hand", d.gateway.InFlight())
 	}
 }
 
@@ -375,10 +375,10 @@
 	for empty := 0; empty < emptyTicks; {
 		select {
 		case <-ctx.Done():
-			return d.gateway.InHand() == 0
+			return d.gateway.InFlight() == 0
 		case <-tick.C:
 		}
-		if empty++; d.gateway.InHand() > 0 {
+		if empty++; d.gateway.InFlight() > 0 {
 			empty = 0
 		}
 	}
@@ -399,7 +399,7 @@
 		v := d.discovery.View()
 		was := scheduling
 		if scheduling = v.Ready() && v.Scheduling; scheduling && !was {
-			cachescan.Run(ctx, cachescan.Options{View: d.discovery.View, Lister: platform.NewKeeper(d.client), Placer: d.placer, Logger: d.logger})
+			cachescan.Run(ctx, cachescan.Options{View: d.discovery.View, Lister: platform.NewEngineClient(d.client), Placer: d.placer, Logger: d.logger})
 		}
 	})
 	return nil
@@ -413,12 +413,12 @@
 		d.placer.Retain(func(id string) bool { return v.Instances[id] != nil })
 		runs := map[string]bool{}
 		for _, i := range v.Instances {
-			runs[i.Run()] = true
+			runs[i.RunID()] = true
 		}
-		d.gateway.Retain(func(run string) bool { return runs[run] })
+		d.gateway.RetainInstances(func(run string) bool { return runs[run] })
 		for id, i := range before {
-			if now := v.Instances[id]; now == nil || now.Born != i.Born {
-				d.client.Forget(i.Address)
+			if now := v.Instances[id]; now == nil || now.StartTime != i.StartTime {
+				d.client.CloseIdle(i.Address)
 			}
 		}
 		before = v.Instances
--- a/internal/gatewayd/limits.go
+++ b/internal/gatewayd/limits.go
@@ -29,11 +29,11 @@
 
 // rateLimits lists the instances that limit the rate of requests.
 func (d *Daemon) rateLimits(w http.ResponseWriter, _ *http.Request) {
-	out := LimitsStatus{Keeper: d.grants.Keeper(), Part: d.grants.Part(), Limits: []LimitStatus{}}
-	for run, s := range d.limits.Limits() {
+	out := LimitsStatus{Keeper: d.grants.Coordinator(), Part: d.grants.Share(), Limits: []LimitStatus{}}
+	for run, s := range d.limits.AllLimits() {
 		out.Limits = append(out.Limits, LimitStatus{
-			Instance: run, PerSecond: s.PerSecond, ForMs: bootclock.Since(s.Began).Milliseconds(), HeardMs: bootclock.Since(s.Heard).Milliseconds(),
-			Wanted: d.limits.Wanted(run),
+			Instance: run, PerSecond: s.PerSecond, ForMs: bootclock.Since(s.LimitedSince).Milliseconds(), HeardMs: bootclock.Since(s.ReceivedAt).Milliseconds(),
+			Wanted: d.limits.DemandRate(run),
 		})
 	}
 	slices.SortFunc(out.Limits, func(a, b LimitStatus) int { return cmp.Compare(a.Instance, b.Instance) })
--- a/internal/gatewayd/operators.go
+++ b/internal/gatewayd/operators.go
@@ -71,7 +71,7 @@
 	gauge("view.config_age_ms", v.ConfigAge().Milliseconds())
 	gauge("view.instances_age_ms", v.InstancesAge().Milliseconds())
 	gauge("view.instances", int64(len(v.Instances)))
-	gauge("gateway.in_hand", d.gateway.InHand())
+	gauge("gateway.in_hand", d.gateway.InFlight())
 	gauge("log.lines_dropped", d.dropped())
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	admin.WriteMetrics(w, d.reg)
@@ -80,16 +80,16 @@
 func (d *Daemon) status(w http.ResponseWriter, _ *http.Request) {
 	v := d.discovery.View()
 	st := Status{
-		Name: d.set.Name, Run: d.run, Ready: v.Ready(), Stopping: d.stopping.Load(), InHand: d.gateway.InHand(),
+		Name: d.set.Name, Run: d.run, Ready: v.Ready(), Stopping: d.stopping.Load(), InHand: d.gateway.InFlight(),
 		ConfigAgeMs: v.ConfigAge().Milliseconds(), InstancesAgeMs: v.InstancesAge().Milliseconds(), StoreUp: v.StoreUp, Era: v.Era,
-		Members: v.Processes, Scheduling: v.Scheduling, Schedulers: members.Names(v.Schedulers), Watchers: members.Names(v.Watchers), Heard: d.share.Heard(), Followers: d.scheduler.Followers(), Instances: []InstanceStatus{},
+		Members: v.Processes, Scheduling: v.Scheduling, Schedulers: members.Names(v.Schedulers), Watchers: members.Names(v.Watchers), Heard: d.share.Reachable(), Followers: d.scheduler.Followers(), Instances: []InstanceStatus{},
 	}
 	if v.Config != nil {
 		st.Config = v.Config.Version
 	}
 	for id, i := range v.Instances {
 		st.Instances = append(st.Instances, InstanceStatus{
-			ID: id, Service: i.Service, Address: i.Address, Domain: i.Domain, Role: i.Role, Draining: i.Draining, Lapsed: i.Lapsed,
+			ID: id, Service: i.Service, Address: i.Address, Domain: i.Domain, Role: i.Role, Draining: i.Draining, Lapsed: i.Expired,
 			Changing: d.isChanging(i), Load: d.placer.Load(i),
 		})
 	}
@@ -99,8 +99,8 @@
 func (d *Daemon) explain(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	number := func(name string) int { n, _ := strconv.Atoi(q.Get(name)); return n } // what is no number counts as none
-	e, err := d.gateway.Explain(gateway.Question{
-		Host: q.Get("host"), Path: q.Get("path"), ID: q.Get("id"), Subject: q.Get("subject"),
+	e, err := d.gateway.Explain(gateway.ExplainRequest{
+		Host: q.Get("host"), Path: q.Get("path"), ID: q.Get("id"), PromptPrefix: q.Get("subject"),
 		PromptTokens: number("prompt"), SharedTokens: number("shared"),
 	})
 	switch {
--- a/internal/gatewayd/quarantine.go
+++ b/internal/gatewayd/quarantine.go
@@ -26,7 +26,7 @@
 	out := []SuspectStatus{}
 	for _, s := range d.suspects.Suspects() {
 		out = append(out, SuspectStatus{
-			Fingerprint: s.Request.String(), Ended: s.Verdict.Ended, LastEndMs: s.LastEnd.Milliseconds(),
+			Fingerprint: s.Request.String(), Ended: s.Verdict.CrashedInstances, LastEndMs: s.SinceLastCrash.Milliseconds(),
 			Refused: s.Verdict.Refused, RefusedForMs: s.Verdict.RetryAfter.Milliseconds(),
 		})
 	}
@@ -40,13 +40,13 @@
 		d.answer(w, http.StatusBadRequest, admin.ErrorBody{Kind: fault.Invalid, Message: err.Error()})
 		return
 	}
-	v := d.suspects.Look(f)
-	if len(v.Ended) == 0 {
+	v := d.suspects.Verdict(f)
+	if len(v.CrashedInstances) == 0 {
 		err := fault.Newf(fault.NotFound, "list them with: rockdoor gateway quarantine", "no instance has ended under %s", f)
 		d.answer(w, http.StatusNotFound, admin.ErrorBody{Kind: fault.NotFound, Message: err.Error()})
 		return
 	}
-	d.suspects.Sound(f)
+	d.suspects.RecordSuccess(f)
 	level.Warn(d.logger).Log("msg", "request cleared by an operator", "fingerprint", f, "refused", v.Refused)
 	d.answer(w, http.StatusOK, struct{}{})
 }
--- a/internal/gatewayd/watchers_test.go
+++ b/internal/gatewayd/watchers_test.go
@@ -99,7 +99,7 @@
 	links := d.links()
 	all := d.largeFleet()
 	st := all[0].state(t)
-	require.Len(t, st.Watchers, members.MostWatchers)
+	require.Len(t, st.Watchers, members.MaxWatchers)
 	for _, name := range st.Watchers {
 		links[name].turnedAway.Store(true)
 	}
--- a/internal/lab/replay/replay.go
+++ b/internal/lab/replay/replay.go
@@ -172,7 +172,7 @@
 	for _, k := range r.o.Load {
 		for n := range k.Subjects {
 			id := subject(k, n)
-			home := placement.Home(id, r.readersOf(id))
+			home := placement.PreferredEngine(id, r.readersOf(id))
 			r.engines[home.ID].memory.read(id, k.Shared, 0)
 			kept[home.ID] = append(kept[home.ID], engine.Part{ID: id, Tokens: k.Shared})
 		}
@@ -182,7 +182,7 @@
 	}
 	for _, p := range r.placers {
 		for id, parts := range kept {
-			p.Restore(r.engines[id].Instance, r.o.Engines.Memory, parts)
+			p.RestoreCache(r.engines[id].Instance, r.o.Engines.Memory, parts)
 		}
 	}
 }
@@ -199,7 +199,7 @@
 func (r *replay) readersOf(subject string) []*fleet.Instance {
 	group := r.fleet
 	if groups := r.groups(); len(groups) > 1 {
-		group = groups[fleet.GroupOf(subject, len(groups))]
+		group = groups[fleet.GroupIndex(subject, len(groups))]
 	}
 	return slices.DeleteFunc(slices.Clone(group), func(i *fleet.Instance) bool { return i.Role != engine.RolePrefill })
 }
@@ -233,13 +233,13 @@
 		if m == n {
 			continue
 		}
-		for id, l := range other.Own() {
+		for id, l := range other.LocalLoads() {
 			sum[id] = sum[id].Add(l)
 		}
-		var reads []placement.Read
-		reads, r.told[n][m] = other.ReadsAfter(r.told[n][m])
+		var reads []placement.Prefill
+		reads, r.told[n][m] = other.PrefillsAfter(r.told[n][m])
 		for _, read := range reads {
-			r.placers[n].Learn(read)
+			r.placers[n].ApplyRemotePrefill(read)
 		}
 	}
 	return sum
@@ -276,9 +276,9 @@
 	sum, n := 0.0, 0.0
 	for _, p := range r.placers {
 		for _, w := range []placement.Work{
-			placement.WorkOf(1500, 1100), placement.WorkOf(9000, 2900), placement.WorkOf(17000, 3700), placement.WorkOf(17000, 17000),
+			placement.PrefillWork(1500, 1100), placement.PrefillWork(9000, 2900), placement.PrefillWork(17000, 3700), placement.PrefillWork(17000, 17000),
 		} {
-			sum += math.Abs(float64(p.Estimate(service, w))/float64(r.o.Engines.readTime(w)) - 1)
+			sum += math.Abs(float64(p.EstimatePrefill(service, w))/float64(r.o.Engines.readTime(w)) - 1)
 			n++
 		}
 	}
--- a/internal/lab/replay/request.go
+++ b/internal/lab/replay/request.go
@@ -47,16 +47,16 @@
 	if !r.o.IgnorePatience {
 		left = q.kind.Patience
 	}
-	q.job.Spent = r.now.Sub(q.arrived)
-	q.job.Left = left - q.job.Spent
+	q.job.Elapsed = r.now.Sub(q.arrived)
+	q.job.Remaining = left - q.job.Elapsed
 	q.plan, q.ticket = q.placer.Place(q.job)
 	switch {
 	case q.ticket == nil:
 		r.refused(q)
-	case q.plan.Reader == nil:
-		r.send(q, q.plan.Runner)
+	case q.plan.PrefillEngine == nil:
+		r.send(q, q.plan.Target)
 	default:
-		r.send(q, q.plan.Reader)
+		r.send(q, q.plan.PrefillEngine)
 	}
 }
 
@@ -75,10 +75,10 @@
 
 // failed ends a try that an instance refused; another one follows elsewhere.
 func (r *replay) failed(q *request, i *fleet.Instance) {
-	if q.plan.Reader != nil {
-		q.ticket.Read(false, placement.Failed)
+	if q.plan.PrefillEngine != nil {
+		q.ticket.PrefillEnded(false, placement.Failed)
 	}
-	q.ticket.Run(placement.Failed)
+	q.ticket.RunEnded(placement.Failed)
 	q.ticket.Cancel()
 	if q.tries == maxTries {
 		return // it was offered to engines, which costs nothing but its worth
@@ -122,7 +122,7 @@
 	if e.Role != engine.RolePrefill {
 		slow *= sharedReading
 	}
-	took := e.engines.readTime(placement.WorkOf(q.job.Call.PromptTokens, uncached))
+	took := e.engines.readTime(placement.PrefillWork(q.job.Call.PromptTokens, uncached))
 	return moved + time.Duration(slow*float64(took))
 }
 
@@ -132,25 +132,25 @@
 
 // hasRead has a request run whose prompt was read.
 func (r *replay) hasRead(q *request) {
-	if q.plan.Reader == nil {
+	if q.plan.PrefillEngine == nil {
 		r.arrive(q)
 		return
 	}
-	q.ticket.Read(true, placement.Sound)
-	if !q.placer.PlaceRead(q.job, &q.plan, q.ticket) {
+	q.ticket.PrefillEnded(true, placement.Succeeded)
+	if !q.placer.PlaceDecode(q.job, &q.plan, q.ticket) {
 		q.ticket.Cancel()
 		r.refused(q)
 		return
 	}
-	move := r.o.Engines.moveTime(q.job.Call.PromptTokens, q.plan.Reader, q.plan.Runner)
+	move := r.o.Engines.moveTime(q.job.Call.PromptTokens, q.plan.PrefillEngine, q.plan.Target)
 	r.after(move, func() { r.arrive(q) })
 }
 
 // arrive has a request begin to run, or wait for a slot.
 func (r *replay) arrive(q *request) {
-	e := r.engines[q.plan.Runner.ID]
+	e := r.engines[q.plan.Target.ID]
 	if _, refuses := e.fault(r.since()); refuses {
-		r.failed(q, q.plan.Runner)
+		r.failed(q, q.plan.Target)
 		return
 	}
 	e.queued = append(e.queued, q)
@@ -188,7 +188,7 @@
 		return
 	}
 	e.running--
-	q.ticket.Run(placement.Sound)
+	q.ticket.RunEnded(placement.Succeeded)
 	r.runNext(e)
 }
 
--- a/internal/lab/soak/leases_test.go
+++ b/internal/lab/soak/leases_test.go
@@ -77,8 +77,8 @@
 	t.Cleanup(client.Close)
 	ttl := DefaultBounds.Lease
 	a := duty.New(duty.Options{
-		Store: client, Prefix: platform.LeasePrefix, Self: members.Member{Name: name, Incarnation: members.NewIncarnation()}, TTL: ttl, Apart: ttl,
-		View: func() *fleet.View { return &fleet.View{Scheduling: true} }, Heard: func() []string { return nil }, Logger: log.NewNopLogger(),
+		Store: client, Prefix: platform.LeasePrefix, Self: members.Member{Name: name, Incarnation: members.NewIncarnation()}, TTL: ttl, HandoverDelay: ttl,
+		View: func() *fleet.View { return &fleet.View{Scheduling: true} }, LivePeers: func() []string { return nil }, Logger: log.NewNopLogger(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -31,48 +31,48 @@
 // Steps are made for one request by the service that took it. R is what it answers
 // itself when no target does.
 type Steps[R any] interface {
-	// Rebase puts the next attempt under the newest configuration. A reply ends the
+	// RefreshConfig puts the next attempt under the newest configuration. A reply ends the
 	// request.
-	Rebase() *R
-	// Choose finds where the next attempt is made. A reply ends the request.
-	Choose() *R
+	RefreshConfig() *R
+	// ChooseTarget finds where the next attempt is made. A reply ends the request.
+	ChooseTarget() *R
 	// Attempt makes the attempt that was chosen.
 	Attempt() (Outcome, error)
-	// Repeatable reports whether an attempt that may have run may be followed by
+	// CanRetryAfterRun reports whether an attempt that may have run may be followed by
 	// another one now.
-	Repeatable() bool
-	// Again prepares another attempt after one that ended with an error. A reply ends
+	CanRetryAfterRun() bool
+	// PrepareRetry prepares another attempt after one that ended with an error. A reply ends
 	// the request.
-	Again(err error) *R
-	// Ended returns the reply that is owed after the last attempt, nil if there is none.
-	Ended(o Outcome, err error) *R
+	PrepareRetry(err error) *R
+	// FinalReply returns the reply that is owed after the last attempt, nil if there is none.
+	FinalReply(o Outcome, err error) *R
 }
 
-// Life is one request in the chart of requests. It belongs to one goroutine.
-type Life struct {
+// Request is one request in the chart of requests. It belongs to one goroutine.
+type Request struct {
 	chart  *statechart.Instance
 	id     string
 	logger log.Logger
 }
 
 // New returns the life of a request that has been received.
-func New(id string, logger log.Logger) *Life {
-	return &Life{chart: charts.Request.Start(), id: id, logger: logger}
+func New(id string, logger log.Logger) *Request {
+	return &Request{chart: charts.Request.Start(), id: id, logger: logger}
 }
 
 // Fire moves the chart. The chart refuses nothing that its users fire; a refusal would
 // be a defect and is logged.
-func (l *Life) Fire(e statechart.Event) {
+func (l *Request) Fire(e statechart.Event) {
 	if _, err := l.chart.Fire(e); err != nil {
 		level.Error(l.logger).Log("msg", "state chart", "request", l.id, "err", err)
 	}
 }
 
 // State returns the state of the request.
-func (l *Life) State() statechart.State { return l.chart.State() }
+func (l *Request) State() statechart.State { return l.chart.State() }
 
 // MayHaveRun reports whether some target may have begun the request.
-func (l *Life) MayHaveRun() bool {
+func (l *Request) MayHaveRun() bool {
 	switch l.State() {
 	case charts.RequestReceived, charts.RequestRouting, charts.RequestNotRun, charts.RequestDuplicate:
 		return false
@@ -83,7 +83,7 @@
 // Serve makes attempts until an admitted request has a final state, and returns the
 // reply that is owed to the caller, nil if the answer was passed on. The state says
 // what the reply may claim.
-func Serve[R any](l *Life, s Steps[R]) *R {
+func Serve[R any](l *Request, s Steps[R]) *R {
 	for {
 		if rep := next(s); rep != nil {
 			l.Fire(charts.NoTarget)
@@ -91,12 +91,12 @@
 		}
 		l.Fire(charts.Chosen)
 		outcome, err := s.Attempt()
-		event, again := follows(outcome, s.Repeatable)
+		event, again := follows(outcome, s.CanRetryAfterRun)
 		l.Fire(event)
 		if !again {
-			return s.Ended(outcome, err)
+			return s.FinalReply(outcome, err)
 		}
-		if rep := s.Again(err); rep != nil {
+		if rep := s.PrepareRetry(err); rep != nil {
 			l.Fire(charts.NoTarget)
 			return rep
 		}
@@ -104,10 +104,10 @@
 }
 
 func next[R any](s Steps[R]) *R {
-	if rep := s.Rebase(); rep != nil {
+	if rep := s.RefreshConfig(); rep != nil {
 		return rep
 	}
-	return s.Choose()
+	return s.ChooseTarget()
 }
 
 // follows returns the event that an attempt is for its request, and whether another
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -31,14 +31,14 @@
 
 func reply(text string) *string { return &text }
 
-func (s *script) Rebase() *string {
+func (s *script) RefreshConfig() *string {
 	if s.attempts == s.rebaseFails {
 		return reply("no configuration")
 	}
 	return nil
 }
 
-func (s *script) Choose() *string {
+func (s *script) ChooseTarget() *string {
 	if s.attempts == s.chooseFails {
 		return reply("no target")
 	}
@@ -53,16 +53,16 @@
 	return o, errAttempt
 }
 
-func (s *script) Repeatable() bool { return s.repeatable }
+func (s *script) CanRetryAfterRun() bool { return s.repeatable }
 
-func (s *script) Again(error) *string {
+func (s *script) PrepareRetry(error) *string {
 	if s.attempts >= s.stopAt {
 		return reply("enough")
 	}
 	return nil
 }
 
-func (s *script) Ended(o Outcome, _ error) *string {
+func (s *script) FinalReply(o Outcome, _ error) *string {
 	if o == Delivered {
 		return nil
 	}
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -25,26 +25,26 @@
 	minBurst = 2
 )
 
-// Refusal says why a request is not taken in and when to ask again.
-type Refusal struct {
+// RejectionError says why a request is not taken in and when to ask again.
+type RejectionError struct {
 	Err        *fault.Error
 	RetryAfter time.Duration
 }
 
 // Error implements error.
-func (r *Refusal) Error() string { return r.Err.Error() }
+func (r *RejectionError) Error() string { return r.Err.Error() }
 
 // Unwrap returns the typed error.
-func (r *Refusal) Unwrap() error { return r.Err }
+func (r *RejectionError) Unwrap() error { return r.Err }
 
 // NewRefusal returns a refusal whose time to ask again is spread over once to
 // twice the given wait, so that refused callers don't return together.
-func NewRefusal(err *fault.Error, wait time.Duration) *Refusal {
-	return &Refusal{Err: err, RetryAfter: wait + rand.N(wait+1)}
+func NewRefusal(err *fault.Error, wait time.Duration) *RejectionError {
+	return &RejectionError{Err: err, RetryAfter: wait + rand.N(wait+1)}
 }
 
-// Gate admits requests. It is safe for concurrent use.
-type Gate struct {
+// AdmissionController admits requests. It is safe for concurrent use.
+type AdmissionController struct {
 	bound   int
 	reserve float64
 
@@ -62,18 +62,18 @@
 	limiter *rate.Limiter
 }
 
-// NewGate returns a gate for bound requests in hand, of which the share reserve
+// NewAdmissionController returns a gate for bound requests in hand, of which the share reserve
 // is kept for urgent ones.
-func NewGate(bound int, reserve float64) *Gate {
+func NewAdmissionController(bound int, reserve float64) *AdmissionController {
 	cache, err := lru.New[string, *workspace](maxWorkspaces)
 	if err != nil {
 		panic(err) // only for a size that is not positive
 	}
-	return &Gate{bound: bound, reserve: reserve, workspaces: cache}
+	return &AdmissionController{bound: bound, reserve: reserve, workspaces: cache}
 }
 
-// InHand returns the number of admitted requests that are not released.
-func (g *Gate) InHand() int {
+// InFlight returns the number of admitted requests that are not released.
+func (g *AdmissionController) InFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.inHand
@@ -82,7 +82,7 @@
 // Admit takes a request in or refuses it. The limits of a workspace hold for
 // the whole deployment; each of the serving processes enforces its share. The
 // caller releases an admitted request exactly once.
-func (g *Gate) Admit(w *config.Workspace, p config.Priority, serving int) (release func(), err error) {
+func (g *AdmissionController) Admit(w *config.Workspace, p config.Priority, serving int) (release func(), err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.inHand >= g.boundFor(p) {
@@ -106,7 +106,7 @@
 	return func() { g.release(ws, time.Since(start)) }, nil
 }
 
-func (g *Gate) release(ws *workspace, took time.Duration) {
+func (g *AdmissionController) release(ws *workspace, took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inHand--
@@ -127,7 +127,7 @@
 // the requests in hand. It is asked only when targets are short, so that a
 // workspace that floods them cannot starve the others. One more workspace than
 // there are is counted, so that there is room for whoever comes next.
-func (g *Gate) OverShare(w *config.Workspace) error {
+func (g *AdmissionController) OverShare(w *config.Workspace) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	ws, ok := g.workspaces.Peek(w.Name)
@@ -147,7 +147,7 @@
 	return 1
 }
 
-func (g *Gate) boundFor(p config.Priority) int {
+func (g *AdmissionController) boundFor(p config.Priority) int {
 	switch p {
 	case config.Urgent:
 		return g.bound
@@ -158,7 +158,7 @@
 }
 
 // workspace returns the limiter of w, adjusted to the configuration in force.
-func (g *Gate) workspace(w *config.Workspace, serving int) *workspace {
+func (g *AdmissionController) workspace(w *config.Workspace, serving int) *workspace {
 	limit := rate.Inf
 	if w.RequestsPerSecond > 0 {
 		limit = rate.Limit(w.RequestsPerSecond / float64(max(serving, 1)))
@@ -226,15 +226,15 @@
 // NewRetryBudget returns a full budget.
 func NewRetryBudget() *RetryBudget { return &RetryBudget{tokens: retryBurst} }
 
-// Request records a request, which earns a share of a retry.
-func (b *RetryBudget) Request() {
+// RecordRequest records a request, which earns a share of a retry.
+func (b *RetryBudget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+retryShare, retryBurst)
 }
 
-// Retry reports whether a retry may be made now, and pays for it.
-func (b *RetryBudget) Retry() bool {
+// TakeRetry reports whether a retry may be made now, and pays for it.
+func (b *RetryBudget) TakeRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < retryTokens {
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -10,8 +10,8 @@
 	"github.com/rockdoor/rockdoor/config"
 )
 
-func refusalOf(t *testing.T, err error) *Refusal {
-	var r *Refusal
+func refusalOf(t *testing.T, err error) *RejectionError {
+	var r *RejectionError
 	require.True(t, errors.As(err, &r), "%v", err)
 	require.Positive(t, r.RetryAfter)
 	require.LessOrEqual(t, r.RetryAfter, 2*maxWait)
@@ -19,7 +19,7 @@
 }
 
 func TestUrgentRequestsHaveAReserve(t *testing.T) {
-	g := NewGate(10, 0.2)
+	g := NewAdmissionController(10, 0.2)
 	w := &config.Workspace{Name: "w"}
 	for range 8 {
 		_, err := g.Admit(w, config.Normal, 1)
@@ -30,11 +30,11 @@
 	release, err := g.Admit(w, config.Urgent, 1)
 	require.NoError(t, err)
 	release()
-	require.Equal(t, 8, g.InHand())
+	require.Equal(t, 8, g.InFlight())
 }
 
 func TestWorkspaceLimitsAreSharedByTheServingProcesses(t *testing.T) {
-	g := NewGate(1000, 0.1)
+	g := NewAdmissionController(1000, 0.1)
 	w := &config.Workspace{Name: "w", Concurrency: 8}
 	for range 2 {
 		_, err := g.Admit(w, config.Normal, 4)
@@ -47,7 +47,7 @@
 }
 
 func TestRateIsRefusedWithTheTimeToComeBack(t *testing.T) {
-	g := NewGate(1000, 0.1)
+	g := NewAdmissionController(1000, 0.1)
 	w := &config.Workspace{Name: "w", RequestsPerSecond: 0.5}
 	for range minBurst {
 		release, err := g.Admit(w, config.Normal, 1)
@@ -56,15 +56,15 @@
 	}
 	_, err := g.Admit(w, config.Normal, 1)
 	require.Greater(t, refusalOf(t, err).RetryAfter, time.Second)
-	require.Zero(t, g.InHand())
+	require.Zero(t, g.InFlight())
 }
 
 func TestRetryBudgetBoundsRetries(t *testing.T) {
 	b := NewRetryBudget()
 	retries := 0
 	for range 1000 {
-		b.Request()
-		for b.Retry() {
+		b.RecordRequest()
+		for b.TakeRetry() {
 			retries++
 		}
 	}
@@ -72,7 +72,7 @@
 }
 
 func TestFloodingWorkspaceIsHeldToItsShare(t *testing.T) {
-	g := NewGate(1000, 0.1)
+	g := NewAdmissionController(1000, 0.1)
 	flood, small := &config.Workspace{Name: "flood", Weight: 1}, &config.Workspace{Name: "small", Weight: 3}
 	for range 40 {
 		_, err := g.Admit(flood, config.Normal, 1)
--- a/internal/loadshare/digest.go
+++ b/internal/loadshare/digest.go
@@ -27,21 +27,21 @@
 }
 
 // digest describes the work of this process to a peer.
-func (s *Sharer) digest(peer string) *peerpb.LoadDigest {
+func (s *Syncer) digest(peer string) *peerpb.LoadDigest {
 	s.mu.Lock()
 	t := s.told[peer]
 	s.mu.Unlock()
-	d := &peerpb.LoadDigest{SeenRead: t.seen, ClockUs: s.o.Clock.Own().UnixMicro()}
-	for id, role := range s.o.Changing() {
+	d := &peerpb.LoadDigest{SeenRead: t.seen, ClockUs: s.o.Clock.HostTime().UnixMicro()}
+	for id, role := range s.o.RoleChanges() {
 		d.Changing = append(d.Changing, &peerpb.RoleChange{Instance: id, Role: string(role)})
 	}
-	for id, l := range s.o.Placer.Own() {
+	for id, l := range s.o.Placer.LocalLoads() {
 		d.Instances = append(d.Instances, &peerpb.InstanceLoad{
-			Instance: id, Requests: uint32(l.Requests), Unread: encodeUnread(l.Unread), Starting: uint32(l.Starting), Long: uint32(l.Long),
+			Instance: id, Requests: uint32(l.Requests), Unread: encodeUnread(l.Pending), Starting: uint32(l.Starting), Long: uint32(l.LongResponses),
 		})
 	}
-	var reads []placement.Read
-	reads, d.LastRead = s.o.Placer.ReadsAfter(t.has)
+	var reads []placement.Prefill
+	reads, d.LastRead = s.o.Placer.PrefillsAfter(t.has)
 	for _, r := range reads {
 		d.Reads = append(d.Reads, encodeRead(r))
 	}
@@ -51,7 +51,7 @@
 // kilo is the unit in which pairs of tokens are told.
 const kilo = 1000
 
-func encodeUnread(u placement.Unread) []*peerpb.Backlog {
+func encodeUnread(u placement.PendingByRank) []*peerpb.Backlog {
 	var out []*peerpb.Backlog
 	for rank, b := range u {
 		if b != (placement.Backlog{}) {
@@ -62,8 +62,8 @@
 }
 
 // decodeUnread reads what a peer said; ranks that are not known are taken for the last.
-func decodeUnread(list []*peerpb.Backlog) placement.Unread {
-	var out placement.Unread
+func decodeUnread(list []*peerpb.Backlog) placement.PendingByRank {
+	var out placement.PendingByRank
 	for _, b := range list {
 		rank := min(int(b.GetRank()), len(out)-1)
 		out[rank] = out[rank].Add(placement.Backlog{
@@ -73,8 +73,8 @@
 	return out
 }
 
-func encodeRead(r placement.Read) *peerpb.PromptRead {
-	out := &peerpb.PromptRead{Instance: r.Instance, OwnTokens: uint32(r.Own)}
+func encodeRead(r placement.Prefill) *peerpb.PromptRead {
+	out := &peerpb.PromptRead{Instance: r.Instance, OwnTokens: uint32(r.UnsharedTokens)}
 	for _, p := range r.Parts {
 		out.Parts = append(out.Parts, p.ID)
 		out.Tokens = append(out.Tokens, uint32(p.Tokens))
@@ -84,8 +84,8 @@
 
 // decodeRead reads a message of a peer; parts without a number of tokens are left
 // out.
-func decodeRead(m *peerpb.PromptRead) placement.Read {
-	out := placement.Read{Instance: m.GetInstance(), Own: int(m.GetOwnTokens())}
+func decodeRead(m *peerpb.PromptRead) placement.Prefill {
+	out := placement.Prefill{Instance: m.GetInstance(), UnsharedTokens: int(m.GetOwnTokens())}
 	tokens := m.GetTokens()
 	for n, id := range m.GetParts() {
 		if n < len(tokens) {
@@ -96,12 +96,12 @@
 }
 
 // hear takes in a digest.
-func (s *Sharer) hear(from *peerpb.Identity, d *peerpb.LoadDigest) {
+func (s *Syncer) hear(from *peerpb.Identity, d *peerpb.LoadDigest) {
 	if d.GetClockUs() != 0 {
-		s.o.Clock.HearPeer(from.GetName(), time.UnixMicro(d.GetClockUs()))
+		s.o.Clock.ObservePeer(from.GetName(), time.UnixMicro(d.GetClockUs()))
 	}
 	for _, r := range s.fresh(from, d) {
-		s.o.Placer.Learn(decodeRead(r))
+		s.o.Placer.ApplyRemotePrefill(decodeRead(r))
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +121,7 @@
 	out := make(map[string]placement.Load, len(list))
 	for _, l := range list {
 		out[l.GetInstance()] = placement.Load{
-			Requests: int(l.GetRequests()), Unread: decodeUnread(l.GetUnread()), Starting: int(l.GetStarting()), Long: int(l.GetLong()),
+			Requests: int(l.GetRequests()), Pending: decodeUnread(l.GetUnread()), Starting: int(l.GetStarting()), LongResponses: int(l.GetLong()),
 		}
 	}
 	return out
@@ -129,7 +129,7 @@
 
 // fresh returns the reads of a digest that were not heard before. Digests may
 // overtake each other.
-func (s *Sharer) fresh(from *peerpb.Identity, d *peerpb.LoadDigest) []*peerpb.PromptRead {
+func (s *Syncer) fresh(from *peerpb.Identity, d *peerpb.LoadDigest) []*peerpb.PromptRead {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.told[from.GetName()]
@@ -149,7 +149,7 @@
 
 // replace puts a peer's new digest in the place of its old one in the sums, which costs
 // the same however many peers there are. The caller holds the lock.
-func (s *Sharer) replace(old, next digest) {
+func (s *Syncer) replace(old, next digest) {
 	for id, l := range old.loads {
 		if s.sum[id] = s.sum[id].Sub(l); s.sum[id] == (placement.Load{}) {
 			delete(s.sum, id)
@@ -161,7 +161,7 @@
 }
 
 // sumChanging joins what the digests say of role changes. The caller holds the lock.
-func (s *Sharer) sumChanging() {
+func (s *Syncer) sumChanging() {
 	changing := map[string]engine.Role{}
 	for _, d := range s.digests {
 		for _, c := range d.changing {
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -59,9 +59,9 @@
 	Transport *peer.Transport
 	// Placer knows what this process has in hand and learns what others had read.
 	Placer *placement.Placer
-	// Changing returns the engines that this process is having change their role,
+	// RoleChanges returns the engines that this process is having change their role,
 	// and to which.
-	Changing func() map[string]engine.Role
+	RoleChanges func() map[string]engine.Role
 	// Members returns the gateways that tell each other, none if this is not one of them.
 	Members func() []members.Member
 	// Clock hears the clocks of the other gateways' hosts.
@@ -69,8 +69,8 @@
 	Logger log.Logger
 }
 
-// Sharer exchanges digests with the other gateways.
-type Sharer struct {
+// Syncer exchanges digests with the other gateways.
+type Syncer struct {
 	o      Options
 	logger log.Logger
 	// missing has an entry if this process may have lost its registration.
@@ -89,7 +89,7 @@
 	heardAt map[string]time.Time
 	// exchanging is true while this process is one of those that tell each other of their work.
 	exchanging bool
-	silent     *peer.Silences
+	silent     *peer.Backoffs
 	// calling are the peers whose answer is awaited.
 	calling map[string]bool
 	sum     map[string]placement.Load
@@ -99,44 +99,44 @@
 }
 
 // New returns a sharer that has to be run.
-func New(o Options) *Sharer {
+func New(o Options) *Syncer {
 	if o.Clock == nil {
 		o.Clock = truetime.New()
 	}
-	return &Sharer{
+	return &Syncer{
 		o: o, logger: log.With(o.Logger, "component", "loadshare"), missing: make(chan struct{}, 1), restored: make(chan struct{}, 1), again: registerAgain,
-		digests: map[string]digest{}, told: map[string]told{}, heardAt: map[string]time.Time{}, silent: peer.NewSilences(), calling: map[string]bool{}, sum: map[string]placement.Load{},
+		digests: map[string]digest{}, told: map[string]told{}, heardAt: map[string]time.Time{}, silent: peer.NewBackoffs(), calling: map[string]bool{}, sum: map[string]placement.Load{},
 	}
 }
 
 // Load returns what the other gateways have in hand at an instance.
-func (s *Sharer) Load(instance string) placement.Load {
+func (s *Syncer) Load(instance string) placement.Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sum[instance]
 }
 
-// Changing reports whether another gateway is having an engine change its role. The
+// IsChangingRole reports whether another gateway is having an engine change its role. The
 // role in the engine's own registration goes before that gateway's word, which may
 // have lost the store and not see that the engine has changed.
-func (s *Sharer) Changing(i *fleet.Instance) bool {
+func (s *Syncer) IsChangingRole(i *fleet.Instance) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	to := s.changing[i.ID]
 	return to != "" && to != i.Role
 }
 
-// Heard returns the names of the other gateways that are heard.
-func (s *Sharer) Heard() []string {
+// Reachable returns the names of the other gateways that are heard.
+func (s *Syncer) Reachable() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Collect(maps.Keys(s.digests))
 }
 
-// Silent reports whether a peer has not been heard for so long that another one takes its
+// Unresponsive reports whether a peer has not been heard for so long that another one takes its
 // place. Nobody is silent for a process that is not told any more, as one that works for others no
 // longer: it took all others for silent, and decided beside them for seconds at a time.
-func (s *Sharer) Silent(name string) bool {
+func (s *Syncer) Unresponsive(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at, expected := s.heardAt[name]
@@ -144,7 +144,7 @@
 }
 
 // hearsAny reports whether any peer has been heard lately. The caller holds the lock.
-func (s *Sharer) hearsAny() bool {
+func (s *Syncer) hearsAny() bool {
 	for _, at := range s.heardAt {
 		if time.Since(at) <= replaceAfter {
 			return true
@@ -155,7 +155,7 @@
 
 // noteExchanging notes whether this process exchanges digests now. If it has heard nobody for a while, it begins to listen:
 // what was not heard before is no silence. The caller holds the lock.
-func (s *Sharer) noteExchanging(exchanging bool) {
+func (s *Syncer) noteExchanging(exchanging bool) {
 	if exchanging && !s.exchanging && !s.hearsAny() {
 		clear(s.heardAt)
 	}
@@ -163,7 +163,7 @@
 }
 
 // Run registers this process and exchanges digests until ctx ends.
-func (s *Sharer) Run(ctx context.Context) error {
+func (s *Syncer) Run(ctx context.Context) error {
 	go s.stayRegistered(ctx)
 	for {
 		peers := s.peers()
@@ -183,7 +183,7 @@
 // peers returns the members that this process calls now: of each pair the one with
 // the lesser name calls, and the answer carries the other's digest. One that has not
 // answered yet is not called again.
-func (s *Sharer) peers() []members.Member {
+func (s *Syncer) peers() []members.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []members.Member
@@ -193,7 +193,7 @@
 		if _, expected := s.heardAt[m.Name]; !expected {
 			s.heardAt[m.Name] = time.Now()
 		}
-		if m.Name <= s.o.Self.Name || s.calling[m.Name] || s.silent.Resting(m.Name) {
+		if m.Name <= s.o.Self.Name || s.calling[m.Name] || s.silent.InBackoff(m.Name) {
 			continue
 		}
 		s.calling[m.Name] = true
@@ -202,7 +202,7 @@
 	return out
 }
 
-func (s *Sharer) exchange(ctx context.Context, p members.Member) {
+func (s *Syncer) exchange(ctx context.Context, p members.Member) {
 	defer s.called(p.Name)
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -216,14 +216,14 @@
 }
 
 // called notes that a call to a peer has ended.
-func (s *Sharer) called(name string) {
+func (s *Syncer) called(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.calling, name)
 }
 
 // HandlePeer implements peer.Handler.
-func (s *Sharer) HandlePeer(_ context.Context, req *peerpb.Request) *peerpb.Response {
+func (s *Syncer) HandlePeer(_ context.Context, req *peerpb.Request) *peerpb.Response {
 	loads := req.GetLoads()
 	if loads == nil {
 		return &peerpb.Response{Error: "call is not known"}
@@ -233,18 +233,18 @@
 }
 
 // interval returns how long to wait until the next exchange.
-func (s *Sharer) interval() time.Duration {
+func (s *Syncer) interval() time.Duration {
 	least := max(minInterval, time.Duration(len(s.o.Members()))*perPeer)
-	return max(least, calmInterval/time.Duration(1+s.o.Placer.Prompts()))
+	return max(least, calmInterval/time.Duration(1+s.o.Placer.PendingPrompts()))
 }
 
 // longestInterval returns the longest time between two exchanges.
-func (s *Sharer) longestInterval() time.Duration {
+func (s *Syncer) longestInterval() time.Duration {
 	return max(calmInterval, time.Duration(len(s.o.Members()))*perPeer)
 }
 
 // expire drops the digests of peers that have not been heard for a while.
-func (s *Sharer) expire(after time.Duration) {
+func (s *Syncer) expire(after time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	dropped := false
@@ -263,23 +263,23 @@
 }
 
 // fail makes the next call to a peer wait.
-func (s *Sharer) fail(p members.Member, err error) {
+func (s *Syncer) fail(p members.Member, err error) {
 	if s.silent.Failed(p.Name) {
 		level.Info(s.logger).Log("msg", "peer does not answer", "peer", p.Name, "address", p.Peer, "err", err)
 	}
 }
 
 // CheckRegistration has this process register again if it is not registered any more.
-func (s *Sharer) CheckRegistration() {
+func (s *Syncer) CheckRegistration() {
 	select {
 	case s.missing <- struct{}{}:
 	default: // it is being looked after
 	}
 }
 
-// RegisterAnew has this process register again if the store, which came back from an older copy, lacks
+// RegisterAfterRestore has this process register again if the store, which came back from an older copy, lacks
 // its registration.
-func (s *Sharer) RegisterAnew() {
+func (s *Syncer) RegisterAfterRestore() {
 	select {
 	case s.restored <- struct{}{}:
 	default: // it is being looked after
@@ -287,7 +287,7 @@
 }
 
 // stayRegistered registers this process, and again whenever its registration may be gone.
-func (s *Sharer) stayRegistered(ctx context.Context) {
+func (s *Syncer) stayRegistered(ctx context.Context) {
 	s.register(ctx)
 	registered := time.Now()
 	for {
@@ -310,7 +310,7 @@
 }
 
 // register registers this process, as often as it takes.
-func (s *Sharer) register(ctx context.Context) {
+func (s *Syncer) register(ctx context.Context) {
 	for {
 		rctx, cancel := context.WithTimeout(ctx, registerTimeout)
 		err := members.Register(rctx, s.o.Store, s.o.Prefix, s.o.Self)
@@ -328,7 +328,7 @@
 }
 
 // Leave removes the registration of this process.
-func (s *Sharer) Leave(ctx context.Context) {
+func (s *Syncer) Leave(ctx context.Context) {
 	s.left.Store(true)
 	if err := members.Unregister(ctx, s.o.Store, s.o.Prefix, s.o.Self); err != nil {
 		level.Warn(s.logger).Log("msg", "registration not removed", "err", err)
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -23,7 +23,7 @@
 
 // node is one gateway's part.
 type node struct {
-	*Sharer
+	*Syncer
 	self   members.Member
 	placer *placement.Placer
 	stop   func()
@@ -31,15 +31,15 @@
 
 // HandlePeer implements peer.Handler.
 func (n *node) HandlePeer(ctx context.Context, req *peerpb.Request) *peerpb.Response {
-	return n.Sharer.HandlePeer(ctx, req)
+	return n.Syncer.HandlePeer(ctx, req)
 }
 
 func start(l net.Listener, store, name string, all []members.Member) *node {
 	n := &node{self: memberOf(l, name), placer: placement.New("a", nil, nil)}
 	transport := peer.NewTransport(&peerpb.Identity{Name: name, Incarnation: "1"}, n, metrics.NewRegistry(), log.NewNopLogger())
-	n.Sharer = New(Options{
+	n.Syncer = New(Options{
 		Self: n.self, Store: platform.NewStore(store), Prefix: platform.MemberPrefix, Transport: transport,
-		Placer: n.placer, Changing: func() map[string]engine.Role { return map[string]engine.Role{"by-" + name: engine.RolePrefill} },
+		Placer: n.placer, RoleChanges: func() map[string]engine.Role { return map[string]engine.Role{"by-" + name: engine.RolePrefill} },
 		Members: func() []members.Member { return all }, Logger: log.NewNopLogger(),
 	})
 	go func() { _ = transport.Serve(l) }()
@@ -54,7 +54,7 @@
 // runner.
 func job(subject string) *placement.Job {
 	return &placement.Job{
-		Route: &fleet.Route{}, Left: time.Second, Permitted: []*fleet.Instance{{ID: "i", Role: engine.RolePrefill}, {ID: "r", Role: engine.RoleMixed}},
+		Route: &fleet.Route{}, Remaining: time.Second, Permitted: []*fleet.Instance{{ID: "i", Role: engine.RolePrefill}, {ID: "r", Role: engine.RoleMixed}},
 		Call: &engine.Call{PromptTokens: 5000, Parts: []engine.Part{{ID: subject, Tokens: 4000}, {ID: "own", Tokens: 1000}}},
 	}
 }
@@ -92,22 +92,22 @@
 	nodes[1].place(t, "s1")
 	nodes[2].place(t, "s2")
 	want := placement.Load{Requests: 1}
-	want.Unread[0] = placement.Backlog{Prompts: 1, Work: placement.Work{Tokens: 5000, Pairs: 5000 * 2500}}
+	want.Pending[0] = placement.Backlog{Prompts: 1, Work: placement.Work{Tokens: 5000, Pairs: 5000 * 2500}}
 	require.Eventually(t, func() bool { return nodes[0].Load("i") == want.Add(want) && nodes[1].Load("i") == want }, 3*time.Second, 5*time.Millisecond)
-	nodes[2].place(t, "s3").Read(true, placement.Sound)
+	nodes[2].place(t, "s3").PrefillEnded(true, placement.Succeeded)
 	require.Eventually(t, func() bool {
 		plan, ticket := nodes[0].placer.Place(job("s3"))
 		ticket.Cancel()
-		return plan.Reason == placement.ReasonHolder
+		return plan.Reason == placement.ReasonCacheHolder
 	}, 3*time.Second, 5*time.Millisecond, "the engine that read a subject is known to the others")
-	require.True(t, nodes[0].Changing(&fleet.Instance{ID: "by-c", Role: engine.RoleMixed}))
-	require.False(t, nodes[0].Changing(&fleet.Instance{ID: "by-c", Role: engine.RolePrefill}), "it has changed, whether c sees that or not")
-	require.False(t, nodes[0].Changing(&fleet.Instance{ID: "by-a", Role: engine.RoleMixed}))
-	require.Len(t, nodes[0].Heard(), 2)
+	require.True(t, nodes[0].IsChangingRole(&fleet.Instance{ID: "by-c", Role: engine.RoleMixed}))
+	require.False(t, nodes[0].IsChangingRole(&fleet.Instance{ID: "by-c", Role: engine.RolePrefill}), "it has changed, whether c sees that or not")
+	require.False(t, nodes[0].IsChangingRole(&fleet.Instance{ID: "by-a", Role: engine.RoleMixed}))
+	require.Len(t, nodes[0].Reachable(), 2)
 
 	nodes[2].stop()
 	require.Eventually(t, func() bool {
-		return nodes[0].Load("i") == want && !nodes[0].Changing(&fleet.Instance{ID: "by-c", Role: engine.RoleMixed})
+		return nodes[0].Load("i") == want && !nodes[0].IsChangingRole(&fleet.Instance{ID: "by-c", Role: engine.RoleMixed})
 	}, 3*time.Second, 5*time.Millisecond,
 		"what a silent gateway said counts no longer")
 
@@ -227,19 +227,19 @@
 	}
 	s.peers()
 	age(2 * replaceAfter)
-	require.True(t, s.Silent("a"), "it does not answer")
+	require.True(t, s.Unresponsive("a"), "it does not answer")
 
 	working = nil
 	s.peers()
-	require.False(t, s.Silent("a"), "nobody tells this process")
+	require.False(t, s.Unresponsive("a"), "nobody tells this process")
 	s.hear(&peerpb.Identity{Name: "b"}, &peerpb.LoadDigest{})
-	require.True(t, s.Silent("a"), "b tells it")
-	require.False(t, s.Silent("b"))
+	require.True(t, s.Unresponsive("a"), "b tells it")
+	require.False(t, s.Unresponsive("b"))
 
 	age(2 * replaceAfter)
 	working = all
 	s.peers()
-	require.False(t, s.Silent("a"), "it has just begun to listen")
+	require.False(t, s.Unresponsive("a"), "it has just begun to listen")
 	age(2 * replaceAfter)
-	require.True(t, s.Silent("a"))
+	require.True(t, s.Unresponsive("a"))
 }
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -16,8 +16,8 @@
 // keptFor is for how long at the least what an instance has said is kept.
 const keptFor = 5 * time.Minute
 
-// Board holds what the instances have said. It is safe for concurrent use.
-type Board struct {
+// Table holds what the instances have said. It is safe for concurrent use.
+type Table struct {
 	logger log.Logger
 
 	mu  sync.Mutex
@@ -33,13 +33,13 @@
 	restUntil bootclock.Instant
 }
 
-// NewBoard returns a board that logs what is new.
-func NewBoard(logger log.Logger) *Board {
-	return &Board{logger: logger, all: map[string]*said{}}
+// NewTable returns a board that logs what is new.
+func NewTable(logger log.Logger) *Table {
+	return &Table{logger: logger, all: map[string]*said{}}
 }
 
-// Leaves takes in that a run of an instance says that it leaves. It does not come back.
-func (b *Board) Leaves(instance, request string) {
+// RecordShutdown takes in that a run of an instance says that it leaves. It does not come back.
+func (b *Table) RecordShutdown(instance, request string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.of(instance)
@@ -50,8 +50,8 @@
 	level.Info(b.logger).Log("msg", "instance says that it leaves", "instance", instance, "request", request)
 }
 
-// Rests takes in that a run of an instance wants nothing for a while.
-func (b *Board) Rests(instance, request string, d time.Duration) {
+// RecordBackoff takes in that a run of an instance wants nothing for a while.
+func (b *Table) RecordBackoff(instance, request string, d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.of(instance)
@@ -63,7 +63,7 @@
 	level.Info(b.logger).Log("msg", "instance asks for rest", "instance", instance, "request", request, "for", d)
 }
 
-func (b *Board) of(instance string) *said {
+func (b *Table) of(instance string) *said {
 	s := b.all[instance]
 	if s == nil {
 		s = &said{}
@@ -72,16 +72,16 @@
 	return s
 }
 
-// Leaving reports whether a run of an instance has said that it leaves.
-func (b *Board) Leaving(instance string) bool {
+// ShuttingDown reports whether a run of an instance has said that it leaves.
+func (b *Table) ShuttingDown(instance string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.all[instance]
 	return s != nil && s.leaving
 }
 
-// Rest returns for how long a run of an instance still wants nothing.
-func (b *Board) Rest(instance string) time.Duration {
+// Backoff returns for how long a run of an instance still wants nothing.
+func (b *Table) Backoff(instance string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.all[instance]
@@ -91,20 +91,20 @@
 	return max(s.restUntil.Sub(bootclock.Now()), 0)
 }
 
-// FirstRest returns for how long the one of some runs that rests the shortest still wants nothing, 0
+// ShortestBackoff returns for how long the one of some runs that rests the shortest still wants nothing, 0
 // if none rests.
-func (b *Board) FirstRest(instances []string) time.Duration {
+func (b *Table) ShortestBackoff(instances []string) time.Duration {
 	first := time.Duration(0)
 	for _, instance := range instances {
-		if rest := b.Rest(instance); rest > 0 && (first == 0 || rest < first) {
+		if rest := b.Backoff(instance); rest > 0 && (first == 0 || rest < first) {
 			first = rest
 		}
 	}
 	return first
 }
 
-// AllUnwilling returns the runs of instances that want nothing now.
-func (b *Board) AllUnwilling() []string {
+// InstancesRefusingWork returns the runs of instances that want nothing now.
+func (b *Table) InstancesRefusingWork() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []string
@@ -116,8 +116,8 @@
 	return out
 }
 
-// Unwilling reports whether a run of an instance wants nothing now: it leaves or rests.
-func (b *Board) Unwilling(instance string) bool {
+// RefusesWork reports whether a run of an instance wants nothing now: it leaves or rests.
+func (b *Table) RefusesWork(instance string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.all[instance]
@@ -128,7 +128,7 @@
 
 // Retain forgets the runs that keep does not name, and that have said nothing for a while:
 // registrations lapse while the store is away, and come back.
-func (b *Board) Retain(keep func(instance string) bool) {
+func (b *Table) Retain(keep func(instance string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for instance, s := range b.all {
--- a/internal/notice/rest.go
+++ b/internal/notice/rest.go
@@ -9,9 +9,9 @@
 // maxRest bounds the rest that an instance can ask for.
 const maxRest = time.Hour
 
-// RestAsked returns for how long an instance that turned a request away wants nothing more, by
+// RequestedBackoff returns for how long an instance that turned a request away wants nothing more, by
 // the head of its answer; 0 if it does not say so in seconds.
-func RestAsked(status int, h http.Header) time.Duration {
+func RequestedBackoff(status int, h http.Header) time.Duration {
 	s, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
 	if status != http.StatusServiceUnavailable || err != nil || !(s > 0) {
 		return 0
