--- a/internal/peer/silence.go
+++ b/internal/peer/silence.go
@@ -14,8 +14,8 @@
 	silenceMost  = 4 * time.Second
 )
 
-// Silences remembers which peers do not answer. It is safe for concurrent use.
-type Silences struct {
+// Backoffs remembers which peers do not answer. It is safe for concurrent use.
+type Backoffs struct {
 	mu    sync.Mutex
 	peers map[string]*silence
 }
@@ -26,11 +26,11 @@
 	pause *backoff.ExponentialBackOff
 }
 
-// NewSilences returns the memory of a process that has called nobody.
-func NewSilences() *Silences { return &Silences{peers: map[string]*silence{}} }
+// NewBackoffs returns the memory of a process that has called nobody.
+func NewBackoffs() *Backoffs { return &Backoffs{peers: map[string]*silence{}} }
 
 // Failed records that a peer did not answer, and reports whether that is news.
-func (s *Silences) Failed(name string) bool {
+func (s *Backoffs) Failed(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	q, known := s.peers[name]
@@ -46,14 +46,14 @@
 }
 
 // Answered records that a peer answered.
-func (s *Silences) Answered(name string) {
+func (s *Backoffs) Answered(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.peers, name)
 }
 
-// Resting reports whether a peer is not to be called now.
-func (s *Silences) Resting(name string) bool {
+// InBackoff reports whether a peer is not to be called now.
+func (s *Backoffs) InBackoff(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	q := s.peers[name]
--- a/internal/prune/prune_test.go
+++ b/internal/prune/prune_test.go
@@ -55,10 +55,10 @@
 		return &fleet.View{Scheduling: true, StoreUp: !d.storeDown, Schedulers: []members.Member{self, {Name: "other"}}}
 	}
 	authority := duty.New(duty.Options{
-		Store: d.store, Prefix: platform.LeasePrefix, Self: self, TTL: lease, Apart: lease, View: view, Heard: func() []string { return nil }, Logger: log.NewNopLogger(),
+		Store: d.store, Prefix: platform.LeasePrefix, Self: self, TTL: lease, HandoverDelay: lease, View: view, LivePeers: func() []string { return nil }, Logger: log.NewNopLogger(),
 	})
 	p := prune.New(prune.Options{
-		Self: self, Authority: authority, Store: d.store, Stale: d.store.Stale(), Prefix: platform.MemberPrefix, View: view,
+		Self: self, Authority: authority, Store: d.store, Stale: d.store.WithStaleReads(), Prefix: platform.MemberPrefix, View: view,
 		Hears: func(name string) bool {
 			d.mu.Lock()
 			defer d.mu.Unlock()
--- a/internal/ratelimit/grants.go
+++ b/internal/ratelimit/grants.go
@@ -10,7 +10,7 @@
 type Demand struct {
 	Run string
 	// Known is what the process knows of the run.
-	Known Statement
+	Known RateReport
 	// Wanted requests want to be sent there, Lapsed ones were granted and will not be sent.
 	Wanted, Lapsed int
 }
@@ -21,12 +21,12 @@
 	until    bootclock.Instant
 }
 
-// Any reports whether any run of an instance limits its rate.
-func (t *Table) Any() bool { return t.limits.Load() > 0 }
+// AnyLimited reports whether any run of an instance limits its rate.
+func (t *Table) AnyLimited() bool { return t.limits.Load() > 0 }
 
-// Allows reports whether a request may be sent to a run of an instance. It counts as demand, unless it
+// CheckGrant reports whether a request may be sent to a run of an instance. It counts as demand, unless it
 // has been counted before.
-func (t *Table) Allows(run string, counted bool) bool {
+func (t *Table) CheckGrant(run string, counted bool) bool {
 	if t.limits.Load() == 0 {
 		return true
 	}
@@ -66,9 +66,9 @@
 	}
 }
 
-// Take counts a request that is about to be sent to a run of an instance. Granted is true if the run
+// UseGrant counts a request that is about to be sent to a run of an instance. Granted is true if the run
 // limits its rate, ok is false if the request may not be sent.
-func (t *Table) Take(run string) (granted, ok bool) {
+func (t *Table) UseGrant(run string) (granted, ok bool) {
 	if t.limits.Load() == 0 {
 		return false, true
 	}
@@ -98,19 +98,19 @@
 	return true
 }
 
-// Request counts a request that no placement has considered before it is sent, as Allows and Take do.
-func (t *Table) Request(run string) (ok bool) {
-	if !t.Allows(run, false) {
+// TryAcquire counts a request that no placement has considered before it is sent, as Allows and Take do.
+func (t *Table) TryAcquire(run string) (ok bool) {
+	if !t.CheckGrant(run, false) {
 		return false
 	}
-	_, ok = t.Take(run)
+	_, ok = t.UseGrant(run)
 	return ok
 }
 
-// Withholds reports whether a request must not be sent that was placed without a grant, since its instance
+// BlocksUngranted reports whether a request must not be sent that was placed without a grant, since its instance
 // limits its rate. The process that placed it does not know of the limit, as one that has just started,
 // or knows that it has ended: it is told what is known here, and answers with what it knows.
-func (t *Table) Withholds(run string) bool {
+func (t *Table) BlocksUngranted(run string) bool {
 	if t.limits.Load() == 0 {
 		return false
 	}
@@ -136,12 +136,12 @@
 	if e == nil {
 		return 0
 	}
-	seconds := (1 + e.demand) / (max(e.PerSecond, leastRate) * t.fleet.Part())
+	seconds := (1 + e.demand) / (max(e.PerSecond, leastRate) * t.fleet.Share())
 	return time.Duration(min(max(seconds, minRetry.Seconds()), maxRetry.Seconds()) * float64(time.Second))
 }
 
-// Wanted returns how many requests a second this process wants to send to a run.
-func (t *Table) Wanted(run string) float64 {
+// DemandRate returns how many requests a second this process wants to send to a run.
+func (t *Table) DemandRate(run string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.limited(run)
@@ -154,20 +154,20 @@
 // bucketOf returns what this process grants of a limit, filled, nil if another one is the keeper. The
 // caller holds the lock.
 func (t *Table) bucketOf(e *entry, now bootclock.Instant) *bucket {
-	if t.fleet.Keeper() != t.self {
+	if t.fleet.Coordinator() != t.self {
 		e.bucket = nil
 		return nil
 	}
 	if e.bucket == nil {
 		opensAt := now
-		if now.Sub(e.Began) > grantLife { // an earlier keeper's grants are still sent
+		if now.Sub(e.LimitedSince) > grantLife { // an earlier keeper's grants are still sent
 			opensAt = now.Add(e.life())
 		}
 		e.bucket = newBucket(opensAt)
 		e.grants, e.lapsed = nil, 0
 	}
-	rate := max(e.PerSecond, leastRate) * t.fleet.Part()
-	if now.Sub(e.Began) < startTime {
+	rate := max(e.PerSecond, leastRate) * t.fleet.Share()
+	if now.Sub(e.LimitedSince) < startTime {
 		rate *= startShare
 	}
 	e.bucket.fill(now, rate, e.life())
@@ -197,7 +197,7 @@
 		if e.hold(t.now()); e.wanted == 0 && e.lapsed == 0 {
 			continue
 		}
-		out = append(out, Demand{run, e.Statement, e.wanted, e.lapsed})
+		out = append(out, Demand{run, e.RateReport, e.wanted, e.lapsed})
 		e.wanted, e.lapsed = 0, 0
 	}
 	return out
--- a/internal/ratelimit/history_test.go
+++ b/internal/ratelimit/history_test.go
@@ -100,8 +100,8 @@
 // hears reports whether another process has been heard lately.
 func (n *node) hears(k int) bool { return n.h.clock.at.Sub(n.heardAt[k]) < silentAfter }
 
-// Keeper implements Fleet.
-func (n *node) Keeper() string {
+// Coordinator implements Fleet.
+func (n *node) Coordinator() string {
 	for k, other := range n.h.nodes {
 		if other == n || n.hears(k) {
 			return other.name
@@ -110,8 +110,8 @@
 	return n.name
 }
 
-// Part implements Fleet.
-func (n *node) Part() float64 {
+// Share implements Fleet.
+func (n *node) Share() float64 {
 	heard := 0
 	for k, other := range n.h.nodes {
 		if other == n || n.hears(k) {
@@ -166,20 +166,20 @@
 
 // request has a process try to send one request, for as long as requests wait; the answer names the limit.
 func (h *history) request(n *node, waited time.Duration) {
-	if !n.table.Allows("i", waited > 0) {
-		if waited += GrantPoll; waited < GrantWait {
-			h.later(n, GrantPoll, func(n *node) { h.request(n, waited) })
+	if !n.table.CheckGrant("i", waited > 0) {
+		if waited += GrantPollInterval; waited < MaxGrantWait {
+			h.later(n, GrantPollInterval, func(n *node) { h.request(n, waited) })
 		}
 		return
 	}
-	if _, ok := n.table.Take("i"); !ok {
+	if _, ok := n.table.UseGrant("i"); !ok {
 		return
 	}
 	sent := h.clock.at
 	h.sent = append(h.sent, sent)
 	h.sentBy[n.name]++
 	limit := engine.RateLimit{Limited: true, PerSecond: h.rate}
-	h.send(n, n, func(to *node) { to.table.Heard("i", "r", limit, sent) })
+	h.send(n, n, func(to *node) { to.table.RecordResponse("i", "r", limit, sent) })
 }
 
 // exchange has a process tell its news and ask its keeper.
@@ -193,7 +193,7 @@
 		}
 	}
 	demand := n.table.Demand()
-	keeper := n.Keeper()
+	keeper := n.Coordinator()
 	if len(demand) == 0 || keeper == n.name {
 		return
 	}
@@ -333,7 +333,7 @@
 	case 1:
 		n.start()
 		other := h.nodes[h.random.IntN(len(h.nodes))]
-		for run, s := range other.table.Limits() {
+		for run, s := range other.table.AllLimits() {
 			n.table.Learn(run, other.name, s)
 		}
 	case 2:
--- a/internal/ratelimit/sharer.go
+++ b/internal/ratelimit/sharer.go
@@ -46,8 +46,8 @@
 type Deciders struct {
 	// All of the fleet, with this process if it is one of them.
 	All []members.Member
-	// Heard are the names of those of the others that this process hears.
-	Heard []string
+	// Reachable are the names of those of the others that this process hears.
+	Reachable []string
 	// Processes is how many processes there are, those that have others decide among them.
 	Processes int
 }
@@ -58,14 +58,14 @@
 	Table     *Table
 	Transport *peer.Transport
 	Deciders  func() Deciders
-	// Tell returns whom this process tells what it hears of instances, without itself.
-	Tell   func() []members.Member
+	// Peers returns whom this process tells what it hears of instances, without itself.
+	Peers  func() []members.Member
 	Logger log.Logger
 }
 
-// Sharer tells other processes what instances say of their rates, and asks the keeper for grants. It
+// Syncer tells other processes what instances say of their rates, and asks the keeper for grants. It
 // implements Fleet.
-type Sharer struct {
+type Syncer struct {
 	o      Options
 	logger log.Logger
 	// heard is true once another process has answered.
@@ -81,26 +81,26 @@
 	answered map[string]bootclock.Instant
 }
 
-// NewSharer returns a sharer that has to be run.
-func NewSharer(o Options) *Sharer {
-	s := &Sharer{o: o, logger: log.With(o.Logger, "component", "ratelimit"), answered: map[string]bootclock.Instant{}}
+// NewSyncer returns a sharer that has to be run.
+func NewSyncer(o Options) *Syncer {
+	s := &Syncer{o: o, logger: log.With(o.Logger, "component", "ratelimit"), answered: map[string]bootclock.Instant{}}
 	o.Table.Join(s)
 	return s
 }
 
-// Keeper implements Fleet: of the deciders that are heard, the one with the least name.
-func (s *Sharer) Keeper() string {
+// Coordinator implements Fleet: of the deciders that are heard, the one with the least name.
+func (s *Syncer) Coordinator() string {
 	keeper, _, _ := s.group()
 	return keeper.Name
 }
 
-// Part implements Fleet. Where the deciders don't hear each other, each side grants only its part.
-func (s *Sharer) Part() float64 {
+// Share implements Fleet. Where the deciders don't hear each other, each side grants only its part.
+func (s *Syncer) Share() float64 {
 	_, part, _ := s.group()
 	return part
 }
 
-func (s *Sharer) group() (keeper members.Member, part float64, deciders int) {
+func (s *Syncer) group() (keeper members.Member, part float64, deciders int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.keeperAt == 0 || bootclock.Since(s.keeperAt) > keeperAge {
@@ -110,18 +110,18 @@
 }
 
 // review works out the keeper. The caller holds the lock.
-func (s *Sharer) review(d Deciders) {
+func (s *Syncer) review(d Deciders) {
 	before := s.keeper.Name
 	s.keeperAt = bootclock.Now()
 	s.deciders = len(d.All)
 	s.keeper = members.Member{Name: s.o.Self}
-	if !members.Contain(d.All, s.o.Self) {
+	if !members.Contains(d.All, s.o.Self) {
 		s.part = lonePart / float64(max(d.Processes, 1))
 		return
 	}
 	present := 0
 	for _, m := range d.All {
-		if m.Name != s.o.Self && !slices.Contains(d.Heard, m.Name) && !s.hasAnswered(m.Name) {
+		if m.Name != s.o.Self && !slices.Contains(d.Reachable, m.Name) && !s.hasAnswered(m.Name) {
 			continue
 		}
 		present++
@@ -136,13 +136,13 @@
 }
 
 // hasAnswered reports whether a process has answered a call lately. The caller holds the lock.
-func (s *Sharer) hasAnswered(name string) bool {
+func (s *Syncer) hasAnswered(name string) bool {
 	at, ok := s.answered[name]
 	return ok && bootclock.Since(at) < answerAge
 }
 
 // note records whether a process has answered a call.
-func (s *Sharer) note(name string, answered bool) {
+func (s *Syncer) note(name string, answered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.keeperAt = 0; !answered {
@@ -154,7 +154,7 @@
 
 // Run tells others what is new at once, and asks the keeper while requests want to be sent, until ctx
 // ends.
-func (s *Sharer) Run(ctx context.Context) error {
+func (s *Syncer) Run(ctx context.Context) error {
 	go s.askAll(ctx)
 	repeat := time.NewTicker(repeatEvery)
 	defer repeat.Stop()
@@ -173,36 +173,36 @@
 		}
 		time.Sleep(max(gather, s.askEvery()-bootclock.Since(asked)))
 		asked = bootclock.Now()
-		s.tell(ctx, s.o.Table.News(), s.o.Tell())
+		s.tell(ctx, s.o.Table.News(), s.o.Peers())
 		s.ask(ctx)
 	}
 }
 
 // askEvery returns how often the keeper is asked at most.
-func (s *Sharer) askEvery() time.Duration {
+func (s *Syncer) askEvery() time.Duration {
 	_, _, deciders := s.group()
 	return min(max(minAsk, time.Duration(deciders)*perAsker), maxAsk)
 }
 
 // askAll has a process that starts learn what the others know.
-func (s *Sharer) askAll(ctx context.Context) {
+func (s *Syncer) askAll(ctx context.Context) {
 	for begun := bootclock.Now(); ctx.Err() == nil && !s.heard.Load() && bootclock.Since(begun) < firstTime; time.Sleep(askFirst) {
-		if m, ok := oneOf(s.o.Tell()); ok {
+		if m, ok := oneOf(s.o.Peers()); ok {
 			s.call(ctx, m, &peerpb.RateLimits{All: true})
 		}
 	}
 }
 
 // repeat tells one other process all limits.
-func (s *Sharer) repeat(ctx context.Context) {
-	if m, ok := oneOf(s.o.Tell()); ok {
-		s.tell(ctx, s.o.Table.Limits(), []members.Member{m})
+func (s *Syncer) repeat(ctx context.Context) {
+	if m, ok := oneOf(s.o.Peers()); ok {
+		s.tell(ctx, s.o.Table.AllLimits(), []members.Member{m})
 	}
 }
 
 // seek calls the deciders that go before the keeper and are not heard. One that takes the place of another
 // may not be known to those that do hear each other, and would grant beside them.
-func (s *Sharer) seek(ctx context.Context) {
+func (s *Syncer) seek(ctx context.Context) {
 	keeper, _, _ := s.group()
 	if keeper.Name != s.o.Self {
 		return
@@ -222,7 +222,7 @@
 }
 
 // tell tells some processes statements. It does not wait for them.
-func (s *Sharer) tell(ctx context.Context, news map[string]Statement, to []members.Member) {
+func (s *Syncer) tell(ctx context.Context, news map[string]RateReport, to []members.Member) {
 	if len(news) == 0 {
 		return
 	}
@@ -233,7 +233,7 @@
 }
 
 // ask asks the keeper for what wants to be sent.
-func (s *Sharer) ask(ctx context.Context) {
+func (s *Syncer) ask(ctx context.Context) {
 	keeper, _, _ := s.group()
 	demand := s.o.Table.Demand()
 	if len(demand) == 0 || keeper.Name == s.o.Self {
@@ -248,7 +248,7 @@
 }
 
 // call makes one call, and takes in its answer.
-func (s *Sharer) call(ctx context.Context, to members.Member, message *peerpb.RateLimits) {
+func (s *Syncer) call(ctx context.Context, to members.Member, message *peerpb.RateLimits) {
 	begun := bootclock.Now()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -267,12 +267,12 @@
 }
 
 // HandlePeer implements peer.Handler.
-func (s *Sharer) HandlePeer(_ context.Context, req *peerpb.Request) *peerpb.Response {
+func (s *Syncer) HandlePeer(_ context.Context, req *peerpb.Request) *peerpb.Response {
 	from, message := req.GetFrom().GetName(), req.GetRateLimits()
 	s.learn(message.GetLimits(), from)
 	answer := &peerpb.RateLimits{}
 	if message.GetAll() {
-		answer.Limits = encodeAll(s.o.Table.Limits())
+		answer.Limits = encodeAll(s.o.Table.AllLimits())
 	} else {
 		answer.Limits = encodeAll(s.o.Table.statements(message.GetLimits()))
 	}
@@ -284,7 +284,7 @@
 	return &peerpb.Response{Body: &peerpb.Response_RateLimits{RateLimits: answer}}
 }
 
-func (s *Sharer) learn(limits []*peerpb.RateLimit, from string) {
+func (s *Syncer) learn(limits []*peerpb.RateLimit, from string) {
 	now := bootclock.Now()
 	for _, l := range limits {
 		s.o.Table.Learn(l.GetInstance(), from, decode(l, now))
--- a/internal/ratelimit/sharer_test.go
+++ b/internal/ratelimit/sharer_test.go
@@ -21,7 +21,7 @@
 
 // process is a sharer with its transport.
 type process struct {
-	*Sharer
+	*Syncer
 	member members.Member
 	table  *Table
 	// deciders are what it knows of the others.
@@ -30,7 +30,7 @@
 
 // HandlePeer implements peer.Handler.
 func (p *process) HandlePeer(ctx context.Context, req *peerpb.Request) *peerpb.Response {
-	return p.Sharer.HandlePeer(ctx, req)
+	return p.Syncer.HandlePeer(ctx, req)
 }
 
 // startProcesses starts processes that tell each other, and hear nobody in other ways.
@@ -51,7 +51,7 @@
 			}
 			return out
 		}
-		p.Sharer = NewSharer(Options{Self: name, Table: p.table, Transport: transport, Deciders: func() Deciders { return p.deciders }, Tell: others, Logger: log.NewNopLogger()})
+		p.Syncer = NewSyncer(Options{Self: name, Table: p.table, Transport: transport, Deciders: func() Deciders { return p.deciders }, Peers: others, Logger: log.NewNopLogger()})
 		go func() { _ = transport.Serve(l) }() // ends with the listener
 		t.Cleanup(func() { _ = l.Close(); transport.Close() })
 		all, known = append(all, p), append(known, p.member)
@@ -78,10 +78,10 @@
 func TestProcessThatDecidesUnknownToOthersAsksTheirKeeper(t *testing.T) {
 	all := startProcesses(t, "a", "b")
 	for _, p := range all {
-		p.table.Heard("i@1", "r", limited(5), bootclock.Now())
+		p.table.RecordResponse("i@1", "r", limited(5), bootclock.Now())
 	}
-	require.Eventually(t, func() bool { return all[1].Keeper() == "a" }, 3*time.Second, 10*time.Millisecond)
-	require.Equal(t, "a", all[0].Keeper())
+	require.Eventually(t, func() bool { return all[1].Coordinator() == "a" }, 3*time.Second, 10*time.Millisecond)
+	require.Equal(t, "a", all[0].Coordinator())
 }
 
 // TestProcessesTellEachOtherOfLimits checks that all know a limit soon, one that starts later too, that
@@ -98,15 +98,15 @@
 			return true
 		}
 	}
-	all[2].table.Heard("i@1", "r", limited(50), bootclock.Now())
+	all[2].table.RecordResponse("i@1", "r", limited(50), bootclock.Now())
 	require.Eventually(t, known(true), tellTime, time.Millisecond)
 	for _, p := range all {
-		require.Eventually(t, func() bool { return p.table.Request("i@1") }, 5*time.Second, time.Millisecond, p.member.Name)
+		require.Eventually(t, func() bool { return p.table.TryAcquire("i@1") }, 5*time.Second, time.Millisecond, p.member.Name)
 	}
 	time.Sleep(2 * toldLate)
 	sent := bootclock.Now()
-	all[1].table.Heard("i@1", "r", limited(0), sent) // any limit, then its end
+	all[1].table.RecordResponse("i@1", "r", limited(0), sent) // any limit, then its end
 	time.Sleep(2 * toldLate)
-	all[1].table.Heard("i@1", "r", noLimit, bootclock.Now())
+	all[1].table.RecordResponse("i@1", "r", noLimit, bootclock.Now())
 	require.Eventually(t, known(false), tellTime, time.Millisecond)
 }
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -50,43 +50,43 @@
 )
 
 const (
-	// GrantWait is how long a request waits for a grant at the most: one that is asked for arrives in that
+	// MaxGrantWait is how long a request waits for a grant at the most: one that is asked for arrives in that
 	// time, and what takes longer is better refused at once.
-	GrantWait = 25 * time.Millisecond
-	// GrantPoll is how often it is looked for one meanwhile.
-	GrantPoll = 4 * time.Millisecond
+	MaxGrantWait = 25 * time.Millisecond
+	// GrantPollInterval is how often it is looked for one meanwhile.
+	GrantPollInterval = 4 * time.Millisecond
 )
 
 // Fleet is what a table has to know of the other processes.
 type Fleet interface {
-	// Keeper names the process that grants requests, which may be this one.
-	Keeper() string
-	// Part is the share of each limit that this process may grant while it is the keeper.
-	Part() float64
+	// Coordinator names the process that grants requests, which may be this one.
+	Coordinator() string
+	// Share is the share of each limit that this process may grant while it is the keeper.
+	Share() float64
 }
 
-// Statement is what one run of an instance says of its rate.
-type Statement struct {
+// RateReport is what one run of an instance says of its rate.
+type RateReport struct {
 	engine.RateLimit
-	// Sent is when the request was sent whose answer said so last, Heard when that answer arrived.
-	Sent, Heard bootclock.Instant
-	// Began is when a limit was heard first after there was none.
-	Began bootclock.Instant
+	// SentAt is when the request was sent whose answer said so last, Heard when that answer arrived.
+	SentAt, ReceivedAt bootclock.Instant
+	// LimitedSince is when a limit was heard first after there was none.
+	LimitedSince bootclock.Instant
 }
 
 // supersededBy reports whether a statement is later than this one. Answers overtake each other: an
 // end counts only if its request was sent after the limit was last heard, or if no limit has been heard
 // for some time after it. Else who is not to send would never hear of the end.
-func (s Statement) supersededBy(next Statement, now bootclock.Instant) bool {
-	if s.Limited && !next.Limited && now.Sub(next.Heard) < overlapTime {
-		return next.Sent > s.Heard
+func (s RateReport) supersededBy(next RateReport, now bootclock.Instant) bool {
+	if s.Limited && !next.Limited && now.Sub(next.ReceivedAt) < overlapTime {
+		return next.SentAt > s.ReceivedAt
 	}
-	return next.Heard > s.Heard
+	return next.ReceivedAt > s.ReceivedAt
 }
 
 // entry is what is known of one run of an instance.
 type entry struct {
-	Statement
+	RateReport
 	loggedAt bootclock.Instant
 	// changed is the position of the table at the last change that those that follow are told, told the rate then.
 	changed uint64
@@ -143,7 +143,7 @@
 }
 
 // life returns for how long requests may be sent that were granted of a limit.
-func (s Statement) life() time.Duration {
+func (s RateReport) life() time.Duration {
 	longer := time.Duration(lifeRequests / max(s.PerSecond, leastRate) * float64(time.Second))
 	return min(max(grantLife, longer), maxGrantLife)
 }
@@ -151,11 +151,11 @@
 // alone is a fleet of one process.
 type alone struct{ self string }
 
-// Keeper implements Fleet.
-func (a alone) Keeper() string { return a.self }
+// Coordinator implements Fleet.
+func (a alone) Coordinator() string { return a.self }
 
-// Part implements Fleet.
-func (a alone) Part() float64 { return 1 }
+// Share implements Fleet.
+func (a alone) Share() float64 { return 1 }
 
 func runAfter(d time.Duration, f func()) { time.AfterFunc(d, f) }
 
@@ -166,8 +166,8 @@
 	t.fleet = f
 }
 
-// Heard takes in what an answer of a run of an instance says. The request was sent at sent.
-func (t *Table) Heard(run, request string, l engine.RateLimit, sent bootclock.Instant) {
+// RecordResponse takes in what an answer of a run of an instance says. The request was sent at sent.
+func (t *Table) RecordResponse(run, request string, l engine.RateLimit, sent bootclock.Instant) {
 	if l == (engine.RateLimit{}) && t.limits.Load() == 0 {
 		return
 	}
@@ -181,7 +181,7 @@
 		}
 		return
 	}
-	t.learn(run, Statement{l, sent, now, now}, "request", request)
+	t.learn(run, RateReport{l, sent, now, now}, "request", request)
 }
 
 // signal has something told or asked soon.
@@ -194,7 +194,7 @@
 
 // learn takes in a statement if it is later than the one known, and has it told if it changes
 // anything. It reports whether it was later. The caller holds the lock.
-func (t *Table) learn(run string, s Statement, from ...any) bool {
+func (t *Table) learn(run string, s RateReport, from ...any) bool {
 	e := t.all[run]
 	if e == nil {
 		if !s.Limited {
@@ -206,17 +206,17 @@
 	if !e.supersededBy(s, t.now()) {
 		return false
 	}
-	before := e.Statement
+	before := e.RateReport
 	switch {
 	case before.Limited && s.Limited:
-		s.Began = min(s.Began, before.Began)
+		s.LimitedSince = min(s.LimitedSince, before.LimitedSince)
 	case s.Limited:
 		t.limits.Add(1)
 	case before.Limited:
 		e.grants, e.bucket, e.wanted, e.lapsed, e.demand = nil, nil, 0, 0, 0
 		t.limits.Add(-1)
 	}
-	e.Statement = s
+	e.RateReport = s
 	if before.RateLimit == s.RateLimit {
 		return true
 	}
@@ -231,7 +231,7 @@
 }
 
 // log writes what has changed of an instance's limit.
-func (t *Table) log(e *entry, run string, before Statement, from []any) {
+func (t *Table) log(e *entry, run string, before RateReport, from []any) {
 	begins := e.Limited != before.Limited
 	if !begins && t.now().Sub(e.loggedAt) < logEvery {
 		return
@@ -249,16 +249,16 @@
 }
 
 // Limit returns what a run of an instance is known to have said.
-func (t *Table) Limit(run string) Statement {
+func (t *Table) Limit(run string) RateReport {
 	if t.limits.Load() == 0 {
-		return Statement{}
+		return RateReport{}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.all[run]; e != nil {
-		return e.Statement
+		return e.RateReport
 	}
-	return Statement{}
+	return RateReport{}
 }
 
 // limited returns what is known of a run that limits its rate, nil if it does not. The caller holds
@@ -274,7 +274,7 @@
 func (t *Table) Limited(run string) bool { return t.Limit(run).Limited }
 
 // Learn takes in what another process says of a run of an instance.
-func (t *Table) Learn(run, process string, s Statement) {
+func (t *Table) Learn(run, process string, s RateReport) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.learnFrom(process, run, s)
@@ -282,9 +282,9 @@
 
 // learnFrom takes in what another process says, and reports whether that was later than what was known here. The
 // caller holds the lock.
-func (t *Table) learnFrom(process, run string, s Statement) bool {
+func (t *Table) learnFrom(process, run string, s RateReport) bool {
 	if e := t.limited(run); e != nil {
-		s.Sent, s.Heard = s.Sent.Add(-toldLate), s.Heard.Add(-toldLate)
+		s.SentAt, s.ReceivedAt = s.SentAt.Add(-toldLate), s.ReceivedAt.Add(-toldLate)
 	}
 	return t.learn(run, s, "from", process)
 }
@@ -299,16 +299,16 @@
 	var out []*peerpb.RateLimit
 	for run, e := range t.all {
 		if e.changed > position && (e.Limited || position > 0) {
-			out = append(out, encode(run, e.Statement))
+			out = append(out, encode(run, e.RateReport))
 		}
 	}
 	return out, t.position
 }
 
-// Follow takes in what the scheduler that this process follows has told of instances. Who decides for itself
+// ApplyUpdate takes in what the scheduler that this process follows has told of instances. Who decides for itself
 // once its schedulers are lost would else send to each limited instance before it has heard of the limit.
 // It is not told on: those that it would be told to know it.
-func (t *Table) Follow(scheduler string, said []*peerpb.RateLimit) {
+func (t *Table) ApplyUpdate(scheduler string, said []*peerpb.RateLimit) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
@@ -320,40 +320,40 @@
 }
 
 // News returns the statements that are new since it was called last.
-func (t *Table) News() map[string]Statement {
+func (t *Table) News() map[string]RateReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := map[string]Statement{}
+	out := map[string]RateReport{}
 	for run := range t.news {
 		if e := t.all[run]; e != nil {
-			out[run] = e.Statement
+			out[run] = e.RateReport
 		}
 	}
 	clear(t.news)
 	return out
 }
 
-// Limits returns the statements of all instances that limit their rates, by run.
-func (t *Table) Limits() map[string]Statement {
+// AllLimits returns the statements of all instances that limit their rates, by run.
+func (t *Table) AllLimits() map[string]RateReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := map[string]Statement{}
+	out := map[string]RateReport{}
 	for run, e := range t.all {
 		if e.Limited {
-			out[run] = e.Statement
+			out[run] = e.RateReport
 		}
 	}
 	return out
 }
 
 // statements returns what is known of the runs that a message names.
-func (t *Table) statements(named []*peerpb.RateLimit) map[string]Statement {
+func (t *Table) statements(named []*peerpb.RateLimit) map[string]RateReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := map[string]Statement{}
+	out := map[string]RateReport{}
 	for _, l := range named {
 		if e := t.all[l.GetInstance()]; e != nil {
-			out[l.GetInstance()] = e.Statement
+			out[l.GetInstance()] = e.RateReport
 		}
 	}
 	return out
@@ -364,7 +364,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for run, e := range t.all {
-		if keep(run) || t.now().Sub(e.Heard) <= keptFor {
+		if keep(run) || t.now().Sub(e.ReceivedAt) <= keptFor {
 			continue
 		}
 		if e.Limited {
--- a/internal/ratelimit/table_test.go
+++ b/internal/ratelimit/table_test.go
@@ -39,18 +39,18 @@
 	b, clock := newTestTable(log.NewNopLogger())
 	early := clock.at
 	clock.pass(time.Second)
-	b.Heard("a@1", "r", limited(10), clock.at)
+	b.RecordResponse("a@1", "r", limited(10), clock.at)
 	require.Equal(t, limited(10), b.Limit("a@1").RateLimit)
 	require.False(t, b.Limit("a@2").Limited, "a later run has said nothing")
 	clock.pass(time.Second)
-	b.Heard("a@1", "r", noLimit, early)
+	b.RecordResponse("a@1", "r", noLimit, early)
 	require.True(t, b.Limit("a@1").Limited, "the request was sent before the limit was heard")
-	b.Heard("a@1", "r", engine.RateLimit{Unreadable: "few"}, clock.at)
+	b.RecordResponse("a@1", "r", engine.RateLimit{Unreadable: "few"}, clock.at)
 	require.True(t, b.Limit("a@1").Limited, "says nothing")
-	b.Heard("a@1", "r", limited(5), early)
+	b.RecordResponse("a@1", "r", limited(5), early)
 	require.Equal(t, limited(5), b.Limit("a@1").RateLimit)
 	clock.pass(time.Second)
-	b.Heard("a@1", "r", noLimit, clock.at)
+	b.RecordResponse("a@1", "r", noLimit, clock.at)
 	require.False(t, b.Limit("a@1").Limited)
 	require.Zero(t, b.limits.Load())
 }
@@ -62,12 +62,12 @@
 	b, clock := newTestTable(log.NewLogfmtLogger(&out))
 	for n := range 100 {
 		clock.pass(time.Millisecond)
-		b.Heard("a@1", "r-1", limited(float64(n)), clock.at)
+		b.RecordResponse("a@1", "r-1", limited(float64(n)), clock.at)
 	}
 	clock.pass(time.Millisecond)
-	b.Heard("a@1", "r-2", noLimit, clock.at)
+	b.RecordResponse("a@1", "r-2", noLimit, clock.at)
 	for range 10 {
-		b.Heard("a@1", "r-3", engine.RateLimit{Unreadable: "few"}, clock.at)
+		b.RecordResponse("a@1", "r-3", engine.RateLimit{Unreadable: "few"}, clock.at)
 	}
 	require.Equal(t, 3, strings.Count(out.String(), "\n"), out.String())
 	require.Contains(t, out.String(), `msg="rate limit cannot be read, the one known before is kept" instance=a@1 request=r-3 text=few`)
@@ -77,7 +77,7 @@
 
 func TestRunsThatLeftAreForgotten(t *testing.T) {
 	b, clock := newTestTable(log.NewNopLogger())
-	b.Heard("a@1", "r", limited(10), clock.at)
+	b.RecordResponse("a@1", "r", limited(10), clock.at)
 	b.Retain(func(string) bool { return false })
 	require.True(t, b.Limit("a@1").Limited, "its registration may come back")
 	clock.pass(2 * keptFor)
@@ -93,11 +93,11 @@
 	follower := NewTable("f", metrics.NewRegistry(), log.NewNopLogger())
 	follow := func(position uint64) uint64 {
 		said, next := scheduler.Since(position)
-		follower.Follow("s", said)
+		follower.ApplyUpdate("s", said)
 		return next
 	}
-	scheduler.Heard("a@1", "r", limited(10), bootclock.Now())
-	scheduler.Heard("b@1", "r", limited(10), bootclock.Now())
+	scheduler.RecordResponse("a@1", "r", limited(10), bootclock.Now())
+	scheduler.RecordResponse("b@1", "r", limited(10), bootclock.Now())
 	at := follow(0)
 	require.True(t, follower.Limited("a@1"))
 	require.Empty(t, follower.News(), "the scheduler knows it")
@@ -105,14 +105,14 @@
 	require.Empty(t, said)
 	time.Sleep(2 * toldLate)
 	for _, rate := range []float64{11, 9, 14} {
-		scheduler.Heard("a@1", "r", limited(rate), bootclock.Now())
+		scheduler.RecordResponse("a@1", "r", limited(rate), bootclock.Now())
 	}
 	said, _ = scheduler.Since(at)
 	require.Empty(t, said, "a little more or less")
-	scheduler.Heard("a@1", "r", limited(30), bootclock.Now())
+	scheduler.RecordResponse("a@1", "r", limited(30), bootclock.Now())
 	said, _ = scheduler.Since(at)
 	require.Len(t, said, 1, "a multiple")
-	scheduler.Heard("a@1", "r", noLimit, bootclock.Now())
+	scheduler.RecordResponse("a@1", "r", noLimit, bootclock.Now())
 	said, _ = scheduler.Since(at)
 	require.Len(t, said, 1, "what has changed")
 	follow(at)
@@ -125,11 +125,11 @@
 func TestNewerWordIsToldAlsoWhileOlderIsCopied(t *testing.T) {
 	scheduler := NewTable("s", metrics.NewRegistry(), log.NewNopLogger())
 	follower := NewTable("f", metrics.NewRegistry(), log.NewNopLogger())
-	scheduler.Heard("a@1", "r", limited(10), bootclock.Now())
+	scheduler.RecordResponse("a@1", "r", limited(10), bootclock.Now())
 	time.Sleep(2 * toldLate)
-	follower.Heard("a@1", "r", limited(5), bootclock.Now())
+	follower.RecordResponse("a@1", "r", limited(5), bootclock.Now())
 	said, _ := scheduler.Since(0)
-	follower.Follow("s", said)
+	follower.ApplyUpdate("s", said)
 	require.Equal(t, limited(5), follower.Limit("a@1").RateLimit)
 	require.Contains(t, follower.News(), "a@1")
 }
@@ -138,12 +138,12 @@
 // whose limit the sender knows: it is not sent, and the scheduler is told.
 func TestAPlacerThatKnowsNoLimitIsTold(t *testing.T) {
 	b, clock := newTestTable(log.NewNopLogger())
-	require.False(t, b.Withholds("a@1"))
-	b.Heard("a@1", "r", limited(10), clock.at)
+	require.False(t, b.BlocksUngranted("a@1"))
+	b.RecordResponse("a@1", "r", limited(10), clock.at)
 	require.Contains(t, b.News(), "a@1")
 	clock.pass(time.Minute)
-	require.True(t, b.Withholds("a@1"))
-	require.False(t, b.Withholds("a@2"), "a later run has said nothing")
+	require.True(t, b.BlocksUngranted("a@1"))
+	require.False(t, b.BlocksUngranted("a@2"), "a later run has said nothing")
 	require.Contains(t, b.News(), "a@1")
 }
 
@@ -153,9 +153,9 @@
 	b, clock := newTestTable(log.NewNopLogger())
 	sent := clock.at
 	clock.pass(time.Second)
-	b.Heard("a@1", "r", limited(10), clock.at)
+	b.RecordResponse("a@1", "r", limited(10), clock.at)
 	clock.pass(2 * toldLate)
-	end := Statement{noLimit, sent, clock.at, clock.at}
+	end := RateReport{noLimit, sent, clock.at, clock.at}
 	b.Learn("a@1", "p-1", end)
 	require.True(t, b.Limited("a@1"))
 	clock.pass(overlapTime)
--- a/internal/rolekeeper/bench_test.go
+++ b/internal/rolekeeper/bench_test.go
@@ -25,7 +25,7 @@
 	for _, n := range []int{120, 9543} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			v := &fleet.View{
-				Scheduling: true, Listed: true, Processes: 985, Instances: map[string]*fleet.Instance{},
+				Scheduling: true, InstancesKnown: true, Processes: 985, Instances: map[string]*fleet.Instance{},
 				Config: &fleet.Config{Services: map[string]fleet.Service{"s": {Name: "s", KVCapacity: 1}}},
 			}
 			for k := range n {
--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -180,8 +180,8 @@
 			queue += ahead
 		}
 		in.Engines = append(in.Engines, roles.Engine{
-			Name: i.ID, Domain: i.Domain, Role: role, Movable: movable, Requests: load.Long, Slots: i.Slots,
-			PrefillTokens: load.Unread.All().Tokens,
+			Name: i.ID, Domain: i.Domain, Role: role, Movable: movable, Requests: load.LongResponses, Slots: i.Slots,
+			PrefillTokens: load.Pending.All().Tokens,
 		})
 	})
 	k.engines = in.Engines
--- a/internal/rolekeeper/rolekeeper_test.go
+++ b/internal/rolekeeper/rolekeeper_test.go
@@ -49,8 +49,8 @@
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 	p.address = server.Listener.Addr().String()
 	v := &fleet.View{Scheduling: true,
-		Config: &fleet.Config{Services: map[string]fleet.Service{"s": {Name: "s", KVCapacity: 1, RoleChange: 50 * time.Millisecond}}},
-		Listed: true, Instances: map[string]*fleet.Instance{},
+		Config:         &fleet.Config{Services: map[string]fleet.Service{"s": {Name: "s", KVCapacity: 1, RoleChange: 50 * time.Millisecond}}},
+		InstancesKnown: true, Instances: map[string]*fleet.Instance{},
 	}
 	for n, stage := range stages {
 		e := fleetengine.New(fmt.Sprint("i-", n), stage)
@@ -85,10 +85,10 @@
 func (p *pool) load(id string) placement.Load {
 	if p.view.Load().Instances[id].Role == engine.RolePrefill {
 		var l placement.Load
-		l.Unread[0].Prompts = int(p.queued.Load())
+		l.Pending[0].Prompts = int(p.queued.Load())
 		return l
 	}
-	return placement.Load{Requests: int(p.running.Load()), Long: int(p.running.Load())}
+	return placement.Load{Requests: int(p.running.Load()), LongResponses: int(p.running.Load())}
 }
 
 // keeper runs a keeper until the returned function is called.
@@ -96,11 +96,11 @@
 	p.t.Helper()
 	store := platform.NewStore(p.address)
 	authority := duty.New(duty.Options{
-		Store: store, Prefix: platform.LeasePrefix, Self: members.Member{Name: name, Incarnation: name + "-1"}, TTL: testTTL, Apart: testApart,
-		View: p.view.Load, Heard: func() []string { return nil }, Logger: log.NewNopLogger(),
+		Store: store, Prefix: platform.LeasePrefix, Self: members.Member{Name: name, Incarnation: name + "-1"}, TTL: testTTL, HandoverDelay: testApart,
+		View: p.view.Load, LivePeers: func() []string { return nil }, Logger: log.NewNopLogger(),
 	})
 	k := New(Options{
-		Authority: authority, Policy: roles.Packing, Engines: platform.NewKeeper(upstream.New(metrics.NewRegistry())), Placer: placement.New("a", p.load, nil),
+		Authority: authority, Policy: roles.Packing, Engines: platform.NewEngineClient(upstream.New(metrics.NewRegistry())), Placer: placement.New("a", p.load, nil),
 		View: p.view.Load, Metrics: metrics.NewRegistry(), Logger: log.NewNopLogger(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -212,7 +212,7 @@
 // TestOrdersToAReplacedEngine checks that an order names the run it is for.
 func TestOrdersToAReplacedEngine(t *testing.T) {
 	p := newPool(t, "decode")
-	keeper := platform.NewKeeper(upstream.New(metrics.NewRegistry()))
+	keeper := platform.NewEngineClient(upstream.New(metrics.NewRegistry()))
 	err := keeper.Order(context.Background(), p.view.Load().Instances["i-0"].Address, engine.RoleOrder{Instance: "i-old", Role: engine.RolePrefill, Holder: "a", Token: 1})
 	require.Error(t, err)
 	require.Empty(t, p.orders())
@@ -225,7 +225,7 @@
 	for _, e := range p.engines {
 		e.RoleChange = time.Hour
 	}
-	keeper := platform.NewKeeper(upstream.New(metrics.NewRegistry()))
+	keeper := platform.NewEngineClient(upstream.New(metrics.NewRegistry()))
 	for _, id := range []string{"i-1", "i-2"} {
 		require.NoError(t, keeper.Order(context.Background(), p.view.Load().Instances[id].Address,
 			engine.RoleOrder{Instance: id, Role: engine.RolePrefill, Holder: "old", Token: 1}))
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -26,11 +26,11 @@
 			ctx := context.Background()
 			for i := 0; b.Loop(); i++ {
 				plan, ticket := a.Place(ctx, jobOf(a, fmt.Sprint(i%200)))
-				if plan.By != "a-sched" {
+				if plan.DecidedBy != "a-sched" {
 					b.Fatal("the scheduler did not answer in time")
 				}
-				ticket = ticket.PlaceRead(ctx, jobOf(a, "x"), &plan)
-				ticket.Run(placement.Sound)
+				ticket = ticket.PlaceDecode(ctx, jobOf(a, "x"), &plan)
+				ticket.RunEnded(placement.Succeeded)
 			}
 		})
 	}
--- a/internal/scheduler/client.go
+++ b/internal/scheduler/client.go
@@ -41,13 +41,13 @@
 	Limits *ratelimit.Table
 	// Quarantine knows which requests end the instances that run them; nil if none do.
 	Quarantine *quarantine.Table
-	// Hears reports whether this process hears another one in other ways than as one that
+	// HasContact reports whether this process hears another one in other ways than as one that
 	// follows it; nil if in none.
-	Hears func(name string) bool
+	HasContact func(name string) bool
 	// InstancePrefix is that of the keys of registrations.
 	InstancePrefix string
-	// Within is in what time a change in the store must have reached everybody.
-	Within time.Duration
+	// PropagationLimit is in what time a change in the store must have reached everybody.
+	PropagationLimit time.Duration
 	// Clock is the time of day that the schedulers agree on.
 	Clock   *truetime.Clock
 	Metrics metrics.Registry
@@ -64,8 +64,8 @@
 	if o.Clock == nil {
 		o.Clock = truetime.New()
 	}
-	if o.Hears == nil {
-		o.Hears = func(string) bool { return false }
+	if o.HasContact == nil {
+		o.HasContact = func(string) bool { return false }
 	}
 }
 
@@ -87,7 +87,7 @@
 func NewClient(o Options) *Client {
 	o.complete()
 	c := &Client{o: o, logger: log.With(o.Logger, "component", "scheduler"), local: Local(o.Placer)}
-	c.directory = &directory{self: o.Self, silences: peer.NewSilences(), logger: c.logger}
+	c.directory = &directory{self: o.Self, silences: peer.NewBackoffs(), logger: c.logger}
 	c.reports = newReporter(c)
 	return c
 }
@@ -113,13 +113,13 @@
 	}
 	c.count("placed_alone")
 	plan, t := c.local.Place(ctx, j)
-	plan.By = c.o.Self.Name
+	plan.DecidedBy = c.o.Self.Name
 	return plan, t
 }
 
-// Others returns the schedulers in the order in which this process prefers them, without
+// OtherSchedulers returns the schedulers in the order in which this process prefers them, without
 // itself.
-func (c *Client) Others() []members.Member {
+func (c *Client) OtherSchedulers() []members.Member {
 	all := c.o.View().Schedulers
 	return c.directory.order(all, len(all))
 }
@@ -133,7 +133,7 @@
 	}
 	placed := resp.GetPlaced()
 	plan, err := decodePlan(placed, j, c.o.View())
-	plan.By = s.Name
+	plan.DecidedBy = s.Name
 	if placed.GetTicket() == 0 {
 		return plan, nil, err
 	}
--- a/internal/scheduler/codec.go
+++ b/internal/scheduler/codec.go
@@ -14,10 +14,10 @@
 func encodeJob(j *placement.Job) *peerpb.Place {
 	out := &peerpb.Place{
 		Request: j.Call.ID, Route: j.Route.Name, Service: j.Service.Name, Domain: j.Domain, PromptTokens: uint32(j.Call.PromptTokens),
-		LeftUs: j.Left.Microseconds(), SpentUs: j.Spent.Microseconds(), NoRead: j.NoRead,
+		LeftUs: j.Remaining.Microseconds(), SpentUs: j.Elapsed.Microseconds(), NoRead: j.SkipPrefill,
 		Workspace: j.Workspace, Fingerprint: j.Fingerprint[:], LacksInstances: len(j.Permitted) == 0,
 	}
-	if j.Ranked {
+	if j.WorkspaceRank {
 		out.Rank = uint32(max(j.Route.Rank, 0)) + 1
 	}
 	for _, p := range j.Call.Parts {
@@ -36,7 +36,7 @@
 	if !v.Ready() {
 		return nil, fault.New(fault.Unavailable, "scheduler is not ready", "ask another one")
 	}
-	route := v.Config.RouteNamed(m.GetRoute())
+	route := v.Config.RouteByName(m.GetRoute())
 	service, known := v.Config.Services[m.GetService()]
 	if route == nil || !known || len(m.GetParts()) != len(m.GetTokens()) {
 		return nil, fault.Newf(fault.NotFound, "ask another scheduler", "route %s to %s is not known here", m.GetRoute(), m.GetService())
@@ -56,8 +56,8 @@
 	}
 	pool := v.Pool(route.Name, service.Name)
 	return &placement.Job{
-		Route: route, Service: service, Call: call, Domain: m.GetDomain(), Left: micros(m.GetLeftUs()), Spent: micros(m.GetSpentUs()),
-		Permitted: pool.All, Groups: pool.Groups, Avoid: avoid, NoRead: m.GetNoRead(), Ranked: m.GetRank() > 0,
+		Route: route, Service: service, Call: call, Domain: m.GetDomain(), Remaining: micros(m.GetLeftUs()), Elapsed: micros(m.GetSpentUs()),
+		Permitted: pool.All, Groups: pool.Groups, Avoid: avoid, SkipPrefill: m.GetNoRead(), WorkspaceRank: m.GetRank() > 0,
 		Workspace: m.GetWorkspace(),
 	}, nil
 }
@@ -73,14 +73,14 @@
 // encodePlan writes a plan, with its instances for a process that lacks them.
 func encodePlan(p *placement.Plan, ticket uint64, lacksInstances bool) *peerpb.Placed {
 	out := &peerpb.Placed{
-		Ticket: ticket, Reader: idOf(p.Reader), Runner: idOf(p.Runner), FetchFrom: idOf(p.FetchFrom), Reason: string(p.Reason),
-		Uncached: uint32(p.Uncached), AheadUs: p.Ahead.Microseconds(), ReadUs: p.Read.Microseconds(), Rank: uint32(p.Rank), Late: p.Late,
+		Ticket: ticket, Reader: idOf(p.PrefillEngine), Runner: idOf(p.Target), FetchFrom: idOf(p.FetchFrom), Reason: string(p.Reason),
+		Uncached: uint32(p.Uncached), AheadUs: p.QueueDelay.Microseconds(), ReadUs: p.PrefillTime.Microseconds(), Rank: uint32(p.Rank), Late: p.Late,
 		RetryAfterUs: p.RetryAfter.Microseconds(), Granted: p.Granted,
 	}
 	if !lacksInstances {
 		return out
 	}
-	for _, i := range []*fleet.Instance{p.Reader, p.Runner, p.FetchFrom} {
+	for _, i := range []*fleet.Instance{p.PrefillEngine, p.Target, p.FetchFrom} {
 		if i != nil {
 			out.Instances = append(out.Instances, encodeInstance(i))
 		}
@@ -90,15 +90,15 @@
 
 func encodeInstance(i *fleet.Instance) *peerpb.PlacedInstance {
 	return &peerpb.PlacedInstance{
-		Id: i.ID, Born: i.Born, Service: i.Service, Address: i.Address, Domain: i.Domain, Software: i.Software, Slots: uint32(max(i.Slots, 0)),
-		Spot: i.Spot, Role: string(i.Role), Lapsed: i.Lapsed,
+		Id: i.ID, Born: i.StartTime, Service: i.Service, Address: i.Address, Domain: i.Domain, Software: i.Software, Slots: uint32(max(i.Slots, 0)),
+		Spot: i.Spot, Role: string(i.Role), Lapsed: i.Expired,
 	}
 }
 
 func decodeInstance(m *peerpb.PlacedInstance) *fleet.Instance {
 	return &fleet.Instance{
-		ID: m.GetId(), Born: m.GetBorn(), Service: m.GetService(), Address: m.GetAddress(), Domain: m.GetDomain(), Software: m.GetSoftware(), Slots: int(m.GetSlots()),
-		Spot: m.GetSpot(), Role: engine.Role(m.GetRole()), Lapsed: m.GetLapsed(),
+		ID: m.GetId(), StartTime: m.GetBorn(), Service: m.GetService(), Address: m.GetAddress(), Domain: m.GetDomain(), Software: m.GetSoftware(), Slots: int(m.GetSlots()),
+		Spot: m.GetSpot(), Role: engine.Role(m.GetRole()), Expired: m.GetLapsed(),
 	}
 }
 
@@ -113,7 +113,7 @@
 // process, which has a view, does not permit the job.
 func decodePlan(m *peerpb.Placed, j *placement.Job, v *fleet.View) (placement.Plan, error) {
 	p := placement.Plan{
-		Reason: placement.Reason(m.GetReason()), Uncached: int(m.GetUncached()), Ahead: micros(m.GetAheadUs()), Read: micros(m.GetReadUs()),
+		Reason: placement.Reason(m.GetReason()), Uncached: int(m.GetUncached()), QueueDelay: micros(m.GetAheadUs()), PrefillTime: micros(m.GetReadUs()),
 		Rank: int(m.GetRank()), Late: m.GetLate(), RetryAfter: micros(m.GetRetryAfterUs()), Granted: m.GetGranted(),
 	}
 	permitted := j.Permitted
@@ -122,13 +122,13 @@
 		for _, i := range m.GetInstances() {
 			told = append(told, decodeInstance(i))
 		}
-		permitted = v.PermittedOf(j.Route.Name, j.Service.Name, told)
+		permitted = v.FilterPermitted(j.Route.Name, j.Service.Name, told)
 	}
 	var err error
 	for _, part := range []struct {
 		id string
 		to **fleet.Instance
-	}{{m.GetReader(), &p.Reader}, {m.GetRunner(), &p.Runner}, {m.GetFetchFrom(), &p.FetchFrom}} {
+	}{{m.GetReader(), &p.PrefillEngine}, {m.GetRunner(), &p.Target}, {m.GetFetchFrom(), &p.FetchFrom}} {
 		if *part.to = fleet.Find(permitted, part.id); *part.to == nil && part.id != "" {
 			err = fault.Newf(fault.Conflict, "this process decides", "instance %s is not permitted here", part.id)
 		}
--- a/internal/scheduler/codec_test.go
+++ b/internal/scheduler/codec_test.go
@@ -16,11 +16,11 @@
 func TestAJobKeepsItsCallersRankAndWorkspace(t *testing.T) {
 	config := &fleet.Config{Routes: []fleet.Route{{Name: "r", Rank: 1}}, Services: map[string]fleet.Service{"s": {Name: "s"}}}
 	config.Index()
-	view := &fleet.View{Config: config, Listed: true}
+	view := &fleet.View{Config: config, InstancesKnown: true}
 	view.Index()
 	sent := &placement.Job{
-		Route: &fleet.Route{Name: "r", Rank: 3}, Ranked: true, Workspace: "w", Service: fleet.Service{Name: "s"},
-		Call: &engine.Call{ID: "id", PromptTokens: 2000}, Left: time.Second,
+		Route: &fleet.Route{Name: "r", Rank: 3}, WorkspaceRank: true, Workspace: "w", Service: fleet.Service{Name: "s"},
+		Call: &engine.Call{ID: "id", PromptTokens: 2000}, Remaining: time.Second,
 	}
 	got, err := decodeJob(encodeJob(sent), view)
 	require.NoError(t, err)
--- a/internal/scheduler/directory.go
+++ b/internal/scheduler/directory.go
@@ -15,7 +15,7 @@
 // directory knows in which order a process asks the schedulers.
 type directory struct {
 	self     members.Member
-	silences *peer.Silences
+	silences *peer.Backoffs
 	logger   log.Logger
 }
 
@@ -28,7 +28,7 @@
 	for _, m := range all {
 		switch {
 		case m.Name == d.self.Name:
-		case d.silences.Resting(m.Name):
+		case d.silences.InBackoff(m.Name):
 			resting = append(resting, m)
 		case m.Domain == d.self.Domain:
 			near = append(near, m)
--- a/internal/scheduler/follow.go
+++ b/internal/scheduler/follow.go
@@ -44,7 +44,7 @@
 )
 
 func (o *Options) followWait() time.Duration {
-	return time.Duration(followShare * float64(o.Within))
+	return time.Duration(followShare * float64(o.PropagationLimit))
 }
 
 // staleAge returns from which age on a copy is left for a fresher one.
@@ -53,11 +53,11 @@
 	if o.View().Scheduling {
 		share = schedulerStaleShare
 	}
-	return time.Duration(share * float64(o.Within))
+	return time.Duration(share * float64(o.PropagationLimit))
 }
 
 // Follow implements discovery.Relay.
-func (c *Client) Follow(ctx context.Context, after feed.Position) (discovery.Followed, error) {
+func (c *Client) Follow(ctx context.Context, after feed.Position) (discovery.RelayUpdate, error) {
 	var failed error = fault.New(fault.Unavailable, "no scheduler is known", "the process looks at the store itself")
 	order, most := c.inOrder(), followAsks
 	if c.wantsHead() {
@@ -77,7 +77,7 @@
 		}
 		return f, nil
 	}
-	return discovery.Followed{}, failed
+	return discovery.RelayUpdate{}, failed
 }
 
 // inOrder returns whom this process follows: schedulers, or, if it is one, watchers.
@@ -100,7 +100,7 @@
 
 // fresher returns what one of the other schedulers has if that is fresher than f, which from
 // said, and goes on with that one.
-func (c *Client) fresher(ctx context.Context, from members.Member, f discovery.Followed, others []members.Member) discovery.Followed {
+func (c *Client) fresher(ctx context.Context, from members.Member, f discovery.RelayUpdate, others []members.Member) discovery.RelayUpdate {
 	g, s, err := c.firstFresher(ctx, f.Age, others[:min(followAsks, len(others))])
 	if err != nil {
 		return f
@@ -110,10 +110,10 @@
 	return g
 }
 
-// Newer implements discovery.Relay. A scheduler, whom others follow, asks all other ones, since
+// FetchFresher implements discovery.Relay. A scheduler, whom others follow, asks all other ones, since
 // but one of them may be answered by the store; another process asks a few drawn at random.
-func (c *Client) Newer(ctx context.Context, age time.Duration) (discovery.Followed, error) {
-	others := c.Others()
+func (c *Client) FetchFresher(ctx context.Context, age time.Duration) (discovery.RelayUpdate, error) {
+	others := c.OtherSchedulers()
 	rand.Shuffle(len(others), func(i, k int) { others[i], others[k] = others[k], others[i] })
 	if !c.o.View().Scheduling {
 		others = others[:min(followAsks, len(others))]
@@ -125,11 +125,11 @@
 // firstFresher returns all that the first one of some schedulers has whose copy is fresher than
 // an age, and which one that is. A copy that is not costs a message without its objects. The
 // error is of kind NotFound if none of them has one.
-func (c *Client) firstFresher(ctx context.Context, age time.Duration, among []members.Member) (discovery.Followed, members.Member, error) {
+func (c *Client) firstFresher(ctx context.Context, age time.Duration, among []members.Member) (discovery.RelayUpdate, members.Member, error) {
 	var failed error = fault.New(fault.NotFound, "no other scheduler has a fresher copy", "the store is asked again")
 	most := age - freshGain
 	if most <= 0 {
-		return discovery.Followed{}, members.Member{}, failed
+		return discovery.RelayUpdate{}, members.Member{}, failed
 	}
 	for _, s := range among {
 		f, err := c.followOne(ctx, s, feed.Position{}, 0, most)
@@ -140,17 +140,17 @@
 			return f, s, nil
 		}
 	}
-	return discovery.Followed{}, members.Member{}, failed
+	return discovery.RelayUpdate{}, members.Member{}, failed
 }
 
 // followOne asks one scheduler for what has changed. A copy that is older than most, if that
 // is not 0, comes without its objects.
-func (c *Client) followOne(ctx context.Context, s members.Member, after feed.Position, wait, most time.Duration) (discovery.Followed, error) {
+func (c *Client) followOne(ctx context.Context, s members.Member, after feed.Position, wait, most time.Duration) (discovery.RelayUpdate, error) {
 	fctx, cancel := context.WithTimeout(ctx, wait+max(c.o.followWait(), leastSlack))
 	defer cancel()
 	asked := bootclock.Now()
 	resp, err := c.o.Transport.Call(fctx, s.Peer, &peerpb.Request{Body: &peerpb.Request_Follow{Follow: &peerpb.Follow{
-		Run: after.Run, Position: after.At, LimitsPosition: c.limitsAt(after.Run), Head: most == 0 && c.wantsHead(), WaitMs: uint32(wait.Milliseconds()), Unpacks: true, MaxAgeMs: uint32(min(most.Milliseconds(), math.MaxUint32)),
+		Run: after.RunID, Position: after.Sequence, LimitsPosition: c.limitsAt(after.RunID), Head: most == 0 && c.wantsHead(), WaitMs: uint32(wait.Milliseconds()), Unpacks: true, MaxAgeMs: uint32(min(most.Milliseconds(), math.MaxUint32)),
 	}}})
 	if err != nil {
 		if ctx.Err() == nil && !fault.Is(err, fault.Denied) {
@@ -159,40 +159,40 @@
 		if fresh := c.fresh.Load(); fresh != nil && *fresh == s.Name {
 			c.fresh.CompareAndSwap(fresh, nil)
 		}
-		return discovery.Followed{}, err
+		return discovery.RelayUpdate{}, err
 	}
 	c.directory.answered(s)
 	f, err := decodeUpdate(resp.GetUpdate())
 	if err != nil {
 		return f, err
 	}
-	if most == 0 && !f.Head {
-		c.o.Limits.Follow(s.Name, resp.GetUpdate().GetLimits())
-		c.limits.Store(&feed.Position{Run: f.Position.Run, At: resp.GetUpdate().GetLimitsPosition()})
+	if most == 0 && !f.Partial {
+		c.o.Limits.ApplyUpdate(s.Name, resp.GetUpdate().GetLimits())
+		c.limits.Store(&feed.Position{RunID: f.Position.RunID, Sequence: resp.GetUpdate().GetLimitsPosition()})
 	}
 	if us := resp.GetUpdate().GetTimeUs(); us != 0 {
-		c.o.Clock.HearSource(time.UnixMicro(us))
+		c.o.Clock.ObserveSource(time.UnixMicro(us))
 	}
 	// The age is as of the answer, which was given after the question was asked, and within
 	// the wait. What it took beyond that, such as a pause of this process, is age too.
 	f.Age += max(0, bootclock.Since(asked)-wait)
-	f.ProvenAt = asked.Add(-time.Duration(resp.GetUpdate().GetProofAgeMs()) * time.Millisecond)
+	f.ConfigFreshAt = asked.Add(-time.Duration(resp.GetUpdate().GetProofAgeMs()) * time.Millisecond)
 	return f, nil
 }
 
 // limitsAt returns up to where the rate limits are known that a run of a scheduler tells of.
 func (c *Client) limitsAt(run string) uint64 {
-	if p := c.limits.Load(); p != nil && p.Run == run {
-		return p.At
+	if p := c.limits.Load(); p != nil && p.RunID == run {
+		return p.Sequence
 	}
 	return 0
 }
 
-func decodeUpdate(m *peerpb.FollowUpdate) (discovery.Followed, error) {
-	f := discovery.Followed{
-		Update: feed.Update{Position: feed.Position{Run: m.GetRun(), At: m.GetPosition()}, Full: m.GetFull()},
-		Age:    time.Duration(m.GetAgeMs()) * time.Millisecond,
-		Head:   m.GetHead(), StoreUp: m.GetStoreUp(), Processes: int(m.GetProcesses()), InstancesRevision: objstore.Revision(m.GetInstancesRevision()),
+func decodeUpdate(m *peerpb.FollowUpdate) (discovery.RelayUpdate, error) {
+	f := discovery.RelayUpdate{
+		Update:  feed.Update{Position: feed.Position{RunID: m.GetRun(), Sequence: m.GetPosition()}, Full: m.GetFull()},
+		Age:     time.Duration(m.GetAgeMs()) * time.Millisecond,
+		Partial: m.GetHead(), StoreUp: m.GetStoreUp(), Processes: int(m.GetProcesses()), InstancesRevision: objstore.Revision(m.GetInstancesRevision()),
 	}
 	objects := m.GetObjects()
 	if len(m.GetPacked()) > 0 {
@@ -229,10 +229,10 @@
 	if m.GetHead() {
 		return s.followHead(m)
 	}
-	after := feed.Position{Run: m.GetRun(), At: m.GetPosition()}
+	after := feed.Position{RunID: m.GetRun(), Sequence: m.GetPosition()}
 	u, v := s.await(ctx, after, max(wait-time.Since(begun), 0))
 	out := s.updateOf(v)
-	out.Run, out.Position, out.Full = u.Position.Run, u.Position.At, u.Full
+	out.Run, out.Position, out.Full = u.Position.RunID, u.Position.Sequence, u.Full
 	if most := int64(m.GetMaxAgeMs()); most > 0 && out.AgeMs > most {
 		u.Events = nil
 	}
@@ -246,13 +246,13 @@
 func (s *Server) updateOf(v *fleet.View) *peerpb.FollowUpdate {
 	out := &peerpb.FollowUpdate{
 		AgeMs: v.Age().Milliseconds(), StoreUp: v.StoreUp,
-		ProofAgeMs: v.ProofAge().Milliseconds() + 1, // rounded up
+		ProofAgeMs: v.ConfigStaleness().Milliseconds() + 1, // rounded up
 		TimeUs:     s.o.Clock.Now().UnixMicro(), InstancesRevision: int64(v.InstancesRevision),
 		Processes: uint32(v.Processes),
 	}
-	for _, m := range v.Mesh {
+	for _, m := range v.GossipPeers {
 		out.Schedulers = append(out.Schedulers, &peerpb.SchedulerAddress{
-			Name: m.Name, Domain: m.Domain, Peer: m.Peer, Watcher: members.Contain(v.Watchers, m.Name), Replaced: !members.Contain(v.Schedulers, m.Name),
+			Name: m.Name, Domain: m.Domain, Peer: m.Peer, Watcher: members.Contains(v.Watchers, m.Name), Replaced: !members.Contains(v.Schedulers, m.Name),
 		})
 	}
 	return out
--- a/internal/scheduler/head.go
+++ b/internal/scheduler/head.go
@@ -18,21 +18,21 @@
 // wantsHead reports whether this process asks for the head of a copy alone.
 func (c *Client) wantsHead() bool {
 	v := c.o.View()
-	return !v.Scheduling && !v.Listed && (v.Config == nil || bootclock.Now() < v.CopyAt)
+	return !v.Scheduling && !v.InstancesKnown && (v.Config == nil || bootclock.Now() < v.FullSnapshotAt)
 }
 
 // headOrder returns whom this process asks for the head: those that watch the store first, since they are ready
 // first after a loss of all.
 func (c *Client) headOrder() []members.Member {
 	v := c.o.View()
-	others := slices.DeleteFunc(slices.Clone(v.Schedulers), func(m members.Member) bool { return members.Contain(v.Watchers, m.Name) })
+	others := slices.DeleteFunc(slices.Clone(v.Schedulers), func(m members.Member) bool { return members.Contains(v.Watchers, m.Name) })
 	return append(c.directory.order(v.Watchers, len(v.Watchers)), c.directory.order(others, len(others))...)
 }
 
 // mostAsks returns how many schedulers are asked: all by a process that cannot decide alone yet. After a start of
 // all those of its own failure domain may be ready last.
 func (c *Client) mostAsks() int {
-	if v := c.o.View(); !v.Listed {
+	if v := c.o.View(); !v.InstancesKnown {
 		return len(v.Schedulers)
 	}
 	return asks
@@ -55,7 +55,7 @@
 func (h *heads) of(f *feed.Feed, instancePrefix string) feed.Update {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.kept.Position == (feed.Position{Run: f.Run(), At: f.At()}) {
+	if h.kept.Position == (feed.Position{RunID: f.RunID(), Sequence: f.Sequence()}) {
 		return h.kept
 	}
 	whole, _ := f.Since(feed.Position{})
--- a/internal/scheduler/head_test.go
+++ b/internal/scheduler/head_test.go
@@ -20,7 +20,7 @@
 // knowsNoInstances gives a node the view that it has before it has copied the registrations.
 func knowsNoInstances(n *node, rules *fleet.Rules) {
 	v := *n.view.Load()
-	v.Instances, v.Listed, v.Headed, v.Rules = map[string]*fleet.Instance{}, false, true, rules
+	v.Instances, v.InstancesKnown, v.Partial, v.Rules = map[string]*fleet.Instance{}, false, true, rules
 	v.Index()
 	n.view.Store(&v)
 }
@@ -34,10 +34,10 @@
 	require.True(t, n.view.Load().Ready())
 	plan, ticket := n.Place(context.Background(), jobOf(n, "x"))
 	require.NotNil(t, ticket)
-	require.Equal(t, s.self.Name, plan.By)
-	require.Equal(t, s.view.Load().Instances["ap-1"], plan.Reader)
-	require.Equal(t, ticket, ticket.PlaceRead(context.Background(), jobOf(n, "x"), &plan))
-	require.Equal(t, s.view.Load().Instances["ad-1"], plan.Runner)
+	require.Equal(t, s.self.Name, plan.DecidedBy)
+	require.Equal(t, s.view.Load().Instances["ap-1"], plan.PrefillEngine)
+	require.Equal(t, ticket, ticket.PlaceDecode(context.Background(), jobOf(n, "x"), &plan))
+	require.Equal(t, s.view.Load().Instances["ad-1"], plan.Target)
 }
 
 // TestSchedulersThatAreNotReadyArePassedOver has the schedulers of a failure domain be ready after those of another.
@@ -54,12 +54,12 @@
 	begun := time.Now()
 	head, err := n.Follow(context.Background(), feed.Position{})
 	require.NoError(t, err)
-	require.True(t, head.Head)
+	require.True(t, head.Partial)
 	require.Less(t, time.Since(begun), n.Client.o.followWait(), "nobody waits for those that are not ready")
 	n.view.Store(placing)
 	plan, ticket := n.Place(context.Background(), jobOf(n, "x"))
 	require.NotNil(t, ticket)
-	require.Equal(t, other.self.Name, plan.By)
+	require.Equal(t, other.self.Name, plan.DecidedBy)
 }
 
 // TestAPlacedInstanceMustBePermitted has a scheduler that has not heard of a rule place a request: a process
@@ -72,8 +72,8 @@
 	knowsNoInstances(n, elsewhere)
 	plan, ticket := n.Place(context.Background(), jobOf(n, "x"))
 	require.Nil(t, ticket)
-	require.Nil(t, plan.Runner)
-	require.Nil(t, plan.Reader)
+	require.Nil(t, plan.Target)
+	require.Nil(t, plan.PrefillEngine)
 }
 
 // TestTheHeadOfACopyIsOfTheSameSize compares what a process needs until it serves before few and many instances.
@@ -89,11 +89,11 @@
 		config := objstore.Object{Key: "config/main", Value: []byte("{}"), Version: 7}
 		s.feed.Apply(append(events, objstore.Event{Object: config}))
 		first := *n.view.Load()
-		first.Config, first.Listed = nil, false
+		first.Config, first.InstancesKnown = nil, false
 		n.view.Store(&first)
 		head, err := n.Follow(context.Background(), feed.Position{})
 		require.NoError(t, err)
-		require.True(t, head.Head)
+		require.True(t, head.Partial)
 		require.False(t, head.Full)
 		require.Equal(t, feed.Position{}, head.Position)
 		require.Equal(t, []objstore.Event{{Object: config}}, head.Events)
--- a/internal/scheduler/heard.go
+++ b/internal/scheduler/heard.go
@@ -7,10 +7,10 @@
 	"github.com/rockdoor/rockdoor/members"
 )
 
-// Hears reports whether this process hears another one: as one that follows it or has it place
+// HasContact reports whether this process hears another one: as one that follows it or has it place
 // requests, which calls at least twice a second, or in the ways of Options.Hears.
-func (s *Server) Hears(name string) bool {
-	if s.o.Hears(name) {
+func (s *Server) HasContact(name string) bool {
+	if s.o.HasContact(name) {
 		return true
 	}
 	s.mu.Lock()
@@ -22,15 +22,15 @@
 func (s *Server) unheard(m *peerpb.Heartbeat) *peerpb.Response {
 	out := &peerpb.Heartbeat{}
 	for _, p := range m.GetSilent() {
-		if !s.Hears(p.GetName()) {
+		if !s.HasContact(p.GetName()) {
 			out.Silent = append(out.Silent, p)
 		}
 	}
 	return &peerpb.Response{Body: &peerpb.Response_Heartbeat{Heartbeat: out}}
 }
 
-// Unheard asks a scheduler which of the names it does not hear either.
-func (c *Client) Unheard(ctx context.Context, scheduler members.Member, names []string) ([]string, error) {
+// WithoutContact asks a scheduler which of the names it does not hear either.
+func (c *Client) WithoutContact(ctx context.Context, scheduler members.Member, names []string) ([]string, error) {
 	ask := &peerpb.Heartbeat{}
 	for _, n := range names {
 		ask.Silent = append(ask.Silent, &peerpb.Silent{Name: n})
--- a/internal/scheduler/limited.go
+++ b/internal/scheduler/limited.go
@@ -19,29 +19,29 @@
 // place decides where a job is read or runs.
 func place(ctx context.Context, p *placement.Placer, j *placement.Job) (placement.Plan, *placement.Ticket) {
 	plan, t := p.Place(j)
-	most := min(time.Duration(grantWaitShare*float64(j.Route.LatencyTarget)), ratelimit.GrantWait)
+	most := min(time.Duration(grantWaitShare*float64(j.Route.LatencyTarget)), ratelimit.MaxGrantWait)
 	again(ctx, &plan, j, most, func() { plan, t = p.Place(j) })
 	return plan, t
 }
 
 // placeRead decides where a job runs whose prompt has been read.
 func placeRead(ctx context.Context, p *placement.Placer, j *placement.Job, plan *placement.Plan, t *placement.Ticket) bool {
-	placed := p.PlaceRead(j, plan, t)
-	again(ctx, plan, j, readWait, func() { placed = p.PlaceRead(j, plan, t) })
+	placed := p.PlaceDecode(j, plan, t)
+	again(ctx, plan, j, readWait, func() { placed = p.PlaceDecode(j, plan, t) })
 	return placed
 }
 
 // again tries to place a job until it is not for rate limits that it can't be, or some time has passed.
 func again(ctx context.Context, plan *placement.Plan, j *placement.Job, most time.Duration, try func()) {
-	for waited := time.Duration(0); plan.Reason == placement.ReasonLimited && waited < min(most, j.Left); waited += ratelimit.GrantPoll {
+	for waited := time.Duration(0); plan.Reason == placement.ReasonLimited && waited < min(most, j.Remaining); waited += ratelimit.GrantPollInterval {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(ratelimit.GrantPoll):
+		case <-time.After(ratelimit.GrantPollInterval):
 		}
-		j.Left -= ratelimit.GrantPoll
-		j.Spent += ratelimit.GrantPoll
-		j.Waiting = true
+		j.Remaining -= ratelimit.GrantPollInterval
+		j.Elapsed += ratelimit.GrantPollInterval
+		j.AwaitsRateLimit = true
 		try()
 	}
 }
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -46,8 +46,8 @@
 	Serving int `json:"serving"`
 	// Behind is how many of them have lacked a change for more than a quarter of the time in which one must
 	// have reached everybody, MostMs how long the one that lacks one the longest has, in ms.
-	Behind int   `json:"behind"`
-	MostMs int64 `json:"mostMs"`
+	Behind   int   `json:"behind"`
+	MaxLagMs int64 `json:"mostMs"`
 }
 
 // behindShare is the part of the time in which a change must have reached everybody from which on a
@@ -64,7 +64,7 @@
 // followers is Followers for a caller that holds the lock.
 func (s *Server) followers(now time.Time) Followers {
 	var out Followers
-	late := time.Duration(behindShare * float64(s.o.Within))
+	late := time.Duration(behindShare * float64(s.o.PropagationLimit))
 	for _, c := range s.clients {
 		if !c.follows {
 			continue
@@ -74,16 +74,16 @@
 		if behind > late {
 			out.Behind++
 		}
-		out.MostMs = max(out.MostMs, behind.Milliseconds())
+		out.MaxLagMs = max(out.MaxLagMs, behind.Milliseconds())
 	}
 	return out
 }
 
 // showFollowers updates the metrics of those that follow. The caller holds the lock.
 func (s *Server) showFollowers(now time.Time) {
-	s.progress.see(s.feed.At(), now)
+	s.progress.see(s.feed.Sequence(), now)
 	f := s.followers(now)
 	metrics.GetOrRegisterGauge("scheduler.followers", s.o.Metrics).Update(int64(f.Serving))
 	metrics.GetOrRegisterGauge("scheduler.followers_behind", s.o.Metrics).Update(int64(f.Behind))
-	metrics.GetOrRegisterGauge("scheduler.followers_behind_ms", s.o.Metrics).Update(f.MostMs)
+	metrics.GetOrRegisterGauge("scheduler.followers_behind_ms", s.o.Metrics).Update(f.MaxLagMs)
 }
--- a/internal/scheduler/progress_test.go
+++ b/internal/scheduler/progress_test.go
@@ -16,7 +16,7 @@
 	ask := func(name string, position uint64) {
 		from := &peerpb.Identity{Name: name, Incarnation: name}
 		s.hear(from)
-		s.followed(from, &peerpb.Follow{Run: s.feed.Run(), Position: position})
+		s.followed(from, &peerpb.Follow{Run: s.feed.RunID(), Position: position})
 	}
 	sweep := func(at time.Duration) Followers {
 		s.mu.Lock()
@@ -33,8 +33,8 @@
 	require.Equal(t, Followers{Serving: 3}, sweep(time.Millisecond))
 	ask("a", 2)
 	ask("b", 2)
-	late := s.o.Within / 2
-	require.Equal(t, Followers{Serving: 3, Behind: 1, MostMs: late.Milliseconds()}, sweep(late+time.Millisecond))
+	late := s.o.PropagationLimit / 2
+	require.Equal(t, Followers{Serving: 3, Behind: 1, MaxLagMs: late.Milliseconds()}, sweep(late+time.Millisecond))
 	s.followed(&peerpb.Identity{Name: "c", Incarnation: "c"}, &peerpb.Follow{Run: "another", Position: 7})
 	require.Equal(t, 1, sweep(late).Behind, "a position of another feed is none")
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -23,16 +23,16 @@
 // Ticket is a placed job, as placement.Ticket is. It belongs to the goroutine of the
 // request.
 type Ticket interface {
-	// Read records how reading the prompt apart ended. If it was read, PlaceRead follows.
-	Read(read bool, o placement.Outcome)
-	// PlaceRead decides where a job runs whose prompt has been read. It returns the ticket
+	// PrefillEnded records how reading the prompt apart ended. If it was read, PlaceRead follows.
+	PrefillEnded(read bool, o placement.Outcome)
+	// PlaceDecode decides where a job runs whose prompt has been read. It returns the ticket
 	// to go on with, nil if there is no runner; the plan then says why.
-	PlaceRead(ctx context.Context, j *placement.Job, plan *placement.Plan) Ticket
+	PlaceDecode(ctx context.Context, j *placement.Job, plan *placement.Plan) Ticket
 	// FirstEvent records that the answer begins, Event that an event of it has arrived.
 	FirstEvent()
 	Event()
-	// Run records how the attempt at the runner ended.
-	Run(o placement.Outcome)
+	// RunEnded records how the attempt at the runner ended.
+	RunEnded(o placement.Outcome)
 	// Cancel takes the job back, if it has not ended, without a verdict on the instances.
 	Cancel()
 }
@@ -56,8 +56,8 @@
 	placer *placement.Placer
 }
 
-// PlaceRead implements Ticket.
-func (t localTicket) PlaceRead(ctx context.Context, j *placement.Job, plan *placement.Plan) Ticket {
+// PlaceDecode implements Ticket.
+func (t localTicket) PlaceDecode(ctx context.Context, j *placement.Job, plan *placement.Plan) Ticket {
 	if !placeRead(ctx, t.placer, j, plan, t.Ticket) {
 		return nil
 	}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -65,7 +65,7 @@
 	n.view.Store(&fleet.View{})
 	reg := metrics.NewRegistry()
 	transport := peer.NewTransport(&peerpb.Identity{Name: name, Incarnation: "1"}, n, reg, log.NewNopLogger())
-	o := Options{Self: n.self, View: n.view.Load, Transport: transport, Placer: n.placer, Within: testWithin, Metrics: reg, Logger: log.NewNopLogger()}
+	o := Options{Self: n.self, View: n.view.Load, Transport: transport, Placer: n.placer, PropagationLimit: testWithin, Metrics: reg, Logger: log.NewNopLogger()}
 	n.Client, n.Server = NewClient(o), NewServer(o, n.feed)
 	go func() { _ = transport.Serve(link(l)) }()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -91,7 +91,7 @@
 	}
 	c.Index()
 	for _, n := range nodes {
-		v := &fleet.View{Config: c, Listed: true, ConfigAt: bootclock.Now(), InstancesAt: bootclock.Now(), Instances: map[string]*fleet.Instance{}, Processes: 30}
+		v := &fleet.View{Config: c, InstancesKnown: true, ConfigConfirmedAt: bootclock.Now(), InstancesConfirmedAt: bootclock.Now(), Instances: map[string]*fleet.Instance{}, Processes: 30}
 		for _, id := range engines {
 			i := &fleet.Instance{ID: id, Service: serviceName, Domain: id[:1], Role: engine.RolePrefill, Slots: 10_000}
 			if id[1] == 'd' {
@@ -103,7 +103,7 @@
 			v.Schedulers = append(v.Schedulers, s.self)
 			v.Scheduling = v.Scheduling || s == n
 		}
-		v.Watchers, v.Mesh = v.Schedulers, v.Schedulers
+		v.Watchers, v.GossipPeers = v.Schedulers, v.Schedulers
 		v.Index()
 		n.view.Store(v)
 	}
@@ -112,7 +112,7 @@
 func jobOf(n *node, subject string) *placement.Job {
 	v := n.view.Load()
 	return &placement.Job{
-		Route: v.Config.RouteNamed(routeName), Service: v.Config.Services[serviceName], Domain: n.self.Domain, Left: 2 * time.Second,
+		Route: v.Config.RouteByName(routeName), Service: v.Config.Services[serviceName], Domain: n.self.Domain, Remaining: 2 * time.Second,
 		Permitted: v.Permitted(routeName, serviceName),
 		Call:      &engine.Call{ID: "1", PromptTokens: 9000, Parts: []engine.Part{{ID: subject, Tokens: 8000}, {ID: "own", Tokens: 1000}}},
 	}
@@ -126,7 +126,7 @@
 	for range 20 {
 		plan, ticket := n.Place(context.Background(), jobOf(n, subject))
 		require.NotNil(t, ticket)
-		if plan.By != n.self.Name {
+		if plan.DecidedBy != n.self.Name {
 			return plan, ticket
 		}
 		ticket.Cancel()
@@ -143,22 +143,22 @@
 	see([]*node{s, a, b}, []*node{s}, "ap1", "ap2", "ap3", "bp4", "bp5", "ad1", "bd2")
 	ctx := context.Background()
 	plan, first := placed(t, a, "x")
-	require.Equal(t, "a-sched", plan.By)
-	require.Equal(t, 1, s.placer.Load(plan.Reader).Requests)
-	first = first.PlaceRead(ctx, jobOf(a, "x"), &plan)
-	require.Equal(t, plan.Reader.Domain+"d", plan.Runner.ID[:2], "the runner is near the reader")
-	require.Zero(t, s.placer.Load(plan.Reader).Requests)
+	require.Equal(t, "a-sched", plan.DecidedBy)
+	require.Equal(t, 1, s.placer.Load(plan.PrefillEngine).Requests)
+	first = first.PlaceDecode(ctx, jobOf(a, "x"), &plan)
+	require.Equal(t, plan.PrefillEngine.Domain+"d", plan.Target.ID[:2], "the runner is near the reader")
+	require.Zero(t, s.placer.Load(plan.PrefillEngine).Requests)
 
 	again, second := placed(t, b, "x")
-	require.Equal(t, plan.Reader.ID, again.Reader.ID)
-	require.Equal(t, placement.ReasonHolder, again.Reason)
-	second = second.PlaceRead(ctx, jobOf(b, "x"), &again)
+	require.Equal(t, plan.PrefillEngine.ID, again.PrefillEngine.ID)
+	require.Equal(t, placement.ReasonCacheHolder, again.Reason)
+	second = second.PlaceDecode(ctx, jobOf(b, "x"), &again)
 	require.Equal(t, 2, running(s).Starting)
 	first.FirstEvent()
 	second.FirstEvent()
 	require.Eventually(t, func() bool { return running(s).Starting == 0 }, time.Second, time.Millisecond)
 	require.Equal(t, 2, running(s).Requests)
-	first.Run(placement.Sound)
+	first.RunEnded(placement.Succeeded)
 	first.Cancel()
 	second.Cancel()
 	require.Eventually(t, func() bool { return running(s).Requests == 0 }, time.Second, time.Millisecond)
@@ -167,7 +167,7 @@
 // running returns what a scheduler counts at all engines.
 func running(s *node) placement.Load {
 	var sum placement.Load
-	for _, l := range s.placer.Own() {
+	for _, l := range s.placer.LocalLoads() {
 		sum = sum.Add(l)
 	}
 	return sum
@@ -180,23 +180,23 @@
 	see([]*node{near, far, a}, []*node{near, far}, "ap1", "ad1")
 	ctx := context.Background()
 	plan, ticket := placed(t, a, "x")
-	require.Equal(t, "a-near", plan.By)
+	require.Equal(t, "a-near", plan.DecidedBy)
 
 	near.frozen.Store(true)
 	begun := time.Now()
-	ticket = ticket.PlaceRead(ctx, jobOf(a, "x"), &plan)
+	ticket = ticket.PlaceDecode(ctx, jobOf(a, "x"), &plan)
 	require.NotNil(t, ticket, "another one goes on")
-	require.NotEqual(t, "a-near", plan.By)
-	require.Equal(t, "ad1", plan.Runner.ID)
+	require.NotEqual(t, "a-near", plan.DecidedBy)
+	require.Equal(t, "ad1", plan.Target.ID)
 	require.Less(t, time.Since(begun), time.Second, "it is not waited for")
 	require.Equal(t, "b-far", a.directory.order(a.view.Load().Schedulers, 1)[0].Name, "nor by the next one")
 	plan, _ = placed(t, a, "x")
-	require.Equal(t, "b-far", plan.By)
+	require.Equal(t, "b-far", plan.DecidedBy)
 
 	far.frozen.Store(true)
 	plan, ticket = a.Place(ctx, jobOf(a, "x"))
 	require.NotNil(t, ticket)
-	require.Equal(t, "a-1", plan.By)
+	require.Equal(t, "a-1", plan.DecidedBy)
 }
 
 // TestPlansAreCheckedByTheOneWhoSends covers a scheduler with another list of instances:
@@ -207,9 +207,9 @@
 	see([]*node{a}, []*node{s}, "ap2", "ad2")
 	plan, ticket := a.Place(context.Background(), jobOf(a, "x"))
 	require.NotNil(t, ticket)
-	require.Equal(t, "ap2", plan.Reader.ID)
-	require.Equal(t, "a-1", plan.By)
-	require.Eventually(t, func() bool { return len(s.placer.Own()) == 0 }, time.Second, time.Millisecond, "the scheduler's ticket is given back")
+	require.Equal(t, "ap2", plan.PrefillEngine.ID)
+	require.Equal(t, "a-1", plan.DecidedBy)
+	require.Eventually(t, func() bool { return len(s.placer.LocalLoads()) == 0 }, time.Second, time.Millisecond, "the scheduler's ticket is given back")
 }
 
 // TestTicketsOfLostClientsAreGivenUp covers processes that are killed with requests in hand,
@@ -219,13 +219,13 @@
 	see([]*node{s, a}, []*node{s}, "ap1", "ad1")
 	_, _ = placed(t, a, "x")
 	s.sweep(time.Now())
-	require.Len(t, s.placer.Own(), 1)
+	require.Len(t, s.placer.LocalLoads(), 1)
 	s.sweep(time.Now().Add(2 * clientSilence))
-	require.Empty(t, s.placer.Own())
+	require.Empty(t, s.placer.LocalLoads())
 
 	_, _ = placed(t, a, "x")
 	s.hear(&peerpb.Identity{Name: "a-1", Incarnation: "2"})
-	require.Empty(t, s.placer.Own())
+	require.Empty(t, s.placer.LocalLoads())
 	require.Nil(t, s.ticket(&peerpb.Identity{Name: "a-1", Incarnation: "2"}, s.last))
 }
 
@@ -266,7 +266,7 @@
 	s.slow.Store(true)
 	plan, vain := a.Place(context.Background(), jobOf(a, "x"))
 	s.slow.Store(false)
-	require.Equal(t, a.self.Name, plan.By)
+	require.Equal(t, a.self.Name, plan.DecidedBy)
 	vain.Cancel()
 	require.Eventually(t, func() bool { return running(s).Requests == 1 }, time.Second, time.Millisecond)
 	require.Eventually(t, func() bool { return running(s).Requests == 0 }, 3*openGrace, 10*time.Millisecond)
@@ -279,7 +279,7 @@
 	see([]*node{s}, nil, "ap1", "ad1")
 	plan, ticket := a.Place(context.Background(), jobOf(a, "x"))
 	require.NotNil(t, ticket)
-	require.Equal(t, "a-1", plan.By)
+	require.Equal(t, "a-1", plan.DecidedBy)
 }
 
 // TestFollowersGetChangesAtOnce checks that a copy hears of a change long before its call
@@ -311,7 +311,7 @@
 	see([]*node{near, near2, far, a}, []*node{near, near2, far}, "ap1")
 	for _, n := range []*node{near, near2} {
 		stale := *n.view.Load()
-		stale.ConfigAt = bootclock.Now().Add(-testWithin)
+		stale.ConfigConfirmedAt = bootclock.Now().Add(-testWithin)
 		n.view.Store(&stale)
 	}
 	var wg sync.WaitGroup
@@ -327,7 +327,7 @@
 	for n := range 2 {
 		f, err := a.Follow(context.Background(), feed.Position{})
 		require.NoError(t, err)
-		require.Equal(t, "b-far", f.Position.Run, fmt.Sprint("call ", n))
+		require.Equal(t, "b-far", f.Position.RunID, fmt.Sprint("call ", n))
 	}
 }
 
@@ -338,17 +338,17 @@
 	old, fresh, other, scheduler := newNode(t, "a-old"), newNode(t, "b-fresh"), newNode(t, "a-1"), newNode(t, "a-2")
 	see([]*node{old, fresh, other, scheduler}, []*node{old, fresh}, "ap1")
 	stale := *old.view.Load()
-	stale.ConfigAt = bootclock.Now().Add(-testWithin * 11 / 20)
+	stale.ConfigConfirmedAt = bootclock.Now().Add(-testWithin * 11 / 20)
 	old.view.Store(&stale)
 	v := *scheduler.view.Load()
 	v.Scheduling, v.Watchers = true, v.Schedulers
 	scheduler.view.Store(&v)
 	f, err := other.Follow(context.Background(), feed.Position{})
 	require.NoError(t, err)
-	require.Equal(t, "a-old", f.Position.Run)
+	require.Equal(t, "a-old", f.Position.RunID)
 	f, err = scheduler.Follow(context.Background(), feed.Position{})
 	require.NoError(t, err)
-	require.Equal(t, "b-fresh", f.Position.Run)
+	require.Equal(t, "b-fresh", f.Position.RunID)
 }
 
 // TestASchedulerFindsTheOneFreshCopy has a scheduler, with the store's answer to none but one of
@@ -367,19 +367,19 @@
 	}
 	for _, n := range all[:5] {
 		stale := *n.view.Load()
-		stale.ConfigAt, stale.Scheduling = bootclock.Now().Add(-testWithin), true
+		stale.ConfigConfirmedAt, stale.Scheduling = bootclock.Now().Add(-testWithin), true
 		n.view.Store(&stale)
 	}
 	for range 20 {
-		f, err := a.Newer(context.Background(), testWithin)
+		f, err := a.FetchFresher(context.Background(), testWithin)
 		require.NoError(t, err)
-		require.Equal(t, fresh.self.Name, f.Position.Run)
+		require.Equal(t, fresh.self.Name, f.Position.RunID)
 		require.Len(t, f.Events, 1)
 	}
 	f, err := a.followOne(context.Background(), all[1].self, feed.Position{}, 0, testWithin/2)
 	require.NoError(t, err)
 	require.Empty(t, f.Events)
-	_, err = fresh.Newer(context.Background(), time.Millisecond)
+	_, err = fresh.FetchFresher(context.Background(), time.Millisecond)
 	require.True(t, fault.Is(err, fault.NotFound))
 }
 
@@ -391,28 +391,28 @@
 	see([]*node{s, a}, []*node{s}, "ap1")
 	const age = 700 * time.Millisecond
 	v := *s.view.Load()
-	v.ProvenAt = bootclock.Now().Add(-age)
+	v.ConfigFreshAt = bootclock.Now().Add(-age)
 	s.view.Store(&v)
 	f, err := a.Follow(context.Background(), feed.Position{})
 	require.NoError(t, err)
-	require.LessOrEqual(t, f.ProvenAt, v.ProvenAt)
+	require.LessOrEqual(t, f.ConfigFreshAt, v.ConfigFreshAt)
 
 	// While the question is held, the scheduler learns of another configuration.
 	time.AfterFunc(a.Client.o.followWait()/5, func() {
 		s.feed.Put(objstore.Object{Key: "config/main", Version: 5})
 		next := v
-		next.ProvenAt = bootclock.Now()
+		next.ConfigFreshAt = bootclock.Now()
 		s.view.Store(&next)
 	})
 	asked := bootclock.Now()
 	f, err = a.Follow(context.Background(), f.Position)
 	require.NoError(t, err)
 	require.Len(t, f.Events, 1)
-	require.Less(t, f.ProvenAt, asked.Add(a.Client.o.followWait()))
+	require.Less(t, f.ConfigFreshAt, asked.Add(a.Client.o.followWait()))
 
 	// A scheduler whose newer view was not in its feed yet when it answered proves nothing new.
 	for range 50 {
 		u, view := s.await(context.Background(), f.Position, 0)
-		require.False(t, view.ProvenAt > v.ProvenAt && u.Position.At < f.Position.At)
+		require.False(t, view.ConfigFreshAt > v.ConfigFreshAt && u.Position.Sequence < f.Position.Sequence)
 	}
 }
--- a/internal/scheduler/server.go
+++ b/internal/scheduler/server.go
@@ -160,7 +160,7 @@
 		return
 	}
 	c.follows, c.position = true, m.GetPosition()
-	if m.GetRun() != s.feed.Run() {
+	if m.GetRun() != s.feed.RunID() {
 		c.position = 0
 	}
 }
@@ -171,7 +171,7 @@
 	if err != nil {
 		return &peerpb.Response{Error: err.Error()}
 	}
-	if v := s.o.Quarantine.Judge(fingerprintOf(m)); v.Refused {
+	if v := s.o.Quarantine.Admit(fingerprintOf(m)); v.Refused {
 		plan := placement.Plan{Reason: placement.ReasonQuarantined, RetryAfter: v.RetryAfter}
 		return &peerpb.Response{Body: &peerpb.Response_Placed{Placed: encodePlan(&plan, 0, false)}}
 	}
@@ -222,7 +222,7 @@
 	if t == nil {
 		return &peerpb.Response{Error: "ticket is not known"}
 	}
-	t.Read(true, placement.Sound)
+	t.PrefillEnded(true, placement.Succeeded)
 	var plan placement.Plan
 	placeRead(ctx, s.o.Placer, job, &plan, t)
 	return &peerpb.Response{Body: &peerpb.Response_Placed{Placed: encodePlan(&plan, m.GetTicket(), m.GetJob().GetLacksInstances())}}
@@ -265,12 +265,12 @@
 		outcome := placement.Outcome(r.GetOutcome())
 		switch r.GetEvent() {
 		case peerpb.TicketEvent_TICKET_EVENT_NOT_READ:
-			t.Read(false, outcome)
+			t.PrefillEnded(false, outcome)
 		case peerpb.TicketEvent_TICKET_EVENT_STARTED:
 			t.FirstEvent()
 		case peerpb.TicketEvent_TICKET_EVENT_ENDED:
 			t.Gaps(micros(int64(r.GetGapUs())), int(r.GetGaps()))
-			t.Run(outcome)
+			t.RunEnded(outcome)
 			s.drop(from, r.GetTicket())
 		case peerpb.TicketEvent_TICKET_EVENT_CANCELLED:
 			t.Cancel()
--- a/internal/scheduler/start_test.go
+++ b/internal/scheduler/start_test.go
@@ -95,7 +95,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	var wg sync.WaitGroup
-	copied := make(chan discovery.Followed, followers)
+	copied := make(chan discovery.RelayUpdate, followers)
 	for _, n := range nodes[1:] {
 		wg.Add(1)
 		go func() {
@@ -145,7 +145,7 @@
 	f, err = decodeUpdate(whole(true))
 	require.NoError(t, err)
 	require.Len(t, f.Events, 99, "a later copy is another one")
-	one := s.follow(context.Background(), &peerpb.Follow{Run: f.Position.Run, Position: f.Position.At - 1, Unpacks: true}).GetUpdate()
+	one := s.follow(context.Background(), &peerpb.Follow{Run: f.Position.RunID, Position: f.Position.Sequence - 1, Unpacks: true}).GetUpdate()
 	require.Empty(t, one.GetPacked(), "a single change is sent as it is")
 	require.True(t, one.GetObjects()[0].GetDeleted())
 
@@ -162,7 +162,7 @@
 	see([]*node{s, a}, []*node{s})
 	ready := s.view.Load()
 	starting := *ready
-	starting.Listed = false
+	starting.InstancesKnown = false
 	s.view.Store(&starting)
 	begun := time.Now()
 	_, err := a.Follow(context.Background(), feed.Position{})
@@ -183,12 +183,12 @@
 	_, err := a.Follow(context.Background(), feed.Position{})
 	require.NoError(t, err)
 	names := []string{"a-1", "gone", "b-holder"}
-	left, err := holder.Unheard(context.Background(), s.self, names)
+	left, err := holder.WithoutContact(context.Background(), s.self, names)
 	require.NoError(t, err)
 	require.Equal(t, []string{"gone"}, left)
-	require.True(t, s.Hears("a-1"))
+	require.True(t, s.HasContact("a-1"))
 	s.sweep(time.Now().Add(2 * clientSilence))
-	left, err = holder.Unheard(context.Background(), s.self, names)
+	left, err = holder.WithoutContact(context.Background(), s.self, names)
 	require.NoError(t, err)
 	require.Equal(t, []string{"a-1", "gone"}, left)
 }
@@ -207,7 +207,7 @@
 	s, a := newNode(t, "a-sched"), newNode(t, "a-1")
 	see([]*node{s, a}, []*node{s})
 	s.feed.Put(objstore.Object{Key: "config/main", Version: 1, Value: append(config.Bytes(), padding...)})
-	var f discovery.Followed
+	var f discovery.RelayUpdate
 	require.Eventually(t, func() bool {
 		var err error
 		f, err = a.Follow(context.Background(), feed.Position{})
--- a/internal/scheduler/ticket.go
+++ b/internal/scheduler/ticket.go
@@ -25,35 +25,35 @@
 	gapSum    time.Duration
 }
 
-// Read implements Ticket.
-func (t *remoteTicket) Read(read bool, o placement.Outcome) {
+// PrefillEnded implements Ticket.
+func (t *remoteTicket) PrefillEnded(read bool, o placement.Outcome) {
 	if !read {
 		t.report(&peerpb.TicketReport{Event: peerpb.TicketEvent_TICKET_EVENT_NOT_READ, Outcome: uint32(o)})
 	}
 }
 
-// PlaceRead implements Ticket. If the scheduler does not answer any more, another one or
+// PlaceDecode implements Ticket. If the scheduler does not answer any more, another one or
 // this process decides.
-func (t *remoteTicket) PlaceRead(ctx context.Context, j *placement.Job, plan *placement.Plan) Ticket {
+func (t *remoteTicket) PlaceDecode(ctx context.Context, j *placement.Job, plan *placement.Plan) Ticket {
 	resp, err := t.c.ask(ctx, t.at, &peerpb.Request{Body: &peerpb.Request_PlaceRead{PlaceRead: &peerpb.PlaceRead{Ticket: t.id, Job: encodeJob(j)}}})
 	var next placement.Plan
 	if err == nil {
 		next, err = decodePlan(resp.GetPlaced(), j, t.c.o.View())
 	}
-	if err == nil && next.Runner == nil {
-		plan.Reason, plan.RetryAfter, plan.Runner = next.Reason, next.RetryAfter, nil
+	if err == nil && next.Target == nil {
+		plan.Reason, plan.RetryAfter, plan.Target = next.Reason, next.RetryAfter, nil
 		return nil
 	}
 	if err == nil {
-		plan.Runner, plan.Granted = next.Runner, next.Granted
+		plan.Target, plan.Granted = next.Target, next.Granted
 		return t
 	}
 	t.Cancel()
 	level.Info(t.c.logger).Log("msg", "not placed", "request", j.Call.ID, "scheduler", t.at.Name, "err", err)
 	again := *j
-	again.NoRead = true
+	again.SkipPrefill = true
 	next, other := t.c.Place(ctx, &again)
-	plan.Runner, plan.By, plan.Granted = next.Runner, next.By, next.Granted
+	plan.Target, plan.DecidedBy, plan.Granted = next.Target, next.DecidedBy, next.Granted
 	if other == nil {
 		plan.Reason, plan.RetryAfter = next.Reason, next.RetryAfter
 	}
@@ -75,8 +75,8 @@
 	t.lastEvent = now
 }
 
-// Run implements Ticket.
-func (t *remoteTicket) Run(o placement.Outcome) {
+// RunEnded implements Ticket.
+func (t *remoteTicket) RunEnded(o placement.Outcome) {
 	r := &peerpb.TicketReport{Event: peerpb.TicketEvent_TICKET_EVENT_ENDED, Outcome: uint32(o), Gaps: uint32(t.gaps)}
 	if t.gaps > 0 {
 		r.GapUs = uint32((t.gapSum / time.Duration(t.gaps)).Microseconds())
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -47,8 +47,8 @@
 	Logger log.Logger
 }
 
-// Sharer exchanges observations with other processes.
-type Sharer struct {
+// Syncer exchanges observations with other processes.
+type Syncer struct {
 	o      Options
 	logger log.Logger
 	// heard is true once another process has answered.
@@ -68,19 +68,19 @@
 }
 
 // New returns a sharer that has to be run.
-func New(o Options) *Sharer {
-	return &Sharer{o: o, logger: log.With(o.Logger, "component", "suspects"), told: map[string]told{}}
+func New(o Options) *Syncer {
+	return &Syncer{o: o, logger: log.With(o.Logger, "component", "suspects"), told: map[string]told{}}
 }
 
 // Run tells others what is new at once, and asks one of them each second, until ctx ends.
-func (s *Sharer) Run(ctx context.Context) error {
+func (s *Syncer) Run(ctx context.Context) error {
 	tick := time.NewTicker(askFirst)
 	defer tick.Stop()
 	begun, first := bootclock.Now(), true
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-s.o.Table.News():
+		case <-s.o.Table.Updates():
 			time.Sleep(gather)
 			s.tell(ctx, s.o.Peers())
 		case <-tick.C:
@@ -97,13 +97,13 @@
 }
 
 // tell exchanges observations with some processes. It does not wait for them.
-func (s *Sharer) tell(ctx context.Context, peers []members.Member) {
+func (s *Syncer) tell(ctx context.Context, peers []members.Member) {
 	for _, p := range peers {
 		go s.exchange(ctx, p)
 	}
 }
 
-func (s *Sharer) exchange(ctx context.Context, p members.Member) {
+func (s *Syncer) exchange(ctx context.Context, p members.Member) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	resp, err := s.o.Transport.Call(ctx, p.Peer, &peerpb.Request{Body: &peerpb.Request_Crashes{Crashes: s.message(p.Name)}})
@@ -116,29 +116,29 @@
 }
 
 // HandlePeer implements peer.Handler.
-func (s *Sharer) HandlePeer(_ context.Context, req *peerpb.Request) *peerpb.Response {
+func (s *Syncer) HandlePeer(_ context.Context, req *peerpb.Request) *peerpb.Response {
 	name := req.GetFrom().GetName()
 	s.hear(name, req.GetCrashes())
 	return &peerpb.Response{Body: &peerpb.Response_Crashes{Crashes: s.message(name)}}
 }
 
 // message tells a peer what it is not known to have.
-func (s *Sharer) message(peer string) *peerpb.Crashes {
+func (s *Syncer) message(peer string) *peerpb.Crashes {
 	s.mu.Lock()
 	t := s.told[peer]
 	s.mu.Unlock()
-	news, last := s.o.Table.After(t.has, maxNews)
+	news, last := s.o.Table.ObservationsAfter(t.has, maxNews)
 	m := &peerpb.Crashes{Run: s.o.Run, After: t.has, Last: last, SeenRun: t.run, Seen: t.seen}
 	for _, o := range news {
 		age := max(bootclock.Since(o.At), 0)
-		m.News = append(m.News, &peerpb.Crash{Request: o.Request[:], Instance: o.Instance, RanMs: uint32(o.Ran.Milliseconds()), AgeMs: uint32(age.Milliseconds())})
+		m.News = append(m.News, &peerpb.Crash{Request: o.Request[:], Instance: o.Instance, RanMs: uint32(o.RunTime.Milliseconds()), AgeMs: uint32(age.Milliseconds())})
 	}
 	return m
 }
 
 // hear takes in what a peer knows, and how much of what this process knows it has.
-func (s *Sharer) hear(peer string, m *peerpb.Crashes) {
-	s.o.Table.Learn(decode(m.GetNews()))
+func (s *Syncer) hear(peer string, m *peerpb.Crashes) {
+	s.o.Table.Merge(decode(m.GetNews()))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.told[peer]
@@ -162,7 +162,7 @@
 			continue // of a version that names requests otherwise
 		}
 		at := bootclock.Now().Add(-time.Duration(c.GetAgeMs()) * time.Millisecond)
-		out = append(out, quarantine.Observation{Request: quarantine.Fingerprint(c.GetRequest()), Instance: c.GetInstance(), Ran: time.Duration(c.GetRanMs()) * time.Millisecond, At: at})
+		out = append(out, quarantine.Observation{Request: quarantine.Fingerprint(c.GetRequest()), Instance: c.GetInstance(), RunTime: time.Duration(c.GetRanMs()) * time.Millisecond, At: at})
 	}
 	return out
 }
--- a/internal/suspects/suspects_test.go
+++ b/internal/suspects/suspects_test.go
@@ -15,15 +15,15 @@
 const wayTime = 3 * time.Millisecond
 
 // say has one process tell another what it knows, and reports whether there was news.
-func say(from, to *Sharer) bool {
+func say(from, to *Syncer) bool {
 	m := from.message(to.o.Run)
 	time.Sleep(wayTime)
 	to.hear(from.o.Run, m)
 	return len(m.GetNews()) > 0
 }
 
-func sharers(n int) []*Sharer {
-	var out []*Sharer
+func sharers(n int) []*Syncer {
+	var out []*Syncer
 	for i := range n {
 		out = append(out, New(Options{Run: fmt.Sprint("p-", i), Table: quarantine.NewTable(), Logger: nopLogger{}}))
 	}
@@ -42,7 +42,7 @@
 	all := sharers(3)
 	f := quarantine.FingerprintOf("w", "POST", "h", "/", nil)
 	for n := range 20 {
-		all[n%3].o.Table.Ended(f, fmt.Sprint("i-", n), 0)
+		all[n%3].o.Table.RecordCrash(f, fmt.Sprint("i-", n), 0)
 	}
 	rest := func() bool {
 		news := false
@@ -57,12 +57,12 @@
 	}
 	require.Eventually(t, rest, time.Second, time.Millisecond)
 	for _, s := range all {
-		require.True(t, s.o.Table.Look(f).Refused)
+		require.True(t, s.o.Table.Verdict(f).Refused)
 	}
-	all[1].o.Table.Sound(f)
+	all[1].o.Table.RecordSuccess(f)
 	require.Eventually(t, rest, time.Second, time.Millisecond)
 	for _, s := range all {
-		require.False(t, s.o.Table.Look(f).Refused)
+		require.False(t, s.o.Table.Verdict(f).Refused)
 	}
 }
 
@@ -71,7 +71,7 @@
 	all := sharers(2)
 	f := quarantine.FingerprintOf("w", "POST", "h", "/", nil)
 	for n := range 3 {
-		all[0].o.Table.Ended(f, fmt.Sprint("i-", n), 0)
+		all[0].o.Table.RecordCrash(f, fmt.Sprint("i-", n), 0)
 	}
 	say(all[0], all[1])
 	say(all[1], all[0])
@@ -82,7 +82,7 @@
 	young.hear("p-0", m)
 	all[0].hear("p-1", young.message("p-0"))
 	young.hear("p-0", all[0].message("p-1"))
-	require.True(t, young.o.Table.Look(f).Refused)
+	require.True(t, young.o.Table.Verdict(f).Refused)
 	young.hear("p-0", &peerpb.Crashes{Run: "p-0", News: []*peerpb.Crash{{Request: []byte("short"), Instance: "i"}}})
 	require.Len(t, young.o.Table.Suspects(), 1, "names of another version are left out")
 }
--- a/internal/suspects/watch.go
+++ b/internal/suspects/watch.go
@@ -20,41 +20,41 @@
 	endedTimeout = time.Second
 )
 
-// Watch finds out whether an instance has ended under a request.
-type Watch struct {
+// CrashDetector finds out whether an instance has ended under a request.
+type CrashDetector struct {
 	Table *quarantine.Table
-	// Refuses reports whether an address refuses connections.
-	Refuses func(ctx context.Context, address string) bool
-	Logger  log.Logger
+	// RefusesConnections reports whether an address refuses connections.
+	RefusesConnections func(ctx context.Context, address string) bool
+	Logger             log.Logger
 }
 
-// Broken is a request whose connection to an instance broke.
-type Broken struct {
+// BrokenConnection is a request whose connection to an instance broke.
+type BrokenConnection struct {
 	// Request is its id in logs.
 	Request     string
 	Fingerprint quarantine.Fingerprint
 	// Instance names the run of the instance, Address is where it was.
 	Instance string
 	Address  string
-	// Ran is how long the request had been there.
-	Ran time.Duration
+	// RunTime is how long the request had been there.
+	RunTime time.Duration
 }
 
-// Broke takes in that a connection broke while an instance may have been at work on a request. That the
+// ReportBroken takes in that a connection broke while an instance may have been at work on a request. That the
 // instance has ended is shown by its port: a broken connection may also be a cut or a
 // reset, of which this process is as likely the cause.
-func (w *Watch) Broke(b Broken) {
+func (w *CrashDetector) ReportBroken(b BrokenConnection) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		ctx, cancel := context.WithTimeout(context.Background(), endedTimeout)
 		defer cancel()
-		if !w.Refuses(ctx, b.Address) {
+		if !w.RefusesConnections(ctx, b.Address) {
 			return
 		}
-		v := w.Table.Ended(b.Fingerprint, b.Instance, b.Ran)
+		v := w.Table.RecordCrash(b.Fingerprint, b.Instance, b.RunTime)
 		level.Warn(w.Logger).Log("msg", "instance ended under a request", "request", b.Request, "fingerprint", b.Fingerprint, "instance", b.Instance,
-			"ran", b.Ran.Round(time.Millisecond), "ended", strings.Join(v.Ended, ","), "refused", v.Refused, "refused_for", v.RetryAfter.Round(time.Second))
+			"ran", b.RunTime.Round(time.Millisecond), "ended", strings.Join(v.CrashedInstances, ","), "refused", v.Refused, "refused_for", v.RetryAfter.Round(time.Second))
 	}()
 	select {
 	case <-done:
@@ -62,8 +62,8 @@
 	}
 }
 
-// Refusal returns the error for a request that is refused, where by says how that is known.
-func Refusal(by string) error {
+// QuarantinedError returns the error for a request that is refused, where by says how that is known.
+func QuarantinedError(by string) error {
 	return fault.Newf(fault.Denied, "check the request; it is tried again after the time in Retry-After",
 		"instances ended while they ran this request: %s", by)
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -104,9 +104,9 @@
 	return err
 }
 
-// Refuses reports whether a new connection to an address is refused: its host lives, and
+// RefusesConnections reports whether a new connection to an address is refused: its host lives, and
 // nothing listens there.
-func (c *Client) Refuses(ctx context.Context, address string) bool {
+func (c *Client) RefusesConnections(ctx context.Context, address string) bool {
 	cn, err := dial(ctx, address)
 	if err == nil {
 		_ = cn.Close() // nothing was sent
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -57,9 +57,9 @@
 	Body    []byte
 	// Matches reports whether the head of an answer belongs to this request.
 	Matches func(http.Header) bool
-	// Check is called as the last step before the request is written. The request
+	// BeforeSend is called as the last step before the request is written. The request
 	// is not sent if it fails.
-	Check func() error
+	BeforeSend func() error
 	// Fresh asks for a new connection.
 	Fresh bool
 	// MaxIdle bounds the connections to the address that are kept unused after this
@@ -81,15 +81,15 @@
 	return &Client{reg: reg, idle: map[string][]*conn{}, open: map[string]int{}}
 }
 
-// Open returns the number of connections to an address.
-func (c *Client) Open(address string) int {
+// OpenConns returns the number of connections to an address.
+func (c *Client) OpenConns(address string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.open[address]
 }
 
-// Answer is the head of an answer with its body to be read. It has to be closed.
-type Answer struct {
+// Response is the head of an answer with its body to be read. It has to be closed.
+type Response struct {
 	Status int
 	Header http.Header
 	// Body ends with io.EOF only if it arrived whole.
@@ -131,7 +131,7 @@
 // Unavailable if no byte left, and of kind Unknown if the instance may have
 // begun. When ctx ends the connection is closed, which tells the instance to
 // stop.
-func (c *Client) Do(ctx context.Context, r Request) (*Answer, error) {
+func (c *Client) Do(ctx context.Context, r Request) (*Response, error) {
 	cn, err := c.get(ctx, r.Address, r.Fresh)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Unavailable, "instance cannot be reached", "another instance is tried")
@@ -140,7 +140,7 @@
 		c.drop(r.Address, cn)
 		return nil, err
 	}
-	a := &Answer{client: c, address: r.Address, maxIdle: cmp.Or(r.MaxIdle, maxIdle), conn: cn, written: make(chan struct{})}
+	a := &Response{client: c, address: r.Address, maxIdle: cmp.Or(r.MaxIdle, maxIdle), conn: cn, written: make(chan struct{})}
 	a.stop = context.AfterFunc(ctx, func() { _ = cn.SetDeadline(time.Unix(1, 0)) })
 	req := r.build()
 	if len(r.Body) <= inlineBody {
@@ -166,10 +166,10 @@
 	switch {
 	case ctx.Err() != nil || timed && !time.Now().Before(deadline):
 		return fault.New(fault.Unavailable, "time is up, or the caller has left", "nothing was sent")
-	case r.Check == nil:
+	case r.BeforeSend == nil:
 		return nil
 	}
-	return r.Check()
+	return r.BeforeSend()
 }
 
 func (r *Request) build() *http.Request {
@@ -190,7 +190,7 @@
 // written to one.
 var writers = sync.Pool{New: func() any { return bufio.NewWriter(nil) }}
 
-func (a *Answer) write(req *http.Request) {
+func (a *Response) write(req *http.Request) {
 	w, _ := writers.Get().(*bufio.Writer)
 	w.Reset(a.conn)
 	if a.werr = req.Write(w); a.werr == nil {
@@ -202,7 +202,7 @@
 }
 
 // readHead reads answers until one belongs to the request.
-func (a *Answer) readHead(req *http.Request, matches func(http.Header) bool) error {
+func (a *Response) readHead(req *http.Request, matches func(http.Header) bool) error {
 	for range maxStrayAnswers {
 		resp, err := http.ReadResponse(a.conn.reader, req)
 		if err != nil {
@@ -235,7 +235,7 @@
 // Close ends the exchange. The connection is kept if the whole answer has been
 // read, to the end of its body, and nothing is wrong with it; otherwise it is
 // closed, which tells the instance to stop.
-func (a *Answer) Close(whole bool) {
+func (a *Response) Close(whole bool) {
 	a.once.Do(func() {
 		if !whole || !a.reusable() || !a.stop() {
 			a.discardConn()
@@ -246,18 +246,18 @@
 	})
 }
 
-// CloseUnread ends the exchange of an answer whose body is not wanted. A short one
+// DiscardBody ends the exchange of an answer whose body is not wanted. A short one
 // is read to its end, so that the connection can be kept.
-func (a *Answer) CloseUnread() { a.Close(skip(a.Body, skipLimit) == nil) }
+func (a *Response) DiscardBody() { a.Close(skip(a.Body, skipLimit) == nil) }
 
-func (a *Answer) discard() { a.once.Do(a.discardConn) }
+func (a *Response) discard() { a.once.Do(a.discardConn) }
 
-func (a *Answer) discardConn() {
+func (a *Response) discardConn() {
 	a.stop()
 	a.client.drop(a.address, a.conn)
 }
 
-func (a *Answer) reusable() bool {
+func (a *Response) reusable() bool {
 	select {
 	case <-a.written:
 	default:
@@ -344,12 +344,12 @@
 	}
 	c.mu.Unlock()
 	for _, address := range addresses {
-		c.Forget(address)
+		c.CloseIdle(address)
 	}
 }
 
-// Forget closes the kept connections to an address that is no longer used.
-func (c *Client) Forget(address string) {
+// CloseIdle closes the kept connections to an address that is no longer used.
+func (c *Client) CloseIdle(address string) {
 	c.mu.Lock()
 	all := c.idle[address]
 	delete(c.idle, address)
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -83,12 +83,12 @@
 	for range 3 {
 		require.Equal(t, "1 hello", get(t, c, request(address, "a", " hello")))
 	}
-	require.Equal(t, 1, c.Open(address))
+	require.Equal(t, 1, c.OpenConns(address))
 	fresh := request(address, "a", "")
 	fresh.Fresh = true
 	require.Equal(t, "2", get(t, c, fresh))
-	c.Forget(address)
-	require.Zero(t, c.Open(address))
+	c.CloseIdle(address)
+	require.Zero(t, c.OpenConns(address))
 }
 
 // TestUnusedConnectionsAreBounded checks that no more connections are kept than the
@@ -104,7 +104,7 @@
 		}
 	})
 	c := New(metrics.NewRegistry())
-	var answers []*Answer
+	var answers []*Response
 	for range 5 {
 		r := request(address, "a", "")
 		r.MaxIdle = 2
@@ -114,11 +114,11 @@
 		require.NoError(t, err)
 		answers = append(answers, a)
 	}
-	require.Equal(t, 5, c.Open(address))
+	require.Equal(t, 5, c.OpenConns(address))
 	for _, a := range answers {
 		a.Close(true)
 	}
-	require.Equal(t, 2, c.Open(address))
+	require.Equal(t, 2, c.OpenConns(address))
 }
 
 // TestLateAnswerOfAnEarlierRequest checks that an answer in excess is never
@@ -149,7 +149,7 @@
 		c := New(metrics.NewRegistry())
 		require.Equal(t, "1", get(t, c, request(address, "a", "")))
 		require.Equal(t, "right", get(t, c, request(address, "b", "")))
-		require.Zero(t, c.Open(address), "the connection is not used again")
+		require.Zero(t, c.OpenConns(address), "the connection is not used again")
 	})
 }
 
@@ -179,7 +179,7 @@
 		_, err = io.ReadFull(a.Body, text)
 		require.NoError(t, err)
 		a.Close(true)
-		require.Zero(t, c.Open(address))
+		require.Zero(t, c.OpenConns(address))
 		left <- struct{}{}
 	}
 }
@@ -211,10 +211,10 @@
 	require.True(t, fault.Is(err, fault.Unknown), "it may have begun")
 
 	r := request(address, "a", "")
-	r.Check = func() error { return fault.New(fault.Unavailable, "too late", "none") }
+	r.BeforeSend = func() error { return fault.New(fault.Unavailable, "too late", "none") }
 	_, err = c.Do(context.Background(), r)
 	require.True(t, fault.Is(err, fault.Unavailable))
-	require.Zero(t, c.Open(address))
+	require.Zero(t, c.OpenConns(address))
 }
 
 // lateContext is one whose deadline has passed before its timer has run.
@@ -279,7 +279,7 @@
 	c := New(metrics.NewRegistry())
 	large := strings.Repeat("x", 32<<20)
 	require.Equal(t, "1", get(t, c, request(address, "a", large)))
-	require.Zero(t, c.Open(address))
+	require.Zero(t, c.OpenConns(address))
 }
 
 // TestNothingIsWrittenAfterTheVerdict covers a connection that breaks while a large
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -58,12 +58,12 @@
 	store := platform.NewStore(b.storeAt)
 	p := &process{ledger: usage.NewLedger(usage.Source{Process: name, Incarnation: name}, testWindow, time.Now)}
 	p.authority = duty.New(duty.Options{
-		Store: store, Prefix: platform.LeasePrefix, Self: members.Member{Name: name, Incarnation: name}, TTL: testTTL, Apart: testApart,
-		View: func() *fleet.View { return &fleet.View{Scheduling: true} }, Heard: func() []string { return nil }, Logger: log.NewNopLogger(),
+		Store: store, Prefix: platform.LeasePrefix, Self: members.Member{Name: name, Incarnation: name}, TTL: testTTL, HandoverDelay: testApart,
+		View: func() *fleet.View { return &fleet.View{Scheduling: true} }, LivePeers: func() []string { return nil }, Logger: log.NewNopLogger(),
 	})
 	r := usage.NewReporter(usage.ReporterOptions{
 		Store: store, Prefix: platform.UsagePrefix, Writer: name, Authority: p.authority, Ledger: p.ledger, Due: testDue,
-		Biller: platform.NewDuties(upstream.New(metrics.NewRegistry()), b.apiAt), Metrics: metrics.NewRegistry(), Logger: log.NewNopLogger(),
+		Biller: platform.NewDutyClient(upstream.New(metrics.NewRegistry()), b.apiAt), Metrics: metrics.NewRegistry(), Logger: log.NewNopLogger(),
 		Collect: func(_ context.Context, window int64) bool {
 			for _, l := range others() {
 				p.ledger.Merge(l.Entries(window))
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -86,9 +86,9 @@
 	Incarnation string
 	Address     string
 	TTL         time.Duration
-	// Gone reports whether the holder in a record is known to have terminated, and how that is
+	// HolderTerminated reports whether the holder in a record is known to have terminated, and how that is
 	// known. Its lease is then taken over before it expires. Gone may be nil.
-	Gone func(Record) (reason string, gone bool)
+	HolderTerminated func(Record) (reason string, gone bool)
 	// GoverningLease is written into the record. A lease whose record has the same value is taken
 	// over at once. If it is empty, a lease is only taken over when it has expired.
 	GoverningLease string
@@ -145,9 +145,9 @@
 	return l.grant, l.grant.Valid(0)
 }
 
-// Waiting returns what prevents this process from acquiring the lease, or an empty string if
+// WaitReason returns what prevents this process from acquiring the lease, or an empty string if
 // nothing does.
-func (l *Lessee) Waiting() string {
+func (l *Lessee) WaitReason() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.waitReason
@@ -271,10 +271,10 @@
 }
 
 func (l *Lessee) holderGone(rec Record) (string, bool) {
-	if l.o.Gone == nil {
+	if l.o.HolderTerminated == nil {
 		return "", false
 	}
-	return l.o.Gone(rec)
+	return l.o.HolderTerminated(rec)
 }
 
 func (l *Lessee) setWaitReason(what string) {
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -28,7 +28,7 @@
 	require.NoError(t, b.Step(ctx))
 	_, held := b.Grant()
 	require.False(t, held)
-	require.Contains(t, b.Waiting(), "lease of a")
+	require.Contains(t, b.WaitReason(), "lease of a")
 	require.NoError(t, a.Release(ctx))
 	_, held = a.Grant()
 	require.False(t, held)
@@ -43,7 +43,7 @@
 	s := memstore.New()
 	a, b := newLessee(s, "a", time.Hour), newLessee(s, "b", time.Hour)
 	gone := false
-	b.o.Gone = func(Record) (string, bool) { return "test", gone }
+	b.o.HolderTerminated = func(Record) (string, bool) { return "test", gone }
 	require.NoError(t, a.Step(ctx))
 	require.NoError(t, b.Step(ctx))
 	_, held := b.Grant()
--- a/members/members.go
+++ b/members/members.go
@@ -24,17 +24,17 @@
 const KeyPrefix = "state/members/"
 
 const (
-	// NeighboursEach is how many neighbours a process chooses; it is chosen by
+	// GossipPeersPerProcess is how many neighbours a process chooses; it is chosen by
 	// about as many others. Fleets of up to FullMesh processes all meet.
-	NeighboursEach = 6
-	FullMesh       = 16
+	GossipPeersPerProcess = 6
+	MaxFullMesh           = 16
 	// WatchersPerDomain is how many processes of a failure domain watch the store.
 	WatchersPerDomain = 2
 	// SchedulersPerDomain is how many processes of a failure domain work for the others of
 	// a fleet of more than FullMesh: one, and one that stands by.
 	SchedulersPerDomain = 2
-	// MostWatchers is how many of them watch the store; the others follow these.
-	MostWatchers = 3
+	// MaxWatchers is how many of them watch the store; the others follow these.
+	MaxWatchers = 3
 )
 
 // Member is the registration of one run of a process.
@@ -143,24 +143,24 @@
 	return s.Delete(ctx, obj.Key, obj.Version)
 }
 
-// Contain reports whether one of the members has a name.
-func Contain(all []Member, name string) bool {
+// Contains reports whether one of the members has a name.
+func Contains(all []Member, name string) bool {
 	return slices.ContainsFunc(all, func(m Member) bool { return m.Name == name })
 }
 
-// Neighbours returns the members that self exchanges heartbeats with on its own
+// GossipPeers returns the members that self exchanges heartbeats with on its own
 // initiative: all of a small fleet, else the NeighboursEach with the highest
 // hash of the pair. The graph is random and differs at every process, so news
 // reaches all in a few hops and no process has more to do than another.
-func Neighbours(all []Member, self string) []Member {
+func GossipPeers(all []Member, self string) []Member {
 	others := slices.DeleteFunc(slices.Clone(all), func(m Member) bool { return m.Name == self })
-	if len(all) <= FullMesh {
+	if len(all) <= MaxFullMesh {
 		return others
 	}
 	slices.SortFunc(others, func(a, b Member) int {
 		return cmp.Compare(pairScore(self, b.Name), pairScore(self, a.Name))
 	})
-	return others[:NeighboursEach]
+	return others[:GossipPeersPerProcess]
 }
 
 func pairScore(a, b string) uint64 {
@@ -207,7 +207,7 @@
 	slices.SortFunc(candidates, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(a.Domain, b.Domain), preferred(a, b))
 	})
-	if len(all) <= FullMesh {
+	if len(all) <= MaxFullMesh {
 		return candidates
 	}
 	taken := map[string]int{}
@@ -222,9 +222,9 @@
 	return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(scheduleScore(b.Name), scheduleScore(a.Name)), cmp.Compare(a.Name, b.Name))
 }
 
-// WouldSchedule reports whether a member is one of those that work for the others in a large fleet, if
+// IsSchedulerCandidate reports whether a member is one of those that work for the others in a large fleet, if
 // schedulers do now: it is one of them, goes before one of its failure domain, or these are too few.
-func (m Member) WouldSchedule(schedulers []Member) bool {
+func (m Member) IsSchedulerCandidate(schedulers []Member) bool {
 	before := 0
 	for _, s := range schedulers {
 		if s.Domain == m.Domain && s.Name != m.Name && preferred(s, m) < 0 {
@@ -237,7 +237,7 @@
 // Watchers returns those of the schedulers that watch the store: all of a fleet of up to
 // FullMesh processes, else a few, in different failure domains as far as there are any.
 func Watchers(schedulers []Member, processes int) []Member {
-	if processes <= FullMesh {
+	if processes <= MaxFullMesh {
 		return schedulers
 	}
 	var first, second []Member
@@ -252,7 +252,7 @@
 		slices.SortFunc(part, func(a, b Member) int { return cmp.Compare(scheduleScore(b.Name), scheduleScore(a.Name)) })
 	}
 	out := append(first, second...)
-	return out[:min(MostWatchers, len(out))]
+	return out[:min(MaxWatchers, len(out))]
 }
 
 func scheduleScore(name string) uint64 { return xxhash.Sum64String("schedule\x00" + name) }
@@ -273,8 +273,8 @@
 	Leaving Health = "leaving"
 )
 
-// Living reports whether a member is believed to serve.
-func (h Health) Living() bool { return h == Alive || h == Presumed }
+// IsAlive reports whether a member is believed to serve.
+func (h Health) IsAlive() bool { return h == Alive || h == Presumed }
 
 // SuspectAfter is how many heartbeat intervals may pass without word.
 const SuspectAfter = 4
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -25,8 +25,8 @@
 		ms := fleet(n, 11)
 		edges := map[string][]string{}
 		for _, m := range ms {
-			chosen := Neighbours(ms, m.Name)
-			require.LessOrEqual(t, len(chosen), FullMesh)
+			chosen := GossipPeers(ms, m.Name)
+			require.LessOrEqual(t, len(chosen), MaxFullMesh)
 			for _, c := range chosen {
 				edges[m.Name] = append(edges[m.Name], c.Name)
 				edges[c.Name] = append(edges[c.Name], m.Name)
@@ -34,7 +34,7 @@
 		}
 		for name, e := range edges {
 			// Each edge costs bytes at both ends; the budget of a process is 6 KB/s.
-			require.LessOrEqual(t, len(e), max(2*FullMesh, 3*NeighboursEach), "edges of %s in a fleet of %d", name, n)
+			require.LessOrEqual(t, len(e), max(2*MaxFullMesh, 3*GossipPeersPerProcess), "edges of %s in a fleet of %d", name, n)
 		}
 		hops := reach(edges, ms[0].Name)
 		require.Len(t, hops, n)
@@ -91,9 +91,9 @@
 // TestSchedulersAreFewAndTheSameForAll checks who works for the others in fleets of several
 // sizes.
 func TestSchedulersAreFewAndTheSameForAll(t *testing.T) {
-	small := fleet(FullMesh, 3)
-	require.Len(t, Schedulers(small, nil), FullMesh)
-	require.Len(t, Watchers(small, FullMesh), FullMesh)
+	small := fleet(MaxFullMesh, 3)
+	require.Len(t, Schedulers(small, nil), MaxFullMesh)
+	require.Len(t, Watchers(small, MaxFullMesh), MaxFullMesh)
 	for _, n := range []int{24, 65, 295, 610} {
 		all := fleet(n, 5)
 		heavy := map[string]bool{}
@@ -106,12 +106,12 @@
 		chosen := Schedulers(all, nil)
 		require.Len(t, chosen, 5*SchedulersPerDomain)
 		watchers := Watchers(chosen, n)
-		require.Len(t, watchers, MostWatchers)
+		require.Len(t, watchers, MaxWatchers)
 		domains := map[string]int{}
 		for _, m := range watchers {
 			domains[m.Domain]++
 		}
-		require.Len(t, domains, MostWatchers, "one in a domain")
+		require.Len(t, domains, MaxWatchers, "one in a domain")
 		if n > 100 {
 			for _, m := range chosen {
 				require.True(t, heavy[m.Name], "hosts with more are preferred")
@@ -136,10 +136,10 @@
 	}
 	schedulers := Schedulers(all, nil)
 	for _, m := range all {
-		require.Equal(t, Contain(schedulers, m.Name), m.WouldSchedule(schedulers), m.Name)
+		require.Equal(t, Contains(schedulers, m.Name), m.IsSchedulerCandidate(schedulers), m.Name)
 	}
 	silent := schedulers[0].Name
 	replaced := Schedulers(all, func(name string) bool { return name == silent })
-	require.True(t, schedulers[0].WouldSchedule(replaced), "one that is back")
-	require.True(t, Member{Name: "new", Domain: "9"}.WouldSchedule(schedulers), "the first of its domain")
+	require.True(t, schedulers[0].IsSchedulerCandidate(replaced), "one that is back")
+	require.True(t, Member{Name: "new", Domain: "9"}.IsSchedulerCandidate(schedulers), "the first of its domain")
 }
--- a/mirror/example_test.go
+++ b/mirror/example_test.go
@@ -16,7 +16,7 @@
 	store := memstore.New()
 	_, _ = store.Put(ctx, "state/a", []byte("1"), 0, "w1")
 	first, second := mirror.New("state/"), mirror.New("state/")
-	keeper := mirror.NewKeeper(first, store, func() bool { return true }, log.NewNopLogger())
+	keeper := mirror.NewRefresher(first, store, func() bool { return true }, log.NewNopLogger())
 	if err := keeper.Refresh(ctx, 0); err != nil {
 		fmt.Println(err)
 	}
--- a/mirror/keeper.go
+++ b/mirror/keeper.go
@@ -27,8 +27,8 @@
 	maxRetryDelay   = 2 * time.Second
 )
 
-// Keeper moves a mirror forward from the store.
-type Keeper struct {
+// Refresher moves a mirror forward from the store.
+type Refresher struct {
 	mirror *Mirror
 	store  objstore.Store
 	logger log.Logger
@@ -36,13 +36,13 @@
 	isWatcher func() bool
 }
 
-// NewKeeper returns a keeper of m. isWatcher must be safe for concurrent use.
-func NewKeeper(m *Mirror, store objstore.Store, isWatcher func() bool, logger log.Logger) *Keeper {
-	return &Keeper{mirror: m, store: store, isWatcher: isWatcher, logger: log.With(logger, "component", "mirror")}
+// NewRefresher returns a keeper of m. isWatcher must be safe for concurrent use.
+func NewRefresher(m *Mirror, store objstore.Store, isWatcher func() bool, logger log.Logger) *Refresher {
+	return &Refresher{mirror: m, store: store, isWatcher: isWatcher, logger: log.With(logger, "component", "mirror")}
 }
 
 // Run keeps the mirror until ctx ends.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Refresher) Run(ctx context.Context) error {
 	retry := backoff.NewExponentialBackOff()
 	retry.MaxInterval = maxRetryDelay
 	for ctx.Err() == nil {
@@ -61,7 +61,7 @@
 }
 
 // due reports whether this process has to read the store now.
-func (k *Keeper) due() bool {
+func (k *Refresher) due() bool {
 	if k.isWatcher() {
 		return true
 	}
@@ -79,10 +79,10 @@
 
 // Refresh reads the store once: the whole prefix if the mirror is empty or has
 // missed changes, else what has changed, waiting up to wait for a change.
-func (k *Keeper) Refresh(ctx context.Context, wait time.Duration) error {
+func (k *Refresher) Refresh(ctx context.Context, wait time.Duration) error {
 	before := bootclock.Now()
 	rev := k.mirror.Revision()
-	if rev == None {
+	if rev == NoRevision {
 		return k.relist(ctx)
 	}
 	events, newest, err := k.store.Watch(ctx, k.mirror.prefix, rev, wait)
@@ -96,7 +96,7 @@
 	return nil
 }
 
-func (k *Keeper) relist(ctx context.Context) error {
+func (k *Refresher) relist(ctx context.Context) error {
 	before := bootclock.Now()
 	objs, rev, err := k.store.List(ctx, k.mirror.prefix)
 	if err != nil {
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -21,11 +21,11 @@
 // logLength is how many recent events are kept to serve deltas.
 const logLength = 1024
 
-// None is the revision of a mirror that has no copy yet.
-const None objstore.Revision = -1
+// NoRevision is the revision of a mirror that has no copy yet.
+const NoRevision objstore.Revision = -1
 
-// Never is the age of a copy that was never proven.
-const Never = time.Duration(1<<63 - 1)
+// NeverConfirmed is the age of a copy that was never proven.
+const NeverConfirmed = time.Duration(1<<63 - 1)
 
 // Delta carries a copy, or what changed in it, from one process to another.
 type Delta struct {
@@ -56,7 +56,7 @@
 
 // New returns an empty mirror of the keys below prefix.
 func New(prefix string) *Mirror {
-	return &Mirror{prefix: prefix, objects: map[string]objstore.Object{}, rev: None, logBase: None, changed: make(chan struct{})}
+	return &Mirror{prefix: prefix, objects: map[string]objstore.Object{}, rev: NoRevision, logBase: NoRevision, changed: make(chan struct{})}
 }
 
 // Prefix returns the prefix of the mirrored keys.
@@ -78,7 +78,7 @@
 
 func (m *Mirror) age() time.Duration {
 	if !m.proven {
-		return Never
+		return NeverConfirmed
 	}
 	return bootclock.Since(m.provenAt)
 }
@@ -117,7 +117,7 @@
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	d := Delta{Base: after, Revision: m.rev, Age: m.age()}
-	if after >= m.logBase && after > None {
+	if after >= m.logBase && after > NoRevision {
 		for _, e := range m.log {
 			if e.Revision > after {
 				d.Events = append(d.Events, e)
@@ -138,7 +138,7 @@
 	now := bootclock.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if d.Revision == None || d.Revision < m.rev || (!d.Full && d.Base > m.rev) {
+	if d.Revision == NoRevision || d.Revision < m.rev || (!d.Full && d.Base > m.rev) {
 		return false
 	}
 	m.prove(now, d.Age)
@@ -168,7 +168,7 @@
 
 // prove moves the time of the last proof forward. The caller holds m.mu.
 func (m *Mirror) prove(now bootclock.Instant, age time.Duration) {
-	if age == Never {
+	if age == NeverConfirmed {
 		return
 	}
 	at := now.Add(-age)
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -23,9 +23,9 @@
 		store := memstore.New()
 		truth := map[objstore.Revision]string{0: "[]"}
 		mirrors := []*Mirror{New("s/"), New("s/"), New("s/")}
-		keepers := make([]*Keeper, len(mirrors))
+		keepers := make([]*Refresher, len(mirrors))
 		for i, m := range mirrors {
-			keepers[i] = NewKeeper(m, store, func() bool { return true }, log.NewNopLogger())
+			keepers[i] = NewRefresher(m, store, func() bool { return true }, log.NewNopLogger())
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, 2).Draw(t, "mirror")
@@ -53,7 +53,7 @@
 			}
 			if now := mirrors[i].Revision(); now < before {
 				t.Fatalf("revision went back from %d to %d", before, now)
-			} else if now != None && fmt.Sprint(values(mirrors[i].List("s/"))) != truth[now] {
+			} else if now != NoRevision && fmt.Sprint(values(mirrors[i].List("s/"))) != truth[now] {
 				t.Fatalf("at revision %d the copy holds %v, the store held %s", now, values(mirrors[i].List("s/")), truth[now])
 			}
 		}
@@ -75,11 +75,11 @@
 
 func TestAgeComesOnlyFromProofs(t *testing.T) {
 	m := New("s/")
-	require.Equal(t, Never, m.Age())
-	m.Apply(Delta{Revision: 5, Full: true, Age: Never})
-	require.Equal(t, Never, m.Age(), "a copy without a proof")
+	require.Equal(t, NeverConfirmed, m.Age())
+	m.Apply(Delta{Revision: 5, Full: true, Age: NeverConfirmed})
+	require.Equal(t, NeverConfirmed, m.Age(), "a copy without a proof")
 	m.Confirm(4, 0)
-	require.Equal(t, Never, m.Age(), "a proof of another revision")
+	require.Equal(t, NeverConfirmed, m.Age(), "a proof of another revision")
 	m.Confirm(5, time.Hour)
 	require.GreaterOrEqual(t, m.Age(), time.Hour)
 	m.Confirm(5, time.Minute)
@@ -92,7 +92,7 @@
 	ctx := context.Background()
 	store := memstore.New()
 	m := New("s/")
-	k := NewKeeper(m, store, func() bool { return true }, log.NewNopLogger())
+	k := NewRefresher(m, store, func() bool { return true }, log.NewNopLogger())
 	require.NoError(t, k.Refresh(ctx, 0))
 	v := objstore.Version(0)
 	for range 5000 {
--- a/orders/giver.go
+++ b/orders/giver.go
@@ -23,16 +23,16 @@
 	sendTimeout = 3 * time.Second
 )
 
-// GuardedGiver sends orders over HTTP. Each order has a connection of its own.
+// GuardedSender sends orders over HTTP. Each order has a connection of its own.
 // Package guard ensures that no write happens after the end of the grant. The
 // kernel drops the connection if bytes are not acknowledged within
 // MaxInFlightTime, and closing the connection resets it.
-type GuardedGiver struct{}
+type GuardedSender struct{}
 
-var _ Giver = GuardedGiver{}
+var _ Sender = GuardedSender{}
 
-// Give implements Giver.
-func (GuardedGiver) Give(ctx context.Context, g lease.Grant, address string, o engine.Order) error {
+// Send implements Giver.
+func (GuardedSender) Send(ctx context.Context, g lease.Grant, address string, o engine.Order) error {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	tr := &http.Transport{
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -55,11 +55,11 @@
 	return r, nil
 }
 
-// Giver sends orders under a grant. Implementations must make a late write
+// Sender sends orders under a grant. Implementations must make a late write
 // impossible: after the grant has ended, no byte of the order may leave the process
 // or remain in flight.
-type Giver interface {
-	Give(ctx context.Context, g lease.Grant, address string, o engine.Order) error
+type Sender interface {
+	Send(ctx context.Context, g lease.Grant, address string, o engine.Order) error
 }
 
 // Target is an engine that receives orders.
@@ -77,7 +77,7 @@
 type Options struct {
 	Store   objstore.Store
 	Engines engine.Controller
-	Giver   Giver
+	Sender  Sender
 	// Grant returns the current grant, and false if it is not valid.
 	Grant  func() (lease.Grant, bool)
 	Holder string
@@ -85,8 +85,8 @@
 	// was written at time since, as version written.
 	Drained func(ctx context.Context, t Target, since time.Time, written objstore.Version) bool
 	Logger  log.Logger
-	// Poll is the interval at which the status of an engine is polled.
-	Poll time.Duration
+	// PollInterval is the interval at which the status of an engine is polled.
+	PollInterval time.Duration
 }
 
 // Executor executes orders. It is safe for concurrent use, also for several engines. The
@@ -188,7 +188,7 @@
 func (r *orderRun) adopt(ctx context.Context, g lease.Grant) error {
 	if r.target.Fencing {
 		fence := engine.Order{ID: ulid.Make().String(), Token: g.Token, Kind: engine.OrderFence}
-		if err := r.executor.o.Giver.Give(ctx, g, r.target.Address, fence); err != nil && !fault.Is(err, fault.Unavailable) {
+		if err := r.executor.o.Sender.Send(ctx, g, r.target.Address, fence); err != nil && !fault.Is(err, fault.Unavailable) {
 			return err
 		}
 	}
@@ -199,7 +199,7 @@
 
 // drive executes steps until the order has ended or this process must not continue.
 func (r *orderRun) drive(ctx context.Context) error {
-	tick := time.NewTicker(r.executor.o.Poll)
+	tick := time.NewTicker(r.executor.o.PollInterval)
 	defer tick.Stop()
 	for !r.chart.Final() {
 		r.transitioned = false
@@ -261,7 +261,7 @@
 
 // send sends the order. Its record is in the store with state intended.
 func (r *orderRun) send(ctx context.Context, g lease.Grant) error {
-	err := r.executor.o.Giver.Give(ctx, g, r.target.Address, r.record.Order)
+	err := r.executor.o.Sender.Send(ctx, g, r.target.Address, r.record.Order)
 	switch {
 	case err == nil:
 		return r.fire(ctx, charts.Taken)
@@ -311,7 +311,7 @@
 		return r.fire(ctx, charts.Restored)
 	}
 	reset := engine.Order{ID: r.record.Order.ID + "-reset", Token: g.Token, Kind: engine.OrderReset, Role: r.record.From}
-	if err := r.executor.o.Giver.Give(ctx, g, r.target.Address, reset); fault.Is(err, fault.Denied) {
+	if err := r.executor.o.Sender.Send(ctx, g, r.target.Address, reset); fault.Is(err, fault.Denied) {
 		return ErrNoGrant
 	}
 	// After the first reset the status is polled again before the timeout of the state is
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -38,7 +38,7 @@
 	return engine.Status{Role: e.role, Changing: e.halfChanged, Token: e.token}, nil
 }
 
-func (e *fakeEngine) Give(_ context.Context, g lease.Grant, _ string, o engine.Order) error {
+func (e *fakeEngine) Send(_ context.Context, g lease.Grant, _ string, o engine.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	how := e.nextFailure
@@ -83,7 +83,7 @@
 func newExecutor(s objstore.Store, e *fakeEngine, token int64) *Executor {
 	g := lease.Grant{Token: token, Until: bootclock.Now().Add(time.Hour)}
 	return New(Options{
-		Store: s, Engines: statusOnly{e}, Giver: e, Holder: fmt.Sprint(token), Logger: log.NewNopLogger(), Poll: time.Millisecond,
+		Store: s, Engines: statusOnly{e}, Sender: e, Holder: fmt.Sprint(token), Logger: log.NewNopLogger(), PollInterval: time.Millisecond,
 		Grant:   func() (lease.Grant, bool) { return g, true },
 		Drained: func(context.Context, Target, time.Time, objstore.Version) bool { return true },
 	})
@@ -195,7 +195,7 @@
 	_, err := newExecutor(s, e, 2).Recover(context.Background(), Target{Name: "e", Fencing: true, ChangeTimeout: time.Millisecond})
 	require.NoError(t, err)
 	g, _ := old.o.Grant()
-	require.True(t, fault.Is(e.Give(context.Background(), g, "", order), fault.Denied), "the lost order arrives late")
+	require.True(t, fault.Is(e.Send(context.Background(), g, "", order), fault.Denied), "the lost order arrives late")
 	require.Empty(t, e.accepted)
 }
 
@@ -212,8 +212,8 @@
 // slowEngine responds to an order only after the timeout of a change.
 type slowEngine struct{ *fakeEngine }
 
-func (e slowEngine) Give(ctx context.Context, g lease.Grant, address string, o engine.Order) error {
-	err := e.fakeEngine.Give(ctx, g, address, o)
+func (e slowEngine) Send(ctx context.Context, g lease.Grant, address string, o engine.Order) error {
+	err := e.fakeEngine.Send(ctx, g, address, o)
 	time.Sleep(4 * changeTimeout)
 	return err
 }
@@ -226,7 +226,7 @@
 func TestEngineIsPolledAfterSlowReset(t *testing.T) {
 	s, e := memstore.New(), &fakeEngine{role: engine.RoleMixed, crashNext: true}
 	x := newExecutor(s, e, 1)
-	x.o.Giver = slowEngine{e}
+	x.o.Sender = slowEngine{e}
 	target := Target{Name: "e", ChangeTimeout: changeTimeout}
 	require.NoError(t, x.ChangeRole(context.Background(), target, engine.RoleMixed, engine.RoleDecode, "test"))
 	require.Equal(t, charts.OrderFailed, readRecord(t, s).State)
--- a/placement/breaker_test.go
+++ b/placement/breaker_test.go
@@ -26,19 +26,19 @@
 	refused := 0
 	send := func() bool {
 		plan, ticket := p.Place(job(all, "s", 100))
-		if plan.Runner == all[0] {
+		if plan.Target == all[0] {
 			refused++
-			ticket.Run(Failed)
+			ticket.RunEnded(Failed)
 			return false
 		}
-		ticket.Run(Sound)
+		ticket.RunEnded(Succeeded)
 		return true
 	}
 	for n := range 400 {
 		now = now.Add(10 * time.Millisecond)
 		send()
 		if n == 10 {
-			own.Run(Sound)
+			own.RunEnded(Succeeded)
 		}
 	}
 	require.Less(t, refused, 12)
@@ -49,10 +49,10 @@
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
 		plan, ticket := p.Place(job(all, "s", 100))
-		if plan.Runner == all[0] {
+		if plan.Target == all[0] {
 			sent++
 		}
-		ticket.Run(Sound)
+		ticket.RunEnded(Succeeded)
 	}
 	require.Greater(t, sent, 10, "one that answers again is used again")
 }
@@ -88,6 +88,6 @@
 	for range 40 {
 		_, ticket := p.Place(job(all, "s", 100))
 		require.NotNil(t, ticket)
-		ticket.Run(Failed)
+		ticket.RunEnded(Failed)
 	}
 }
--- a/placement/cache_test.go
+++ b/placement/cache_test.go
@@ -55,22 +55,22 @@
 func TestReadsAreToldOnce(t *testing.T) {
 	p := New("a", nil, nil)
 	for n := range 3 {
-		p.reads.add(Read{Instance: "i", Own: n}, time.Now())
+		p.reads.add(Prefill{Instance: "i", UnsharedTokens: n}, time.Now())
 	}
-	all, last := p.ReadsAfter(0)
+	all, last := p.PrefillsAfter(0)
 	require.Len(t, all, 3)
 	require.EqualValues(t, 3, last)
-	fresh, _ := p.ReadsAfter(2)
-	require.Equal(t, []Read{{Instance: "i", Own: 2}}, fresh)
-	none, _ := p.ReadsAfter(3)
+	fresh, _ := p.PrefillsAfter(2)
+	require.Equal(t, []Prefill{{Instance: "i", UnsharedTokens: 2}}, fresh)
+	none, _ := p.PrefillsAfter(3)
 	require.Empty(t, none)
-	again, _ := p.ReadsAfter(99)
+	again, _ := p.PrefillsAfter(99)
 	require.Len(t, again, 3, "a number of an earlier run of this process")
 	for n := range p.reads.recent {
 		p.reads.recent[n].at = p.reads.recent[n].at.Add(-2 * logKept)
 	}
-	p.reads.add(Read{Instance: "i", Own: 3}, time.Now())
-	late, _ := p.ReadsAfter(0)
+	p.reads.add(Prefill{Instance: "i", UnsharedTokens: 3}, time.Now())
+	late, _ := p.PrefillsAfter(0)
 	require.Len(t, late, 1, "old reads are not kept")
 }
 
--- a/placement/decisions_test.go
+++ b/placement/decisions_test.go
@@ -58,17 +58,17 @@
 		shared, own := longPrompt+rng.IntN(12000), 100+rng.IntN(4000)
 		j := &Job{
 			Route:   &fleet.Route{Name: "r", LatencyTarget: 300 * time.Millisecond, Rank: rng.IntN(3)},
-			Service: fleet.Service{Name: "s", KVCapacity: 60_000}, Left: time.Duration(500+rng.IntN(1500)) * time.Millisecond, Permitted: all,
+			Service: fleet.Service{Name: "s", KVCapacity: 60_000}, Remaining: time.Duration(500+rng.IntN(1500)) * time.Millisecond, Permitted: all,
 			Call: &engine.Call{PromptTokens: shared + own, Parts: []engine.Part{{ID: fmt.Sprint(rng.IntN(20)), Tokens: shared}, {ID: "own", Tokens: own}}},
 		}
 		plan, ticket := p.Place(j)
-		fmt.Fprintln(&lines, n, plan.Reason, name(plan.Reader), name(plan.FetchFrom), plan.Uncached, plan.Ahead.Milliseconds(), plan.Read.Milliseconds(), plan.Rank, plan.Late, plan.RetryAfter.Milliseconds())
+		fmt.Fprintln(&lines, n, plan.Reason, name(plan.PrefillEngine), name(plan.FetchFrom), plan.Uncached, plan.QueueDelay.Milliseconds(), plan.PrefillTime.Milliseconds(), plan.Rank, plan.Late, plan.RetryAfter.Milliseconds())
 		if ticket != nil {
 			open = append(open, ticket)
 		}
 		if n%20 == 0 {
 			for _, c := range p.Explain(j) {
-				fmt.Fprintf(&lines, "  %s score %.2f pace %.2f failures %.2f %s\n", c.Instance, c.Score, c.Pace, c.Failures, c.Why)
+				fmt.Fprintf(&lines, "  %s score %.2f pace %.2f failures %.2f %s\n", c.Instance, c.Score, c.Slowdown, c.Failures, c.Unavailable)
 			}
 		}
 	}
@@ -78,9 +78,9 @@
 // finish ends a read, one in ten with a failure.
 func finish(t *Ticket, rng *rand.Rand) {
 	if rng.Float64() < 0.1 {
-		t.Read(false, Failed)
+		t.PrefillEnded(false, Failed)
 	} else {
-		t.Read(true, Sound)
+		t.PrefillEnded(true, Succeeded)
 	}
 	t.Cancel()
 }
--- a/placement/group.go
+++ b/placement/group.go
@@ -15,7 +15,7 @@
 }
 
 // placed reports whether there is an instance.
-func (c *choice) placed() bool { return c.plan.Reader != nil || c.plan.Runner != nil }
+func (c *choice) placed() bool { return c.plan.PrefillEngine != nil || c.plan.Target != nil }
 
 // better reports whether a choice is better than one of another group: one in time than one that is late,
 // a late one sooner, and of two refusals that with the shorter time to come back.
@@ -28,7 +28,7 @@
 	case c.plan.Late != d.plan.Late:
 		return d.plan.Late
 	}
-	return c.plan.Ahead+c.plan.Read < d.plan.Ahead+d.plan.Read
+	return c.plan.QueueDelay+c.plan.PrefillTime < d.plan.QueueDelay+d.plan.PrefillTime
 }
 
 // chooseGroup decides in a job's home group, and in the next ones if its answer would be late there or it
@@ -42,11 +42,11 @@
 	}
 	first := p.homeGroup(j, len(groups))
 	if reader != nil {
-		first = fleet.GroupOf(reader.ID, len(groups))
+		first = fleet.GroupIndex(reader.ID, len(groups))
 	}
 	var best choice
 	for n := range groups {
-		if n >= groupTries && (best.placed() || best.plan.Reason != ReasonNone) {
+		if n >= groupTries && (best.placed() || best.plan.Reason != ReasonNonePermitted) {
 			break
 		}
 		part := *j
@@ -73,7 +73,7 @@
 // it is kept; of a job without one it is drawn.
 func (p *Placer) homeGroup(j *Job, n int) int {
 	if subject := j.Call.Subject(); subject != "" {
-		return fleet.GroupOf(subject, n)
+		return fleet.GroupIndex(subject, n)
 	}
 	return int(p.random() * float64(n))
 }
--- a/placement/group_test.go
+++ b/placement/group_test.go
@@ -33,9 +33,9 @@
 		p := New("a", nil, nil)
 		j := groupedJob(poolOf(n), "s", 9000)
 		plan, ticket := p.Place(j)
-		require.NotNil(t, plan.Reader)
-		ticket.Read(true, Sound)
-		require.True(t, p.PlaceRead(j, &plan, ticket))
+		require.NotNil(t, plan.PrefillEngine)
+		ticket.PrefillEnded(true, Succeeded)
+		require.True(t, p.PlaceDecode(j, &plan, ticket))
 		require.Less(t, len(p.instances), 2*fleet.GroupSize, "%d engines", n)
 	}
 }
@@ -49,7 +49,7 @@
 		one, _ := New("a", nil, nil).Place(groupedJob(pool, subject, 9000))
 		other, _ := New("b", nil, nil).Place(groupedJob(&fleet.Pool{All: pool.All}, subject, 9000))
 		require.Equal(t, ReasonHome, one.Reason)
-		require.Same(t, one.Reader, other.Reader)
+		require.Same(t, one.PrefillEngine, other.PrefillEngine)
 	}
 }
 
@@ -57,16 +57,16 @@
 // time in another group.
 func TestABurstOnOneGroupSpills(t *testing.T) {
 	pool := poolOf(1000)
-	home := fleet.GroupOf("s", len(pool.Groups()))
+	home := fleet.GroupIndex("s", len(pool.Groups()))
 	p := New("a", func(id string) Load {
-		if fleet.GroupOf(id, len(pool.Groups())) == home {
+		if fleet.GroupIndex(id, len(pool.Groups())) == home {
 			return unread(0, 5, 20000)
 		}
 		return Load{}
 	}, nil)
 	plan, _ := p.Place(groupedJob(pool, "s", 9000))
 	require.False(t, plan.Late)
-	require.NotEqual(t, home, fleet.GroupOf(plan.Reader.ID, len(pool.Groups())))
+	require.NotEqual(t, home, fleet.GroupIndex(plan.PrefillEngine.ID, len(pool.Groups())))
 }
 
 // TestAFullFleetIsRefusedAtABoundedCost has all engines full.
@@ -91,7 +91,7 @@
 	}
 	plan, ticket := New("a", nil, nil).Place(j)
 	require.NotNil(t, ticket)
-	require.Same(t, left, plan.Runner)
+	require.Same(t, left, plan.Target)
 }
 
 // TestCallsWithoutSubjectSpread places calls to a plain service of 1,000 instances.
@@ -100,10 +100,10 @@
 	p := New("a", nil, nil)
 	used := map[string]bool{}
 	for range 300 {
-		j := &Job{Route: &fleet.Route{Name: "r"}, Service: fleet.Service{Name: "s"}, Call: &engine.Call{}, Left: time.Second, Permitted: pool.All, Groups: pool.Groups}
+		j := &Job{Route: &fleet.Route{Name: "r"}, Service: fleet.Service{Name: "s"}, Call: &engine.Call{}, Remaining: time.Second, Permitted: pool.All, Groups: pool.Groups}
 		plan, ticket := p.Place(j)
 		require.NotNil(t, ticket)
-		used[plan.Runner.ID] = true
+		used[plan.Target.ID] = true
 	}
 	require.Greater(t, len(used), 150, "of 333 that run")
 }
@@ -114,20 +114,20 @@
 	pool := poolOf(10_000)
 	p := New("a", nil, nil)
 	for _, i := range pool.All {
-		p.Learn(Read{Instance: i.ID, Own: 1})
+		p.ApplyRemotePrefill(Prefill{Instance: i.ID, UnsharedTokens: 1})
 	}
 	var tickets []*Ticket
 	for n := range 5 {
 		_, ticket := p.Place(groupedJob(pool, fmt.Sprint(n), 9000))
 		tickets = append(tickets, ticket)
 	}
-	require.Len(t, p.Own(), 5)
-	require.Equal(t, 5, p.Prompts())
+	require.Len(t, p.LocalLoads(), 5)
+	require.Equal(t, 5, p.PendingPrompts())
 	require.Len(t, p.busy, 5)
 	for _, ticket := range tickets {
 		ticket.Cancel()
 	}
-	require.Empty(t, p.Own())
+	require.Empty(t, p.LocalLoads())
 	require.Empty(t, p.busy)
-	require.Zero(t, p.Prompts())
+	require.Zero(t, p.PendingPrompts())
 }
--- a/placement/limit.go
+++ b/placement/limit.go
@@ -10,33 +10,33 @@
 
 // Limiter knows the rates of requests that runs of instances take from all processes together.
 type Limiter interface {
-	// Any reports whether any run limits its rate.
-	Any() bool
+	// AnyLimited reports whether any run limits its rate.
+	AnyLimited() bool
 	// Limited reports whether a run limits its rate.
 	Limited(run string) bool
-	// Allows reports whether a request may be sent to a run now. It counts as demand, unless it has
+	// CheckGrant reports whether a request may be sent to a run now. It counts as demand, unless it has
 	// been counted before.
-	Allows(run string, counted bool) bool
-	// Take counts a request that is sent to a run. Granted is true if the run limits its rate; ok is
+	CheckGrant(run string, counted bool) bool
+	// UseGrant counts a request that is sent to a run. Granted is true if the run limits its rate; ok is
 	// false if the request may not be sent.
-	Take(run string) (granted, ok bool)
+	UseGrant(run string) (granted, ok bool)
 	// RetryAfter returns when a request that a run does not take now may come back, 0 if the run limits
 	// nothing.
 	RetryAfter(run string) time.Duration
 }
 
 // limits reports whether any instance limits its rate; without, the names of runs need not be made.
-func (p *Placer) limits() bool { return p.limiter != nil && p.limiter.Any() }
+func (p *Placer) limits() bool { return p.limiter != nil && p.limiter.AnyLimited() }
 
 // withinLimit reports whether an instance's rate limit lets a job through.
 func (p *Placer) withinLimit(j *Job, i *fleet.Instance) bool {
-	return !p.limits() || p.limiter.Allows(i.Run(), j.Waiting)
+	return !p.limits() || p.limiter.CheckGrant(i.RunID(), j.AwaitsRateLimit)
 }
 
 // tie returns what decides between instances that are as fit, at random so that processes which see the
 // same loads spread. One that limits its rate goes first: what it takes now would lapse.
 func (p *Placer) tie(i *fleet.Instance) float64 {
-	if p.limits() && p.limiter.Limited(i.Run()) {
+	if p.limits() && p.limiter.Limited(i.RunID()) {
 		return 0
 	}
 	return p.random() * tieBreak
@@ -49,10 +49,10 @@
 		plan.Granted = false
 		return true
 	}
-	granted, ok := p.limiter.Take(i.Run())
+	granted, ok := p.limiter.UseGrant(i.RunID())
 	if !ok {
-		plan.Reader, plan.Runner, plan.FetchFrom = nil, nil, nil
-		plan.Reason, plan.RetryAfter = ReasonLimited, p.limiter.RetryAfter(i.Run())
+		plan.PrefillEngine, plan.Target, plan.FetchFrom = nil, nil, nil
+		plan.Reason, plan.RetryAfter = ReasonLimited, p.limiter.RetryAfter(i.RunID())
 		return false
 	}
 	plan.Granted = granted
@@ -63,15 +63,15 @@
 // that were read would else wait for what others take meanwhile. If none takes one more, the plan has
 // no instance.
 func (p *Placer) reserve(t *Ticket, plan *Plan, j *Job, runners []*fleet.Instance) bool {
-	if !p.limits() || slices.ContainsFunc(runners, func(r *fleet.Instance) bool { return !p.limiter.Limited(r.Run()) }) {
+	if !p.limits() || slices.ContainsFunc(runners, func(r *fleet.Instance) bool { return !p.limiter.Limited(r.RunID()) }) {
 		return true
 	}
 	run := *plan
-	if p.chooseRunner(&run, j, runners); run.Runner == nil || !p.take(run.Runner, &run) {
+	if p.chooseRunner(&run, j, runners); run.Target == nil || !p.take(run.Target, &run) {
 		*plan = Plan{Reason: run.Reason, RetryAfter: run.RetryAfter, Uncached: plan.Uncached}
 		return false
 	}
-	t.reserved = run.Runner.ID
+	t.reserved = run.Target.ID
 	return true
 }
 
@@ -97,7 +97,7 @@
 	}
 	perSecond := 0.0
 	for _, i := range j.Permitted {
-		if after := p.limiter.RetryAfter(i.Run()); after > 0 && !j.Avoid[i.ID] {
+		if after := p.limiter.RetryAfter(i.RunID()); after > 0 && !j.Avoid[i.ID] {
 			perSecond += 1 / after.Seconds()
 		}
 	}
--- a/placement/model.go
+++ b/placement/model.go
@@ -67,8 +67,8 @@
 	Pairs  int `json:"pairs"`
 }
 
-// WorkOf returns the work of a prompt of which the last tokens are not kept.
-func WorkOf(prompt, uncached int) Work {
+// PrefillWork returns the work of a prompt of which the last tokens are not kept.
+func PrefillWork(prompt, uncached int) Work {
 	return Work{uncached, uncached * (prompt - uncached/2)}
 }
 
@@ -163,7 +163,7 @@
 // ms: the prompts of this rank and the more urgent ones are read first, and one of the
 // others that is being read is finished. With all prompts counted, short urgent ones would be
 // late behind long ones that they pass.
-func (m *Model) Ahead(u *Unread, rank int) float64 {
+func (m *Model) Ahead(u *PendingByRank, rank int) float64 {
 	if !m.policy.Has(RankedQueue) {
 		return m.Busy(u.All())
 	}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -19,8 +19,8 @@
 
 // Reasons of plans.
 const (
-	// ReasonHolder is an engine that keeps the most of the prompt's shared parts.
-	ReasonHolder Reason = "holder"
+	// ReasonCacheHolder is an engine that keeps the most of the prompt's shared parts.
+	ReasonCacheHolder Reason = "holder"
 	// ReasonFetch is another engine, which takes what the holder keeps.
 	ReasonFetch Reason = "fetch"
 	// ReasonHome is the home of a subject that nobody has read lately.
@@ -29,8 +29,8 @@
 	ReasonSpill Reason = "spill"
 	// ReasonLeast is the instance with the least work.
 	ReasonLeast Reason = "least-work"
-	// ReasonNone means that no permitted instance takes requests.
-	ReasonNone Reason = "none-permitted"
+	// ReasonNonePermitted means that no permitted instance takes requests.
+	ReasonNonePermitted Reason = "none-permitted"
 	// ReasonFull means that all permitted instances have as much as they take.
 	ReasonFull Reason = "all-full"
 	// ReasonHopeless means that no engine is expected to read the prompt before the
@@ -49,9 +49,9 @@
 // Job is a request to be placed.
 type Job struct {
 	Route *fleet.Route
-	// Ranked is true if the rank of Route is not the operator's for the route but that of
+	// WorkspaceRank is true if the rank of Route is not the operator's for the route but that of
 	// the caller's workspace.
-	Ranked bool
+	WorkspaceRank bool
 	// Workspace is that of the caller, empty if it has none.
 	Workspace string
 	Service   fleet.Service
@@ -62,10 +62,10 @@
 	// Domain is the failure domain of the process that has the request; empty is that of
 	// the placer.
 	Domain string
-	// Left is how long the caller still waits.
-	Left time.Duration
-	// Spent is how long the request has been here.
-	Spent time.Duration
+	// Remaining is how long the caller still waits.
+	Remaining time.Duration
+	// Elapsed is how long the request has been here.
+	Elapsed time.Duration
 	// Permitted are the instances that may run it, in the order of their IDs.
 	Permitted []*fleet.Instance
 	// Groups divides Permitted as a fleet.Pool does; nil is one group. It is asked where the job is
@@ -73,31 +73,31 @@
 	Groups func() [][]*fleet.Instance
 	// Avoid holds the IDs of instances that failed this request.
 	Avoid map[string]bool
-	// Waiting is true if the job has been tried before and waits for rate limits.
-	Waiting bool
-	// NoRead is true if the prompt is not to be read apart: it has been read, or
+	// AwaitsRateLimit is true if the job has been tried before and waits for rate limits.
+	AwaitsRateLimit bool
+	// SkipPrefill is true if the prompt is not to be read apart: it has been read, or
 	// the request goes on after events that were delivered.
-	NoRead bool
+	SkipPrefill bool
 }
 
 // Plan is a decision.
 type Plan struct {
-	// By is the process that decided, empty for the one that has the request.
-	By string
-	// Reader reads the prompt; nil if the runner does.
-	Reader *fleet.Instance
-	// Runner generates; nil if the request is refused.
-	Runner *fleet.Instance
+	// DecidedBy is the process that decided, empty for the one that has the request.
+	DecidedBy string
+	// PrefillEngine reads the prompt; nil if the runner does.
+	PrefillEngine *fleet.Instance
+	// Target generates; nil if the request is refused.
+	Target *fleet.Instance
 	// FetchFrom is an engine that is believed to keep parts of the prompt that
 	// the reader does not.
 	FetchFrom *fleet.Instance
 	Reason    Reason
 	// Uncached is how many prompt tokens are believed to be read.
 	Uncached int
-	// Ahead is the estimate of how long work ahead of the request takes.
-	Ahead time.Duration
-	// Read is the estimate of how long its own prompt takes.
-	Read time.Duration
+	// QueueDelay is the estimate of how long work ahead of the request takes.
+	QueueDelay time.Duration
+	// PrefillTime is the estimate of how long its own prompt takes.
+	PrefillTime time.Duration
 	// Rank is the one at which the prompt is read.
 	Rank int
 	// Late is true if the answer is not expected within the latency target.
@@ -172,9 +172,9 @@
 // the placer is used.
 func (p *Placer) SetPolicy(policy Policy) { p.policy = policy }
 
-// Estimate returns how long an idle engine of a service is expected to take to read a
+// EstimatePrefill returns how long an idle engine of a service is expected to take to read a
 // prompt.
-func (p *Placer) Estimate(service string, w Work) time.Duration {
+func (p *Placer) EstimatePrefill(service string, w Work) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return millis(p.model(service).Read(w))
@@ -205,7 +205,7 @@
 	for _, i := range instances {
 		l := p.loadOf(i)
 		queue := time.Duration(0)
-		if unread := l.Unread.All(); unread != (Backlog{}) {
+		if unread := l.Pending.All(); unread != (Backlog{}) {
 			queue = millis(model.Busy(unread))
 		}
 		tell(i, l, queue)
@@ -227,31 +227,31 @@
 		p: p, model: p.model(j.Service.Name), shares: p.sharesOf(j.Service.Name), workspace: j.Workspace,
 		tokens: j.Call.PromptTokens, parts: partsOf(j.Call), own: j.Call.PromptTokens - j.Call.SharedTokens(), begun: p.now(),
 	}
-	if plan.Reader != nil {
-		if !p.reserve(t, &plan, c.job, c.runners) || !p.take(plan.Reader, &plan) {
+	if plan.PrefillEngine != nil {
+		if !p.reserve(t, &plan, c.job, c.runners) || !p.take(plan.PrefillEngine, &plan) {
 			return plan, nil
 		}
 		t.read(&plan)
 		return plan, t
 	}
-	if !p.take(plan.Runner, &plan) {
+	if !p.take(plan.Target, &plan) {
 		return plan, nil
 	}
-	t.run(plan.Runner, j.Service.KVCapacity > 0)
+	t.run(plan.Target, j.Service.KVCapacity > 0)
 	return plan, t
 }
 
 // choose decides where a job is read, or where it runs, among all that it permits, and counts nothing.
 func (p *Placer) choose(j *Job) choice {
 	readers, runners := p.split(j)
-	c := choice{job: j, plan: Plan{Uncached: j.Call.PromptTokens, Reason: ReasonNone}, runners: runners}
-	apart := j.Call.PromptTokens >= longPrompt && len(readers) > 0 && !j.NoRead && p.policy.Has(Apart)
+	c := choice{job: j, plan: Plan{Uncached: j.Call.PromptTokens, Reason: ReasonNonePermitted}, runners: runners}
+	apart := j.Call.PromptTokens >= longPrompt && len(readers) > 0 && !j.SkipPrefill && p.policy.Has(Apart)
 	switch {
 	case len(runners) == 0:
 		p.explainNone(&c.plan, j)
 	case apart:
 		p.chooseReader(&c.plan, j, partsOf(j.Call), readers)
-	case j.Left <= 0:
+	case j.Remaining <= 0:
 		c.plan.Reason, c.plan.RetryAfter = ReasonHopeless, fullRetry
 	default:
 		p.chooseRunner(&c.plan, j, runners)
@@ -259,31 +259,31 @@
 	return c
 }
 
-// PlaceRead decides where a job runs whose prompt has been read, and counts it
+// PlaceDecode decides where a job runs whose prompt has been read, and counts it
 // there. It reports false if there is no runner; the plan then says why.
-func (p *Placer) PlaceRead(j *Job, plan *Plan, t *Ticket) bool {
+func (p *Placer) PlaceDecode(j *Job, plan *Plan, t *Ticket) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.settleDomain(j)
 	reason := plan.Reason
-	if plan.Runner = p.reserved(t, j); plan.Runner != nil {
+	if plan.Target = p.reserved(t, j); plan.Target != nil {
 		plan.Granted = true
-		t.run(plan.Runner, false)
+		t.run(plan.Target, false)
 		return true
 	}
-	c := p.chooseGroup(j, plan.Reader, func(j *Job) choice { return p.chooseAfterRead(j, *plan) })
+	c := p.chooseGroup(j, plan.PrefillEngine, func(j *Job) choice { return p.chooseAfterRead(j, *plan) })
 	*plan = c.plan
-	if plan.Runner == nil || !p.take(plan.Runner, plan) {
+	if plan.Target == nil || !p.take(plan.Target, plan) {
 		return false
 	}
 	plan.Reason = reason
-	t.run(plan.Runner, false)
+	t.run(plan.Target, false)
 	return true
 }
 
 // chooseAfterRead decides where a job runs whose prompt has been read by a plan.
 func (p *Placer) chooseAfterRead(j *Job, plan Plan) choice {
-	plan.Reason, plan.Runner = ReasonNone, nil
+	plan.Reason, plan.Target = ReasonNonePermitted, nil
 	_, runners := p.split(j)
 	c := choice{job: j, plan: plan, runners: runners}
 	if len(runners) == 0 {
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -25,8 +25,8 @@
 func job(all []*fleet.Instance, subject string, tokens int) *Job {
 	return &Job{
 		Route: &fleet.Route{Name: "r", LatencyTarget: 200 * time.Millisecond}, Service: fleet.Service{Name: "s"},
-		Call: &engine.Call{PromptTokens: tokens, Parts: []engine.Part{{ID: subject, Tokens: tokens * 2 / 3}, {ID: "own", Tokens: tokens / 3}}},
-		Left: 2 * time.Second, Permitted: all,
+		Call:      &engine.Call{PromptTokens: tokens, Parts: []engine.Part{{ID: subject, Tokens: tokens * 2 / 3}, {ID: "own", Tokens: tokens / 3}}},
+		Remaining: 2 * time.Second, Permitted: all,
 	}
 }
 
@@ -37,8 +37,8 @@
 		subject := fmt.Sprint("subject-", n)
 		plan, ticket := New("a", nil, nil).Place(job(all, subject, 9000))
 		require.Equal(t, ReasonHome, plan.Reason)
-		require.Equal(t, Home(subject, all[:6]), plan.Reader)
-		spread[plan.Reader.ID]++
+		require.Equal(t, PreferredEngine(subject, all[:6]), plan.PrefillEngine)
+		spread[plan.PrefillEngine.ID]++
 		ticket.Cancel()
 	}
 	for id, n := range spread {
@@ -47,7 +47,7 @@
 	moved := 0
 	for n := range 600 {
 		subject := fmt.Sprint("subject-", n)
-		if Home(subject, all[:6]) != Home(subject, all[:5]) {
+		if PreferredEngine(subject, all[:6]) != PreferredEngine(subject, all[:5]) {
 			moved++
 		}
 	}
@@ -56,11 +56,11 @@
 
 func TestBusyHomeSpills(t *testing.T) {
 	all := fleetOf(3, 1)
-	home := Home("s", all[:3])
+	home := PreferredEngine("s", all[:3])
 	p := New("a", busyAt(&home.ID), nil)
 	plan, _ := p.Place(job(all, "s", 9000))
 	require.Equal(t, ReasonSpill, plan.Reason)
-	require.NotEqual(t, home, plan.Reader)
+	require.NotEqual(t, home, plan.PrefillEngine)
 	require.Nil(t, plan.FetchFrom, "the home has read nothing yet")
 }
 
@@ -71,12 +71,12 @@
 	p := New("a", nil, nil)
 	first, ticket := p.Place(job(all, "s", 9000))
 	second, _ := p.Place(job(all, "s", 9000))
-	require.NotEqual(t, first.Reader, second.Reader, "the first is busy for long")
+	require.NotEqual(t, first.PrefillEngine, second.PrefillEngine, "the first is busy for long")
 	require.Nil(t, second.FetchFrom)
-	ticket.Read(true, Sound)
+	ticket.PrefillEnded(true, Succeeded)
 	third, _ := p.Place(job(all, "s", 9000))
-	require.Equal(t, first.Reader, third.Reader)
-	require.Equal(t, ReasonHolder, third.Reason)
+	require.Equal(t, first.PrefillEngine, third.PrefillEngine)
+	require.Equal(t, ReasonCacheHolder, third.Reason)
 }
 
 // TestAReadThatFailedKeepsNothing: the reader broke off, so the subject is nowhere kept.
@@ -84,16 +84,16 @@
 	all := fleetOf(3, 1)
 	p := New("a", nil, nil)
 	_, ticket := p.Place(job(all, "s", 9000))
-	ticket.Read(false, Failed)
+	ticket.PrefillEnded(false, Failed)
 	again, _ := p.Place(job(all, "s", 9000))
-	require.NotEqual(t, ReasonHolder, again.Reason)
+	require.NotEqual(t, ReasonCacheHolder, again.Reason)
 	require.Nil(t, again.FetchFrom)
 }
 
 // unread is a load of prompts at a rank, with tokens in all, without attention.
 func unread(rank, prompts, tokens int) Load {
 	var l Load
-	l.Unread[rank] = Backlog{prompts, Work{Tokens: tokens}}
+	l.Pending[rank] = Backlog{prompts, Work{Tokens: tokens}}
 	return l
 }
 
@@ -113,28 +113,28 @@
 func TestPartsAreTakenFromTheirKeeper(t *testing.T) {
 	all := fleetOf(3, 1)
 	holder := all[0]
-	if Home("s", all[:3]) == holder {
+	if PreferredEngine("s", all[:3]) == holder {
 		holder = all[1]
 	}
 	busy := ""
 	p := New("a", busyAt(&busy), nil)
 	j := job(all, "s", 9000)
-	p.Learn(Read{Instance: holder.ID, Parts: partsOf(j.Call), Own: 3000})
+	p.ApplyRemotePrefill(Prefill{Instance: holder.ID, Parts: partsOf(j.Call), UnsharedTokens: 3000})
 	plan, ticket := p.Place(j)
-	require.Equal(t, ReasonHolder, plan.Reason)
-	require.Equal(t, holder, plan.Reader)
+	require.Equal(t, ReasonCacheHolder, plan.Reason)
+	require.Equal(t, holder, plan.PrefillEngine)
 	require.Nil(t, plan.FetchFrom)
 	require.Equal(t, 3000, plan.Uncached)
 	ticket.Cancel()
 	busy = holder.ID
 	plan, ticket = p.Place(j)
 	require.Equal(t, ReasonFetch, plan.Reason)
-	require.NotEqual(t, holder, plan.Reader)
+	require.NotEqual(t, holder, plan.PrefillEngine)
 	require.Equal(t, holder, plan.FetchFrom)
-	ticket.Read(true, Sound)
+	ticket.PrefillEnded(true, Succeeded)
 	busy = ""
 	next, _ := p.Place(j)
-	require.Equal(t, plan.Reader, next.Reader, "both keep it now, and this one is its home")
+	require.Equal(t, plan.PrefillEngine, next.PrefillEngine, "both keep it now, and this one is its home")
 }
 
 // TestPartsThatGaveWayAreReadAgain checks that an engine is not believed to keep what
@@ -147,7 +147,7 @@
 		j.Service.KVCapacity = 40000
 		plan, ticket := p.Place(j)
 		require.NotNil(t, ticket)
-		ticket.Read(true, Sound)
+		ticket.PrefillEnded(true, Succeeded)
 		ticket.Cancel()
 		return plan
 	}
@@ -169,7 +169,7 @@
 	plan, _ = New("a", func(string) Load { return urgent }, nil).Place(job(fleetOf(2, 1), "s", 6000))
 	require.True(t, plan.Late)
 	require.Equal(t, ReasonLate, plan.Reason)
-	require.NotNil(t, plan.Reader, "it is offered to an engine all the same")
+	require.NotNil(t, plan.PrefillEngine, "it is offered to an engine all the same")
 }
 
 // TestEstimatesKeepAMargin checks that a request whose answer is expected only just
@@ -184,7 +184,7 @@
 		tokens := int((toMillis(c.queue) - m.cost[0]*promptShare) / m.cost[1] * thousand)
 		p := New("a", func(string) Load { return unread(0, 1, tokens) }, nil)
 		j := job(fleetOf(1, 1), "s", 2000)
-		p.Learn(Read{Instance: "p-0", Parts: partsOf(j.Call), Own: 667})
+		p.ApplyRemotePrefill(Prefill{Instance: "p-0", Parts: partsOf(j.Call), UnsharedTokens: 667})
 		plan, _ := p.Place(j)
 		require.Equal(t, c.late, plan.Late, c.queue)
 	}
@@ -204,7 +204,7 @@
 	require.Nil(t, ticket)
 	require.Equal(t, ReasonHopeless, plan.Reason)
 	require.Greater(t, plan.RetryAfter, time.Second, "the queue has to drain first")
-	require.Empty(t, p.Own())
+	require.Empty(t, p.LocalLoads())
 }
 
 func TestLoadIsCountedAndTakenBack(t *testing.T) {
@@ -214,16 +214,16 @@
 	plan, ticket := p.Place(j)
 	require.Equal(t, 9000, plan.Uncached, "nobody has read any of it")
 	want := Load{Requests: 1}
-	want.Unread[0] = Backlog{1, WorkOf(9000, 9000)}
-	require.Equal(t, want, p.Load(plan.Reader))
-	ticket.Read(true, Sound)
-	require.True(t, p.PlaceRead(j, &plan, ticket))
-	require.Equal(t, Load{Requests: 1, Starting: 1}, p.Load(plan.Runner))
+	want.Pending[0] = Backlog{1, PrefillWork(9000, 9000)}
+	require.Equal(t, want, p.Load(plan.PrefillEngine))
+	ticket.PrefillEnded(true, Succeeded)
+	require.True(t, p.PlaceDecode(j, &plan, ticket))
+	require.Equal(t, Load{Requests: 1, Starting: 1}, p.Load(plan.Target))
 	ticket.FirstEvent()
-	require.Equal(t, Load{Requests: 1}, p.Load(plan.Runner))
-	ticket.Run(Sound)
+	require.Equal(t, Load{Requests: 1}, p.Load(plan.Target))
+	ticket.RunEnded(Succeeded)
 	ticket.Cancel()
-	require.Empty(t, p.Own())
+	require.Empty(t, p.LocalLoads())
 }
 
 func TestRunners(t *testing.T) {
@@ -236,7 +236,7 @@
 			return Load{Requests: 6}
 		}, nil)
 		plan, _ := p.Place(job(all, "s", 100))
-		require.Equal(t, "d-1", plan.Runner.ID)
+		require.Equal(t, "d-1", plan.Target.ID)
 	})
 	t.Run("full ones refuse with a time to come back", func(t *testing.T) {
 		p := New("a", func(string) Load { return Load{Requests: 20} }, nil)
@@ -263,7 +263,7 @@
 		p.state(all[2]).replaced = true
 		for range 20 {
 			plan, _ := p.Place(j)
-			require.Equal(t, "d-3", plan.Runner.ID)
+			require.Equal(t, "d-3", plan.Target.ID)
 		}
 	})
 	t.Run("long answers are kept away from those that are the next to read", func(t *testing.T) {
@@ -278,7 +278,7 @@
 		for range 6 {
 			plan, ticket := p.Place(long)
 			ticket.FirstEvent()
-			used[plan.Runner.ID] = true
+			used[plan.Target.ID] = true
 		}
 		require.Len(t, used, 3, "as many as the load needs")
 		domains := map[string]bool{}
@@ -290,7 +290,7 @@
 		require.Len(t, domains, 3, "in all failure domains")
 		for range 40 {
 			plan, _ := p.Place(long)
-			used[plan.Runner.ID] = true
+			used[plan.Target.ID] = true
 		}
 		require.Len(t, used, 6, "none is refused while others are free")
 	})
@@ -307,7 +307,7 @@
 		for range 33 {
 			plan, ticket := p.Place(job(all, "s", 100))
 			ticket.FirstEvent()
-			got[plan.Runner.ID]++
+			got[plan.Target.ID]++
 		}
 		require.InDelta(t, 3, got["d-0"], 1.5)
 		require.InDelta(t, 15, got["d-1"], 2)
@@ -316,9 +316,9 @@
 		all := fleetOf(0, 2)
 		p := New("a", nil, nil)
 		first, ticket := p.Place(job(all, "s", 100))
-		ticket.Run(Unreachable)
+		ticket.RunEnded(Unreachable)
 		second, _ := p.Place(job(all, "s", 100))
-		require.NotEqual(t, first.Runner, second.Runner)
+		require.NotEqual(t, first.Target, second.Target)
 	})
 }
 
@@ -327,11 +327,11 @@
 	took := func(w Work) float64 { return 5 + float64(w.Tokens)/64 + 0.65*float64(w.Pairs)/million }
 	for n := range 400 {
 		uncached := 500 + n%20*500
-		w := WorkOf(uncached+n%7*3000, uncached)
+		w := PrefillWork(uncached+n%7*3000, uncached)
 		waited := n % 8 / 7 * 150 // one of eight waits for a prompt that is not known here
 		m.Observe(w, millis(took(w)+float64(waited)))
 	}
-	for _, w := range []Work{WorkOf(1000, 1000), WorkOf(17000, 3000), WorkOf(17000, 17000)} {
+	for _, w := range []Work{PrefillWork(1000, 1000), PrefillWork(17000, 3000), PrefillWork(17000, 17000)} {
 		require.InEpsilon(t, took(w), m.Read(w), 0.1, w)
 	}
 }
@@ -346,7 +346,7 @@
 	home := 0
 	for n := range 100 {
 		plan, ticket := p.Place(job(all, fmt.Sprint(n), 9000))
-		if plan.Reader == all[0] {
+		if plan.PrefillEngine == all[0] {
 			home++
 		}
 		ticket.Cancel()
@@ -358,15 +358,15 @@
 // yet, and has it start again under its ID.
 func TestWhatARunKeepsIsForgottenWithIt(t *testing.T) {
 	all := fleetOf(1, 1)
-	all[0].Born = 17
+	all[0].StartTime = 17
 	p := New("a", nil, nil)
 	j := job(all, "s", 9000)
-	p.Restore(all[0], 0, j.Call.Parts[:1])
+	p.RestoreCache(all[0], 0, j.Call.Parts[:1])
 	plan, ticket := p.Place(j)
-	require.Equal(t, ReasonHolder, plan.Reason)
+	require.Equal(t, ReasonCacheHolder, plan.Reason)
 	ticket.Cancel()
 	again := *all[0]
-	again.Born = 18
+	again.StartTime = 18
 	j.Permitted = []*fleet.Instance{&again, all[1]}
 	plan, _ = p.Place(j)
 	require.Equal(t, ReasonHome, plan.Reason)
--- a/placement/policy_test.go
+++ b/placement/policy_test.go
@@ -67,7 +67,7 @@
 		ticket.FirstEvent()
 		ticket.Gaps(time.Duration(10*(1+n%2*3))*time.Millisecond, 20)
 		if n > 0 {
-			ticket.Run(Sound)
+			ticket.RunEnded(Succeeded)
 		}
 	}
 	one := *short
@@ -108,8 +108,8 @@
 		for range 40 {
 			plan, ticket := p.Place(job(all, "s", 300))
 			require.NotNil(t, ticket)
-			ticket.Run(Sound)
-			out = append(out, plan.Runner.ID)
+			ticket.RunEnded(Succeeded)
+			out = append(out, plan.Target.ID)
 		}
 		return out
 	}
--- a/placement/reader.go
+++ b/placement/reader.go
@@ -32,13 +32,13 @@
 func (p *Placer) chooseReader(plan *Plan, j *Job, parts []Part, readers []*fleet.Instance) {
 	k := p.keepers(j, parts, readers)
 	p.chooseInTime(plan, j, readers, k)
-	if plan.Late = j.Left <= 0 || p.tooLate(j, plan); !plan.Late {
+	if plan.Late = j.Remaining <= 0 || p.tooLate(j, plan); !plan.Late {
 		return
 	}
 	p.chooseLeast(plan, j, readers, k, p.rankOf(j.Route, true))
 	plan.Reason = ReasonLate
-	if all := plan.Ahead + plan.Read; all > j.Left && p.policy.Has(RefuseHopeless) {
-		plan.Reader, plan.Reason = nil, ReasonHopeless
+	if all := plan.QueueDelay + plan.PrefillTime; all > j.Remaining && p.policy.Has(RefuseHopeless) {
+		plan.PrefillEngine, plan.Reason = nil, ReasonHopeless
 		plan.RetryAfter = max(all-j.Route.LatencyTarget, minRetry)
 	}
 }
@@ -52,7 +52,7 @@
 	if rank == firstRank || !p.tooLate(j, plan) {
 		return
 	}
-	busy := p.model(j.Service.Name).Busy(Backlog{1, WorkOf(j.Call.PromptTokens, plan.Uncached)})
+	busy := p.model(j.Service.Name).Busy(Backlog{1, PrefillWork(j.Call.PromptTokens, plan.Uncached)})
 	if p.sharesOf(j.Service.Name).small(j.Workspace, busy) {
 		p.chooseLeast(plan, j, readers, k, firstRank)
 	}
@@ -61,29 +61,29 @@
 // tooLate reports whether the answer that a plan leads to is not expected within its
 // target.
 func (p *Placer) tooLate(j *Job, plan *Plan) bool {
-	estimate := plan.Ahead + plan.Read + millis(p.model(j.Service.Name).after)
+	estimate := plan.QueueDelay + plan.PrefillTime + millis(p.model(j.Service.Name).after)
 	share := targetShare
 	if !p.policy.Has(TargetMargin) {
 		share = 1
 	}
-	return j.Route.LatencyTarget > 0 && estimate > time.Duration(share*float64(j.Route.LatencyTarget))-j.Spent
+	return j.Route.LatencyTarget > 0 && estimate > time.Duration(share*float64(j.Route.LatencyTarget))-j.Elapsed
 }
 
 // chooseLeast picks the reader with the shortest time until the prompt is read at a
 // rank.
 func (p *Placer) chooseLeast(plan *Plan, j *Job, readers []*fleet.Instance, k keepers, rank int) {
 	plan.Rank = rank
-	plan.Reader = nil
+	plan.PrefillEngine = nil
 	best := math.Inf(1)
 	var chosen estimate
 	for _, r := range readers {
 		e := p.estimate(j, r, k, rank)
 		if e.score < best {
 			best, chosen = e.score, e
-			plan.Reader = r
+			plan.PrefillEngine = r
 		}
 	}
-	plan.Uncached, plan.Ahead, plan.Read = chosen.uncached, millis(chosen.ahead), millis(chosen.read)
+	plan.Uncached, plan.QueueDelay, plan.PrefillTime = chosen.uncached, millis(chosen.ahead), millis(chosen.read)
 	plan.FetchFrom = nil
 	if chosen.fetched > 0 {
 		plan.FetchFrom = k.most
@@ -92,8 +92,8 @@
 	case chosen.fetched > 0:
 		plan.Reason = ReasonFetch
 	case chosen.kept > 0:
-		plan.Reason = ReasonHolder
-	case plan.Reader == k.home:
+		plan.Reason = ReasonCacheHolder
+	case plan.PrefillEngine == k.home:
 		plan.Reason = ReasonHome
 	default:
 		plan.Reason = ReasonSpill
@@ -111,7 +111,7 @@
 }
 
 func (p *Placer) keepers(j *Job, parts []Part, readers []*fleet.Instance) keepers {
-	k := keepers{parts: parts, home: Home(j.Call.Subject(), readers)}
+	k := keepers{parts: parts, home: PreferredEngine(j.Call.Subject(), readers)}
 	for _, i := range readers {
 		p.state(i).cache.resize(j.Service.KVCapacity)
 	}
@@ -141,8 +141,8 @@
 	e.uncached = j.Call.PromptTokens - e.kept - int((1-fetchedCost)*float64(e.fetched))
 	load := p.load(st)
 	pace := p.pace(st)
-	e.ahead = model.Ahead(&load.Unread, rank) * pace
-	e.read = model.Read(WorkOf(j.Call.PromptTokens, e.uncached)) * pace
+	e.ahead = model.Ahead(&load.Pending, rank) * pace
+	e.read = model.Read(PrefillWork(j.Call.PromptTokens, e.uncached)) * pace
 	e.score = (e.ahead + e.read) * p.penalty(st)
 	if r.Domain != j.Domain && p.policy.Has(NearReader) {
 		e.score += farRead
@@ -169,9 +169,9 @@
 	return st.penalty(p.now())
 }
 
-// Home returns the engine that first reads a subject, by rendezvous hashing, so
+// PreferredEngine returns the engine that first reads a subject, by rendezvous hashing, so
 // that all processes name the same one and a change of engines moves few subjects.
-func Home(subject string, engines []*fleet.Instance) *fleet.Instance {
+func PreferredEngine(subject string, engines []*fleet.Instance) *fleet.Instance {
 	var home *fleet.Instance
 	var most uint64
 	for _, e := range engines {
--- a/placement/readlog.go
+++ b/placement/readlog.go
@@ -7,12 +7,12 @@
 	"github.com/rockdoor/rockdoor/fleet"
 )
 
-// Read says that an engine has read a prompt, and so keeps its parts.
-type Read struct {
+// Prefill says that an engine has read a prompt, and so keeps its parts.
+type Prefill struct {
 	Instance string
 	// Parts are the shared parts in order, Own the tokens that nobody shares.
-	Parts []Part
-	Own   int
+	Parts          []Part
+	UnsharedTokens int
 }
 
 // readLog holds the reads of this process for the other ones, numbered from 1 on.
@@ -23,7 +23,7 @@
 }
 
 type loggedRead struct {
-	Read
+	Prefill
 	at time.Time
 }
 
@@ -31,7 +31,7 @@
 // asked for so long has lost more than these.
 const logKept = 2 * time.Second
 
-func (l *readLog) add(r Read, now time.Time) {
+func (l *readLog) add(r Prefill, now time.Time) {
 	for len(l.recent) > 0 && now.Sub(l.recent[0].at) > logKept {
 		l.recent = l.recent[1:]
 	}
@@ -39,9 +39,9 @@
 	l.recent = append(l.recent, loggedRead{r, now})
 }
 
-// ReadsAfter returns the reads of this process after the one with the number, as
+// PrefillsAfter returns the reads of this process after the one with the number, as
 // far as they are kept, and the number of the newest read.
-func (p *Placer) ReadsAfter(number uint64) ([]Read, uint64) {
+func (p *Placer) PrefillsAfter(number uint64) ([]Prefill, uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := &p.reads
@@ -49,23 +49,23 @@
 		number = 0 // of an earlier run of this process
 	}
 	fresh := min(l.last-number, uint64(len(l.recent)))
-	out := make([]Read, 0, fresh)
+	out := make([]Prefill, 0, fresh)
 	for _, r := range l.recent[uint64(len(l.recent))-fresh:] {
-		out = append(out, r.Read)
+		out = append(out, r.Prefill)
 	}
 	return out, l.last
 }
 
-// Learn takes in what another process had an engine read.
-func (p *Placer) Learn(r Read) {
+// ApplyRemotePrefill takes in what another process had an engine read.
+func (p *Placer) ApplyRemotePrefill(r Prefill) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stateOf(r.Instance).read(r.Parts, r.Own)
+	p.stateOf(r.Instance).read(r.Parts, r.UnsharedTokens)
 }
 
-// Restore takes in which parts of prompts this run of an engine, with a memory in tokens,
+// RestoreCache takes in which parts of prompts this run of an engine, with a memory in tokens,
 // keeps.
-func (p *Placer) Restore(i *fleet.Instance, memory int, parts []engine.Part) {
+func (p *Placer) RestoreCache(i *fleet.Instance, memory int, parts []engine.Part) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := p.state(i).cache
--- a/placement/runner.go
+++ b/placement/runner.go
@@ -37,17 +37,17 @@
 		if spare[r.ID] {
 			score += spareShare * float64(r.Slots)
 		}
-		if plan.Reader != nil && r.Domain != plan.Reader.Domain && p.policy.Has(RunnerNearReader) {
+		if plan.PrefillEngine != nil && r.Domain != plan.PrefillEngine.Domain && p.policy.Has(RunnerNearReader) {
 			score += moveShare * float64(r.Slots)
 		}
 		if score < best {
 			best = score
-			plan.Runner = r
+			plan.Target = r
 		}
 	}
-	if plan.Runner == nil {
+	if plan.Target == nil {
 		plan.Reason, plan.RetryAfter = ReasonFull, fullRetry
-	} else if plan.Reader == nil {
+	} else if plan.PrefillEngine == nil {
 		plan.Reason = ReasonLeast
 	}
 }
@@ -57,7 +57,7 @@
 // its longest answer, so long answers are kept away from these. A prompt that was
 // read apart has a short one.
 func (p *Placer) spare(j *Job, plan *Plan, runners []*fleet.Instance) map[string]bool {
-	if j.Service.KVCapacity == 0 || plan.Reader != nil || len(runners) < 2 || !p.policy.Has(SpareRunners) {
+	if j.Service.KVCapacity == 0 || plan.PrefillEngine != nil || len(runners) < 2 || !p.policy.Has(SpareRunners) {
 		return nil
 	}
 	requests, slots := 0, 1
--- a/placement/state.go
+++ b/placement/state.go
@@ -31,23 +31,23 @@
 // Load is work in hand at an instance.
 type Load struct {
 	Requests int `json:"requests"`
-	// Unread are the prompts that are still to be read.
-	Unread Unread `json:"unread"`
+	// Pending are the prompts that are still to be read.
+	Pending PendingByRank `json:"unread"`
 	// Starting are the requests that were sent to generate and whose answers have
 	// not begun.
 	Starting int `json:"starting"`
-	// Long are the requests to engines whose answers last for seconds.
-	Long int `json:"long"`
+	// LongResponses are the requests to engines whose answers last for seconds.
+	LongResponses int `json:"long"`
 }
 
 // Add returns the sum of two loads.
 func (l Load) Add(m Load) Load {
-	return Load{l.Requests + m.Requests, l.Unread.add(m.Unread), l.Starting + m.Starting, l.Long + m.Long}
+	return Load{l.Requests + m.Requests, l.Pending.add(m.Pending), l.Starting + m.Starting, l.LongResponses + m.LongResponses}
 }
 
 // Sub returns the difference of two loads.
 func (l Load) Sub(m Load) Load {
-	return Load{l.Requests - m.Requests, l.Unread.sub(m.Unread), l.Starting - m.Starting, l.Long - m.Long}
+	return Load{l.Requests - m.Requests, l.Pending.sub(m.Pending), l.Starting - m.Starting, l.LongResponses - m.LongResponses}
 }
 
 // state is what is known about one instance.
@@ -77,10 +77,10 @@
 // forgotten but for the work in hand, which ends by itself.
 func (p *Placer) state(i *fleet.Instance) *state {
 	st := p.stateOf(i.ID)
-	if st.born != i.Born {
+	if st.born != i.StartTime {
 		own := st.own
 		*st = *newState(i.ID)
-		st.born, st.own = i.Born, own
+		st.born, st.own = i.StartTime, own
 	}
 	return st
 }
@@ -152,9 +152,9 @@
 	s.gap += (ms - s.gap) * gapStep
 }
 
-// Own returns what this process has in hand at each instance where it has any. It costs what those are,
+// LocalLoads returns what this process has in hand at each instance where it has any. It costs what those are,
 // not what there is: it is asked for each digest.
-func (p *Placer) Own() map[string]Load {
+func (p *Placer) LocalLoads() map[string]Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := map[string]Load{}
@@ -168,13 +168,13 @@
 	return out
 }
 
-// Prompts returns how many prompts of this process wait to be read or are being read.
-func (p *Placer) Prompts() int {
+// PendingPrompts returns how many prompts of this process wait to be read or are being read.
+func (p *Placer) PendingPrompts() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
 	for _, st := range p.busy {
-		n += st.own.Unread.All().Prompts
+		n += st.own.Pending.All().Prompts
 	}
 	return n
 }
--- a/placement/ticket.go
+++ b/placement/ticket.go
@@ -46,15 +46,15 @@
 
 // read counts the job at its reader. The caller holds the placer's lock.
 func (t *Ticket) read(plan *Plan) {
-	t.reader = t.p.state(plan.Reader)
+	t.reader = t.p.state(plan.PrefillEngine)
 	t.reader.breaker.sent(t.begun)
 	ahead := t.p.load(t.reader)
-	work := WorkOf(t.tokens, plan.Uncached)
-	t.idle = ahead.Unread.All().Prompts == 0
-	t.expected = t.model.Ahead(&ahead.Unread, plan.Rank) + t.model.Read(work)
+	work := PrefillWork(t.tokens, plan.Uncached)
+	t.idle = ahead.Pending.All().Prompts == 0
+	t.expected = t.model.Ahead(&ahead.Pending, plan.Rank) + t.model.Read(work)
 	t.late = plan.Late
 	t.reading = Load{Requests: 1}
-	t.reading.Unread[plan.Rank] = Backlog{1, work}
+	t.reading.Pending[plan.Rank] = Backlog{1, work}
 	t.p.addWork(t.reader, t.reading)
 	t.busy = t.model.Busy(Backlog{1, work})
 	t.shares.add(t.workspace, t.busy)
@@ -65,7 +65,7 @@
 // others would fetch it from there before it is read. The caller holds the lock.
 func (t *Ticket) keep() {
 	t.reader.read(t.parts, t.own)
-	t.p.reads.add(Read{t.reader.id, t.parts, t.own}, t.p.now())
+	t.p.reads.add(Prefill{t.reader.id, t.parts, t.own}, t.p.now())
 }
 
 // run counts the job at its runner. The caller holds the placer's lock.
@@ -74,7 +74,7 @@
 	t.runner.breaker.sent(t.sentAt)
 	t.running = Load{Requests: 1}
 	if long {
-		t.running.Long = 1
+		t.running.LongResponses = 1
 	}
 	t.p.addWork(t.runner, t.running)
 	t.runner.own.Starting++
@@ -87,8 +87,8 @@
 	p.busy[st.id] = st
 }
 
-// Read records how reading apart ended; read is true if the prompt was read.
-func (t *Ticket) Read(read bool, o Outcome) {
+// PrefillEnded records how reading apart ended; read is true if the prompt was read.
+func (t *Ticket) PrefillEnded(read bool, o Outcome) {
 	t.p.mu.Lock()
 	defer t.p.mu.Unlock()
 	r := t.reader
@@ -110,7 +110,7 @@
 	}
 	// A read that waited for another process's tells nothing of the engine.
 	if !t.p.policy.Has(CleanSamples) || t.alone(r) {
-		t.model.Observe(t.reading.Unread.All().Work, took)
+		t.model.Observe(t.reading.Pending.All().Work, took)
 	}
 }
 
@@ -118,7 +118,7 @@
 // caller holds the lock.
 func (t *Ticket) alone(r *state) bool {
 	others := t.p.load(r)
-	return t.idle && r.reads == t.readsBefore+1 && others.Unread.All().Prompts == 0
+	return t.idle && r.reads == t.readsBefore+1 && others.Pending.All().Prompts == 0
 }
 
 // FirstEvent records that the answer begins.
@@ -187,8 +187,8 @@
 
 // Outcomes.
 const (
-	// Sound: the instance did what it should, or is not to blame.
-	Sound Outcome = iota
+	// Succeeded: the instance did what it should, or is not to blame.
+	Succeeded Outcome = iota
 	// Failed: the instance refused, broke off or answered wrongly.
 	Failed
 	// Unreachable: nothing could be sent.
@@ -209,8 +209,8 @@
 	}
 }
 
-// Run records how the request ended at the runner.
-func (t *Ticket) Run(o Outcome) {
+// RunEnded records how the request ended at the runner.
+func (t *Ticket) RunEnded(o Outcome) {
 	t.p.mu.Lock()
 	defer t.p.mu.Unlock()
 	if t.runner == nil {
--- a/placement/unread.go
+++ b/placement/unread.go
@@ -47,18 +47,18 @@
 	return Work{b.Tokens / b.Prompts / 2, b.Pairs / b.Prompts / 2}
 }
 
-// Unread is the prompts that are still to be read at an engine, by the rank at which
+// PendingByRank is the prompts that are still to be read at an engine, by the rank at which
 // it reads them.
-type Unread [Ranks]Backlog
+type PendingByRank [Ranks]Backlog
 
 // All returns the prompts of all ranks.
-func (u *Unread) All() Backlog { return u.through(Ranks - 1) }
+func (u *PendingByRank) All() Backlog { return u.through(Ranks - 1) }
 
 // Late returns those of requests that are not expected in time.
-func (u *Unread) Late() Backlog { return u.All().sub(u.through(lateRank - 1)) }
+func (u *PendingByRank) Late() Backlog { return u.All().sub(u.through(lateRank - 1)) }
 
 // through returns the prompts that are read before a new one of a rank.
-func (u *Unread) through(rank int) Backlog {
+func (u *PendingByRank) through(rank int) Backlog {
 	var sum Backlog
 	for _, b := range u[:rank+1] {
 		sum = sum.Add(b)
@@ -66,14 +66,14 @@
 	return sum
 }
 
-func (u Unread) add(v Unread) Unread {
+func (u PendingByRank) add(v PendingByRank) PendingByRank {
 	for rank := range u {
 		u[rank] = u[rank].Add(v[rank])
 	}
 	return u
 }
 
-func (u Unread) sub(v Unread) Unread {
+func (u PendingByRank) sub(v PendingByRank) PendingByRank {
 	for rank := range u {
 		u[rank] = u[rank].sub(v[rank])
 	}
--- a/quarantine/blame.go
+++ b/quarantine/blame.go
@@ -52,7 +52,7 @@
 func newCandidate(f Fingerprint, crashes []numberedObservation) *candidate {
 	c := &candidate{fingerprint: f, crashes: crashes}
 	for _, e := range crashes {
-		c.totalRunTime += e.Ran
+		c.totalRunTime += e.RunTime
 	}
 	return c
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -38,9 +38,9 @@
 	// Instance is the instance that crashed under the request. It is empty if the run was
 	// successful.
 	Instance string
-	// Ran is the time from the start of the request on the instance to the crash.
-	Ran time.Duration
-	At  bootclock.Instant
+	// RunTime is the time from the start of the request on the instance to the crash.
+	RunTime time.Duration
+	At      bootclock.Instant
 }
 
 // Verdict says whether a request may be sent to an instance.
@@ -49,19 +49,19 @@
 	// retried.
 	Refused    bool
 	RetryAfter time.Duration
-	// Convicted is true if the request is a poison request. Trial is true if it may run
+	// Quarantined is true if the request is a poison request. Trial is true if it may run
 	// nevertheless, because the quarantine time is over.
-	Convicted, Trial bool
-	// Ended lists the instances that crashed under the request since its last successful run.
-	Ended []string
+	Quarantined, Trial bool
+	// CrashedInstances lists the instances that crashed under the request since its last successful run.
+	CrashedInstances []string
 }
 
 // Suspect is a request under which instances have crashed.
 type Suspect struct {
 	Request Fingerprint
 	Verdict Verdict
-	// LastEnd is the time since the last crash.
-	LastEnd time.Duration
+	// SinceLastCrash is the time since the last crash.
+	SinceLastCrash time.Duration
 }
 
 // Table holds the observations of all suspects. It is safe for concurrent use.
@@ -110,8 +110,8 @@
 // SetClock replaces the clock. It must be called before the table is used.
 func (t *Table) SetClock(now func() bootclock.Instant) { t.now = now }
 
-// News returns a channel that has an entry when there are new observations.
-func (t *Table) News() <-chan struct{} { return t.updates }
+// Updates returns a channel that has an entry when there are new observations.
+func (t *Table) Updates() <-chan struct{} { return t.updates }
 
 // Empty reports whether there are no suspects. Callers then need not compute fingerprints.
 func (t *Table) Empty() bool {
@@ -120,24 +120,24 @@
 	return len(t.suspects) == 0
 }
 
-// Ended records that an instance has crashed under a request that had run there for the given time.
+// RecordCrash records that an instance has crashed under a request that had run there for the given time.
 // It returns the verdict on the request.
-func (t *Table) Ended(f Fingerprint, instance string, ran time.Duration) Verdict {
+func (t *Table) RecordCrash(f Fingerprint, instance string, ran time.Duration) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.apply(Observation{f, instance, ran, t.now()})
 	return t.verdictOf(f)
 }
 
-// Sound records a successful run of a request.
-func (t *Table) Sound(f Fingerprint) {
+// RecordSuccess records a successful run of a request.
+func (t *Table) RecordSuccess(f Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.apply(Observation{Request: f, At: t.now()})
 }
 
-// Learn merges observations of other processes into the table.
-func (t *Table) Learn(all []Observation) {
+// Merge merges observations of other processes into the table.
+func (t *Table) Merge(all []Observation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, o := range all {
@@ -229,20 +229,20 @@
 	return s.crashes[len(s.crashes)-1].At
 }
 
-// Judge returns the verdict on a request that is to be sent to an instance. If it permits a poison
+// Admit returns the verdict on a request that is to be sent to an instance. If it permits a poison
 // request because its quarantine time is over, the request counts as the trial.
-func (t *Table) Judge(f Fingerprint) Verdict {
+func (t *Table) Admit(f Fingerprint) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	v := t.verdictOf(f)
-	if v.Convicted && !v.Refused {
+	if v.Quarantined && !v.Refused {
 		v.Trial, t.suspects[f].lastTrial = true, t.now()
 	}
 	return v
 }
 
-// Look returns the verdict on a request without starting a trial.
-func (t *Table) Look(f Fingerprint) Verdict {
+// Verdict returns the verdict on a request without starting a trial.
+func (t *Table) Verdict(f Fingerprint) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.verdictOf(f)
@@ -255,9 +255,9 @@
 	}
 	var v Verdict
 	for _, e := range s.crashesSinceSuccess() {
-		v.Ended = append(v.Ended, e.Instance)
+		v.CrashedInstances = append(v.CrashedInstances, e.Instance)
 	}
-	if v.Convicted = t.poisonRequests()[f]; !v.Convicted {
+	if v.Quarantined = t.poisonRequests()[f]; !v.Quarantined {
 		return v
 	}
 	until := s.lastCrash().Add(quarantineTime)
@@ -280,14 +280,14 @@
 		out = append(out, Suspect{f, t.verdictOf(f), now.Sub(s.lastCrash())})
 	}
 	slices.SortFunc(out, func(a, b Suspect) int {
-		return cmp.Or(cmp.Compare(len(b.Verdict.Ended), len(a.Verdict.Ended)), cmp.Compare(a.LastEnd, b.LastEnd))
+		return cmp.Or(cmp.Compare(len(b.Verdict.CrashedInstances), len(a.Verdict.CrashedInstances)), cmp.Compare(a.SinceLastCrash, b.SinceLastCrash))
 	})
 	return out
 }
 
-// After returns up to limit observations that follow the one with the given number, in their order,
+// ObservationsAfter returns up to limit observations that follow the one with the given number, in their order,
 // and the number of the last of them.
-func (t *Table) After(number uint64, limit int) ([]Observation, uint64) {
+func (t *Table) ObservationsAfter(number uint64, limit int) ([]Observation, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var all []numberedObservation
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -28,25 +28,25 @@
 	f := testFingerprint(1)
 	require.True(t, table.Empty())
 	for n := range quarantineThreshold {
-		require.False(t, table.Judge(f).Refused, "after %d crashes", n)
-		table.Ended(f, fmt.Sprint("i-", n), 0)
-		table.Ended(f, fmt.Sprint("i-", n), 0) // as observed by another process
+		require.False(t, table.Admit(f).Refused, "after %d crashes", n)
+		table.RecordCrash(f, fmt.Sprint("i-", n), 0)
+		table.RecordCrash(f, fmt.Sprint("i-", n), 0) // as observed by another process
 	}
-	v := table.Judge(f)
+	v := table.Admit(f)
 	require.True(t, v.Refused)
 	require.Equal(t, quarantineTime, v.RetryAfter)
-	require.Len(t, v.Ended, quarantineThreshold)
-	require.False(t, table.Judge(testFingerprint(2)).Refused, "another request")
+	require.Len(t, v.CrashedInstances, quarantineThreshold)
+	require.False(t, table.Admit(testFingerprint(2)).Refused, "another request")
 	*now = now.Add(quarantineTime)
-	require.False(t, table.Judge(f).Refused, "the trial is permitted")
-	require.True(t, table.Judge(f).Refused, "no second trial at the same time")
-	table.Ended(f, "i-9", 0)
-	require.Equal(t, quarantineTime, table.Judge(f).RetryAfter, "the trial crashed an engine")
+	require.False(t, table.Admit(f).Refused, "the trial is permitted")
+	require.True(t, table.Admit(f).Refused, "no second trial at the same time")
+	table.RecordCrash(f, "i-9", 0)
+	require.Equal(t, quarantineTime, table.Admit(f).RetryAfter, "the trial crashed an engine")
 	*now = now.Add(quarantineTime + 1)
-	require.False(t, table.Judge(f).Refused)
-	table.Sound(f)
-	require.False(t, table.Judge(f).Refused, "the trial was successful")
-	require.False(t, table.Judge(f).Convicted)
+	require.False(t, table.Admit(f).Refused)
+	table.RecordSuccess(f)
+	require.False(t, table.Admit(f).Refused, "the trial was successful")
+	require.False(t, table.Admit(f).Quarantined)
 }
 
 // TestOneRequestIsBlamedForACrash checks that a request that is in flight on the same engines as a
@@ -56,17 +56,17 @@
 	poison, concurrent := testFingerprint(1), testFingerprint(2)
 	for n := range quarantineThreshold {
 		i := fmt.Sprint("i-", n)
-		table.Ended(concurrent, i, 60*time.Millisecond)
-		table.Ended(poison, i, 40*time.Millisecond)
-		table.Ended(testFingerprint(10+n), i, time.Second)
+		table.RecordCrash(concurrent, i, 60*time.Millisecond)
+		table.RecordCrash(poison, i, 40*time.Millisecond)
+		table.RecordCrash(testFingerprint(10+n), i, time.Second)
 	}
-	require.True(t, table.Judge(poison).Refused)
-	require.False(t, table.Judge(concurrent).Refused)
-	require.False(t, table.Judge(testFingerprint(10)).Refused)
+	require.True(t, table.Admit(poison).Refused)
+	require.False(t, table.Admit(concurrent).Refused)
+	require.False(t, table.Admit(testFingerprint(10)).Refused)
 	for n := range quarantineThreshold {
-		table.Ended(concurrent, fmt.Sprint("j-", n), time.Second)
+		table.RecordCrash(concurrent, fmt.Sprint("j-", n), time.Second)
 	}
-	require.True(t, table.Judge(concurrent).Refused, "it crashes engines by itself")
+	require.True(t, table.Admit(concurrent).Refused, "it crashes engines by itself")
 }
 
 // TestSuccessClearsARequest checks that only crashes after the last successful run count, also if
@@ -75,12 +75,12 @@
 	table, now := newTestTable()
 	f := testFingerprint(1)
 	at := *now
-	table.Learn([]Observation{{f, "i-1", 0, at}, {f, "i-2", 0, at}, {f, "", 0, at + 1}, {f, "i-3", 0, at + 2}})
-	require.False(t, table.Look(f).Refused)
-	table.Learn([]Observation{{f, "i-0", 0, at - 1}})
-	require.False(t, table.Look(f).Refused, "before the successful run")
-	table.Learn([]Observation{{f, "i-4", 0, at + 3}, {f, "i-5", 0, at + 4}})
-	require.True(t, table.Look(f).Refused)
+	table.Merge([]Observation{{f, "i-1", 0, at}, {f, "i-2", 0, at}, {f, "", 0, at + 1}, {f, "i-3", 0, at + 2}})
+	require.False(t, table.Verdict(f).Refused)
+	table.Merge([]Observation{{f, "i-0", 0, at - 1}})
+	require.False(t, table.Verdict(f).Refused, "before the successful run")
+	table.Merge([]Observation{{f, "i-4", 0, at + 3}, {f, "i-5", 0, at + 4}})
+	require.True(t, table.Verdict(f).Refused)
 }
 
 // TestMergedTablesAgree merges the observations of one table into another, one at a time.
@@ -89,20 +89,20 @@
 	to, _ := newTestTable()
 	f := testFingerprint(1)
 	for n := range quarantineThreshold {
-		from.Ended(f, fmt.Sprint("i-", n), 0)
+		from.RecordCrash(f, fmt.Sprint("i-", n), 0)
 	}
 	number := uint64(0)
 	for range quarantineThreshold {
-		all, last := from.After(number, 1)
+		all, last := from.ObservationsAfter(number, 1)
 		require.Len(t, all, 1)
 		require.Greater(t, last, number)
 		number = last
-		to.Learn(all)
+		to.Merge(all)
 	}
-	all, last := from.After(number, 1)
+	all, last := from.ObservationsAfter(number, 1)
 	require.Empty(t, all)
 	require.Equal(t, number, last)
-	require.Equal(t, from.Look(f), to.Look(f))
+	require.Equal(t, from.Verdict(f), to.Verdict(f))
 }
 
 // TestTableIsBounded floods a table with suspects and checks that a rejected one is not evicted.
@@ -110,17 +110,17 @@
 	table, now := newTestTable()
 	poison := testFingerprint(-1)
 	for n := range quarantineThreshold {
-		table.Ended(poison, fmt.Sprint("i-", n), 0)
+		table.RecordCrash(poison, fmt.Sprint("i-", n), 0)
 	}
 	for n := range maxSuspects + 10 {
 		*now++
-		table.Ended(testFingerprint(n), "j", 0)
+		table.RecordCrash(testFingerprint(n), "j", 0)
 	}
 	require.Len(t, table.Suspects(), maxSuspects)
 	require.Equal(t, poison, table.Suspects()[0].Request)
-	require.True(t, table.Look(poison).Refused)
+	require.True(t, table.Verdict(poison).Refused)
 	*now = now.Add(suspectRetention + quarantineTime + 1)
-	table.Ended(testFingerprint(1), "k", 0)
+	table.RecordCrash(testFingerprint(1), "k", 0)
 	require.Len(t, table.Suspects(), 1, "expired suspects are removed")
 }
 
--- a/truetime/truetime.go
+++ b/truetime/truetime.go
@@ -52,9 +52,9 @@
 	return c
 }
 
-// Own returns the time by the host's clock alone, for other processes to hear. A clock that is
+// HostTime returns the time by the host's clock alone, for other processes to hear. A clock that is
 // set while this process runs is followed slowly.
-func (c *Clock) Own() time.Time {
+func (c *Clock) HostTime() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.boot()
@@ -73,16 +73,16 @@
 	return zero
 }
 
-// HearPeer takes in what the host's clock of an equal says now.
-func (c *Clock) HearPeer(name string, wall time.Time) {
+// ObservePeer takes in what the host's clock of an equal says now.
+func (c *Clock) ObservePeer(name string, wall time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.peers[name] = c.sample(wall)
 }
 
-// HearSource takes in the time that a process has agreed on with its equals. It goes before
+// ObserveSource takes in the time that a process has agreed on with its equals. It goes before
 // all others.
-func (c *Clock) HearSource(now time.Time) {
+func (c *Clock) ObserveSource(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.source = c.sample(now)
--- a/truetime/truetime_test.go
+++ b/truetime/truetime_test.go
@@ -33,7 +33,7 @@
 		c := host(&walls[own], &boot)
 		for n, w := range walls {
 			if n != own {
-				c.HearPeer(string(rune('a'+n)), w)
+				c.ObservePeer(string(rune('a'+n)), w)
 			}
 		}
 		require.InDelta(t, 0, c.Now().Sub(true0).Seconds(), 0.0201)
@@ -43,7 +43,7 @@
 func TestTheSourceGoesFirstWhileItIsHeard(t *testing.T) {
 	wall, boot := time.Unix(1000, 0), bootclock.Instant(time.Hour)
 	c := host(&wall, &boot)
-	c.HearSource(time.Unix(2000, 0))
+	c.ObserveSource(time.Unix(2000, 0))
 	boot = boot.Add(time.Second)
 	wall = time.Unix(3000, 0)
 	require.Equal(t, time.Unix(2001, 0), c.Now())
@@ -71,8 +71,8 @@
 		}
 		own = start.Add(passed() + drift)
 		other = start.Add(passed() + jump)
-		c.HearPeer("peer", peer.Own())
+		c.ObservePeer("peer", peer.HostTime())
 		require.InDelta(t, 0, c.Now().Sub(start.Add(passed())).Seconds(), 0.02, step)
 	}
-	require.InDelta(t, drift.Seconds(), c.Own().Sub(start.Add(passed())).Seconds(), 0.001, "drift is followed")
+	require.InDelta(t, drift.Seconds(), c.HostTime().Sub(start.Add(passed())).Seconds(), 0.001, "drift is followed")
 }
