--- a/duty/duty.go
+++ b/duty/duty.go
@@ -46,8 +46,8 @@
 	Store  objstore.Store
 	Prefix string
 	Self   members.Member
-	// TTL is the time to live of the lease. Apart is how long a new holder waits before it acts,
-	// so that no request of the previous holder arrives after its own.
+	// TTL is the time to live of the lease. HandoverDelay is how long a new holder waits before it
+	// acts, so that no request of the previous holder arrives after its own.
 	TTL, HandoverDelay time.Duration
 	// View returns the latest view. Only schedulers perform duties, since they know the load.
 	View func() *fleet.View
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -86,9 +86,9 @@
 	Incarnation string
 	Address     string
 	TTL         time.Duration
-	// HolderTerminated reports whether the holder in a record is known to have terminated, and how that is
-	// known. Its lease is then taken over before it expires. Gone may be nil.
-	HolderTerminated func(Record) (reason string, gone bool)
+	// HolderTerminated reports whether the holder in a record is known to have terminated, and how
+	// that is known. Its lease is then taken over before it expires. HolderTerminated may be nil.
+	HolderTerminated func(Record) (reason string, terminated bool)
 	// GoverningLease is written into the record. A lease whose record has the same value is taken
 	// over at once. If it is empty, a lease is only taken over when it has expired.
 	GoverningLease string
@@ -255,7 +255,7 @@
 	if rec.GoverningLease != "" && rec.GoverningLease == l.o.GoverningLease {
 		return true
 	}
-	if reason, gone := l.holderGone(rec); gone {
+	if reason, terminated := l.holderTerminated(rec); terminated {
 		level.Info(l.logger).Log("msg", "lease taken over early", "holder", rec.Holder, "incarnation", rec.Incarnation, "reason", reason)
 		return true
 	}
@@ -270,7 +270,7 @@
 	return false
 }
 
-func (l *Lessee) holderGone(rec Record) (string, bool) {
+func (l *Lessee) holderTerminated(rec Record) (string, bool) {
 	if l.o.HolderTerminated == nil {
 		return "", false
 	}
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -42,13 +42,13 @@
 	ctx := context.Background()
 	s := memstore.New()
 	a, b := newLessee(s, "a", time.Hour), newLessee(s, "b", time.Hour)
-	gone := false
-	b.o.HolderTerminated = func(Record) (string, bool) { return "test", gone }
+	terminated := false
+	b.o.HolderTerminated = func(Record) (string, bool) { return "test", terminated }
 	require.NoError(t, a.Step(ctx))
 	require.NoError(t, b.Step(ctx))
 	_, held := b.Grant()
 	require.False(t, held)
-	gone = true
+	terminated = true
 	require.NoError(t, b.Step(ctx))
 	_, held = b.Grant()
 	require.True(t, held)
--- a/orders/giver.go
+++ b/orders/giver.go
@@ -31,7 +31,7 @@
 
 var _ Sender = GuardedSender{}
 
-// Send implements Giver.
+// Send implements Sender.
 func (GuardedSender) Send(ctx context.Context, g lease.Grant, address string, o engine.Order) error {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -20,7 +20,7 @@
 	"github.com/rockdoor/rockdoor/objstore/memstore"
 )
 
-// fakeEngine records the orders that took effect. The test decides how Give fails.
+// fakeEngine records the orders that took effect. The test decides how Send fails.
 type fakeEngine struct {
 	mu          sync.Mutex
 	fencing     bool
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -52,7 +52,8 @@
 	// Quarantined is true if the request is a poison request. Trial is true if it may run
 	// nevertheless, because the quarantine time is over.
 	Quarantined, Trial bool
-	// CrashedInstances lists the instances that crashed under the request since its last successful run.
+	// CrashedInstances lists the instances that crashed under the request since its last successful
+	// run.
 	CrashedInstances []string
 }
 
