--- a/fault/fault.go
+++ b/fault/fault.go
@@ -12,23 +12,24 @@
 // Kind classifies an error. Its text is the stable code that callers see.
 type Kind string
 
-// Kinds of errors. Each says whose move is next.
+// Kinds of errors. Each says who has to act next, and how.
 const (
 	// Invalid means that the input is wrong and must be changed before it is sent again.
 	Invalid Kind = "invalid"
 	// NotFound means that the named object does not exist.
 	NotFound Kind = "not_found"
-	// Conflict means that another writer was first; read the current state and decide again.
+	// Conflict means that another writer has changed the state; read it again before the next
+	// attempt.
 	Conflict Kind = "conflict"
-	// Unavailable means that the operation had no effect and may be repeated later.
+	// Unavailable means that the operation had no effect and may be retried later.
 	Unavailable Kind = "unavailable"
-	// Unknown means that nobody can tell whether the operation took effect.
+	// Unknown means that it is not known whether the operation took effect.
 	Unknown Kind = "unknown"
-	// Exhausted means that a limit was reached; wait before asking again.
+	// Exhausted means that a limit was reached; wait before retrying.
 	Exhausted Kind = "exhausted"
 	// Denied means that the credentials or the placement rules do not permit the operation.
 	Denied Kind = "denied"
-	// Internal means that rockdoor itself is at fault.
+	// Internal means that rockdoor itself has a defect.
 	Internal Kind = "internal"
 )
 
--- a/guard/example_test.go
+++ b/guard/example_test.go
@@ -9,8 +9,8 @@
 )
 
 func Example() {
-	authority := bootclock.Now().Add(time.Minute)
-	err := guard.Do(authority, time.Second, func() error {
+	deadline := bootclock.Now().Add(time.Minute)
+	err := guard.Do(deadline, time.Second, func() error {
 		fmt.Println("written in time")
 		return nil
 	})
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -1,15 +1,16 @@
-// Package guard bounds in time what a process writes to the outside, even if
-// the process is stopped in the middle. It arms a kernel timer that kills the
-// process at a deadline, does its check and its write, and disarms the timer.
+// Package guard prevents a process from writing after a deadline, even if the
+// process is stopped between checking the deadline and writing. It arms a kernel
+// timer that kills the process at the deadline, checks the deadline, writes, and
+// disarms the timer.
 //
-// A process that is paused before the check notices at the check that the
-// deadline has passed. A process that is paused between the check and the write
-// is killed by the kernel at the deadline while it is still stopped, so the
-// write never happens. Only a pause within those few microseconds that outlasts
-// the deadline costs the process.
+// If the process is paused before the check, the check detects that the deadline
+// has passed. If it is paused between the check and the write, the kernel kills it
+// at the deadline while it is still stopped, so the write never happens. The
+// process is lost only if a pause begins within these few microseconds and lasts
+// beyond the deadline.
 //
-// The guard does not hold where the whole host is suspended and its kernel
-// delivers the signal only after the process has run again.
+// The guard gives no protection if the whole host is suspended and its kernel
+// delivers the signal only after the process has resumed.
 package guard
 
 import (
@@ -22,7 +23,7 @@
 	"github.com/rockdoor/rockdoor/fault"
 )
 
-// sigevent is struct sigevent of the kernel for 64-bit systems.
+// sigevent is the kernel's struct sigevent on 64-bit systems.
 type sigevent struct {
 	value  uint64
 	signo  int32
@@ -30,7 +31,7 @@
 	pad    [48]byte
 }
 
-// itimerspec is struct itimerspec of the kernel.
+// itimerspec is the kernel's struct itimerspec.
 type itimerspec struct {
 	interval unix.Timespec
 	value    unix.Timespec
@@ -41,10 +42,10 @@
 	timerAbstime = 1
 )
 
-// Timer kills the process at an instant unless it is disarmed before.
+// Timer kills the process at a given instant unless it is disarmed before.
 type Timer struct{ id int32 }
 
-// Arm starts a timer for the given instant of the boot-time clock.
+// Arm starts a Timer for an instant of the boot-time clock.
 func Arm(at bootclock.Instant) (*Timer, error) {
 	ev := sigevent{signo: int32(unix.SIGKILL), notify: sigevSignal}
 	t := &Timer{}
@@ -61,16 +62,17 @@
 	return t, nil
 }
 
-// Disarm stops the timer.
+// Disarm deletes the timer.
 func (t *Timer) Disarm() {
 	_, _, _ = unix.RawSyscall(unix.SYS_TIMER_DELETE, uintptr(t.id), 0, 0)
 }
 
-// Do runs write if the deadline is at least margin away, with a timer armed for
-// the deadline around both the check and the write. write must not block.
+// Do runs write if at least margin remains until the deadline, and returns
+// ErrTooLate otherwise. A Timer for the deadline is armed during both the check and
+// the write. write must not block.
 func Do(deadline bootclock.Instant, margin time.Duration, write func() error) error {
 	if bootclock.Now().Add(margin) >= deadline {
-		return ErrTooLate // a timer armed for the past would kill at once
+		return ErrTooLate // a timer for a past instant would kill the process at once
 	}
 	t, err := Arm(deadline)
 	if err != nil {
@@ -83,5 +85,5 @@
 	return write()
 }
 
-// ErrTooLate means that the deadline was too near for the write.
+// ErrTooLate means that less than the margin remained until the deadline.
 var ErrTooLate = fault.New(fault.Denied, "authority ends too soon for this write", "the next holder of the lease carries on")
--- a/guard/guard_test.go
+++ b/guard/guard_test.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	childVariable = "ROCKDOOR_GUARD_CHILD"
-	lease         = 300 * time.Millisecond
+	childVariable  = "ROCKDOOR_GUARD_CHILD"
+	timeToDeadline = 300 * time.Millisecond
 )
 
 func TestMain(m *testing.M) {
@@ -28,9 +28,9 @@
 	os.Exit(m.Run())
 }
 
-// child stops itself at the given place and then tries to write late.
+// child stops itself at the given place and tries to write after it is continued.
 func child(where string) {
-	deadline := bootclock.Now().Add(lease)
+	deadline := bootclock.Now().Add(timeToDeadline)
 	pause := func(here string) {
 		if here == where {
 			fmt.Println("stopped")
@@ -69,7 +69,7 @@
 	for sc.Scan() {
 		lines = append(lines, sc.Text())
 		if sc.Text() == "stopped" {
-			time.Sleep(2 * lease)
+			time.Sleep(2 * timeToDeadline)
 			_ = cmd.Process.Signal(syscall.SIGCONT)
 		}
 	}
@@ -83,7 +83,7 @@
 
 func TestProcessPausedPastItsDeadlineNeverWritesLate(t *testing.T) {
 	lines, killed := run(t, "unguarded")
-	require.Equal(t, []string{"stopped", "written"}, lines, "a check alone lets a late write through")
+	require.Equal(t, []string{"stopped", "written"}, lines, "a check alone does not prevent a late write")
 	require.False(t, killed)
 
 	lines, killed = run(t, "inside")
@@ -92,7 +92,7 @@
 
 	lines, killed = run(t, "before")
 	require.Equal(t, []string{"stopped", "refused"}, lines)
-	require.False(t, killed, "a pause beside the guard costs nothing")
+	require.False(t, killed, "a pause before the guarded section does not kill the process")
 
 	lines, killed = run(t, "after")
 	require.Equal(t, []string{"written", "stopped"}, lines)
