--- a/internal/periodic/periodic.go
+++ b/internal/periodic/periodic.go
@@ -1,4 +1,4 @@
-// Package periodic does something again and again.
+// Package periodic runs a function at regular intervals.
 package periodic
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Run calls do each time an interval has passed, until ctx ends. Calls do not overlap; one
-// that takes longer than the interval delays the next.
+// Run calls do after each interval until ctx ends. Calls do not overlap: a call that takes longer
+// than the interval delays the next one.
 func Run(ctx context.Context, interval time.Duration, do func(ctx context.Context)) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
--- a/internal/periodic/periodic_test.go
+++ b/internal/periodic/periodic_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRun checks that the first call comes after an interval, and that none comes after the
-// end of the context, also when it ends in a call.
+// TestRun checks that the first call follows after one interval, and that there is no call after the
+// context has ended, even if it ends during a call.
 func TestRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
--- a/statechart/statechart.go
+++ b/statechart/statechart.go
@@ -1,9 +1,9 @@
-// Package statechart reads state charts from JSON files, checks them and
-// interprets them. A chart is shared; each instance only holds its state.
+// Package statechart loads state charts from JSON, validates and interprets them.
+// All instances of a chart share it; each instance holds only its current state.
 //
-// A chart is refused if a state cannot be reached, if a state neither handles
-// nor ignores an event of the chart, if a final state has transitions, or if a
-// state that is not final has no way to a final state (for charts that end).
+// A chart is invalid if a state is unreachable, if a state neither handles nor
+// ignores an event of the chart, if a final state has transitions, or if the chart
+// has final states and none of them can be reached from a state.
 package statechart
 
 import (
@@ -36,29 +36,29 @@
 	States  map[State]Description `json:"states"`
 }
 
-// Description is one state of a chart.
+// Description describes one state of a chart.
 type Description struct {
 	Doc string `json:"doc"`
-	// Final states end an instance.
+	// Final is true if an instance ends in this state.
 	Final bool `json:"final,omitempty"`
 	// On maps an event to the next state.
 	On map[Event]State `json:"on,omitempty"`
-	// Ignore lists events that leave the state as it is.
+	// Ignore lists events that don't change the state.
 	Ignore []Event `json:"ignore,omitempty"`
-	// Timeout bounds the time in this state; TimeoutEvent is then due.
+	// Timeout is the max time in this state. TimeoutEvent must be fired when it has passed.
 	Timeout      jsonc.Duration `json:"timeout,omitempty"`
 	TimeoutEvent Event          `json:"timeoutEvent,omitempty"`
 }
 
-// Chart is a checked chart. It is immutable and safe for concurrent use.
+// Chart is a valid state chart. It is immutable and safe for concurrent use.
 type Chart struct {
-	def     Definition
-	machine *stateless.StateMachine
+	definition Definition
+	machine    *stateless.StateMachine
 }
 
 type instanceKey struct{}
 
-// Load reads and checks a chart.
+// Load decodes and validates a chart.
 func Load(text []byte) (*Chart, error) {
 	var def Definition
 	dec := json.NewDecoder(strings.NewReader(string(text)))
@@ -66,13 +66,13 @@
 	if err := dec.Decode(&def); err != nil {
 		return nil, fault.Wrap(err, fault.Invalid, "state chart cannot be read", "correct the chart file")
 	}
-	if ps := def.problems(); len(ps) > 0 {
+	if ps := def.validate(); len(ps) > 0 {
 		return nil, fault.New(fault.Invalid, "state chart "+def.Name+": "+strings.Join(ps, "; "), "correct the chart file")
 	}
-	return &Chart{def: def, machine: build(def)}, nil
+	return &Chart{definition: def, machine: build(def)}, nil
 }
 
-// MustLoad is Load for a chart that is part of the program.
+// MustLoad is like Load, but panics if the chart is invalid. It is meant for embedded charts.
 func MustLoad(text []byte) *Chart {
 	c, err := Load(text)
 	if err != nil {
@@ -81,8 +81,8 @@
 	return c
 }
 
-// Definition returns the chart's content, which the caller must not change.
-func (c *Chart) Definition() Definition { return c.def }
+// Definition returns the definition of the chart. The caller must not modify it.
+func (c *Chart) Definition() Definition { return c.definition }
 
 func build(def Definition) *stateless.StateMachine {
 	m := stateless.NewStateMachineWithExternalStorage(
@@ -111,28 +111,28 @@
 	return m
 }
 
-// problems returns all faults of the definition.
-func (d Definition) problems() []string {
+// validate returns a description of each error in the definition.
+func (d Definition) validate() []string {
 	var ps []string
 	if _, ok := d.States[d.Initial]; !ok {
 		return []string{fmt.Sprintf("initial state %q is not defined", d.Initial)}
 	}
-	for _, name := range d.names() {
-		ps = append(ps, d.stateProblems(name)...)
+	for _, name := range d.stateNames() {
+		ps = append(ps, d.validateState(name)...)
 	}
 	reached := d.reachable(d.Initial)
-	for _, name := range d.names() {
+	for _, name := range d.stateNames() {
 		if !reached[name] {
 			ps = append(ps, fmt.Sprintf("state %q cannot be reached", name))
 		}
-		if reached[name] && d.ends() && !d.canEnd(name) {
+		if reached[name] && d.hasFinalState() && !d.canReachFinal(name) {
 			ps = append(ps, fmt.Sprintf("state %q has no way to a final state", name))
 		}
 	}
 	return ps
 }
 
-func (d Definition) stateProblems(name State) []string {
+func (d Definition) validateState(name State) []string {
 	var ps []string
 	s := d.States[name]
 	if s.Final && (len(s.On) > 0 || s.TimeoutEvent != "") {
@@ -165,7 +165,7 @@
 	return ps
 }
 
-func (d Definition) names() []State {
+func (d Definition) stateNames() []State {
 	names := make([]State, 0, len(d.States))
 	for n := range d.States {
 		names = append(names, n)
@@ -190,7 +190,7 @@
 	return seen
 }
 
-func (d Definition) ends() bool {
+func (d Definition) hasFinalState() bool {
 	for _, s := range d.States {
 		if s.Final {
 			return true
@@ -199,7 +199,7 @@
 	return false
 }
 
-func (d Definition) canEnd(from State) bool {
+func (d Definition) canReachFinal(from State) bool {
 	for name := range d.reachable(from) {
 		if d.States[name].Final {
 			return true
@@ -217,9 +217,9 @@
 }
 
 // Start returns a new instance in the initial state.
-func (c *Chart) Start() *Instance { return c.Resume(c.def.Initial) }
+func (c *Chart) Start() *Instance { return c.Resume(c.definition.Initial) }
 
-// Resume returns an instance in a state that was kept elsewhere.
+// Resume returns an instance in the given state, for example one that was stored.
 func (c *Chart) Resume(s State) *Instance {
 	i := &Instance{chart: c, state: s}
 	i.ctx = context.WithValue(context.Background(), instanceKey{}, i)
@@ -234,24 +234,25 @@
 }
 
 // Final reports whether the instance has ended.
-func (i *Instance) Final() bool { return i.chart.def.States[i.State()].Final }
+func (i *Instance) Final() bool { return i.chart.definition.States[i.State()].Final }
 
-// Timeout returns the bound on the current state and the event that is then due.
+// Timeout returns the timeout of the current state, and the event to fire when it has passed. They
+// are zero if the state has no timeout.
 func (i *Instance) Timeout() (jsonc.Duration, Event) {
-	s := i.chart.def.States[i.State()]
+	s := i.chart.definition.States[i.State()]
 	return s.Timeout, s.TimeoutEvent
 }
 
-// Fire moves the instance along event e and returns the new state. An event
-// that the state ignores changes nothing. A final state refuses every event.
+// Fire fires event e and returns the new state. An event that the current state
+// ignores changes nothing. In a final state every event is an error.
 func (i *Instance) Fire(e Event) (State, error) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.chart.def.States[i.state].Final {
-		return i.state, fault.Newf(fault.Internal, "report this as a defect", "chart %s: event %q in final state %q", i.chart.def.Name, e, i.state)
+	if i.chart.definition.States[i.state].Final {
+		return i.state, fault.Newf(fault.Internal, "report this as a defect", "chart %s: event %q in final state %q", i.chart.definition.Name, e, i.state)
 	}
 	if err := i.chart.machine.FireCtx(i.ctx, e); err != nil {
-		return i.state, fault.Wrap(err, fault.Internal, "chart "+i.chart.def.Name, "report this as a defect")
+		return i.state, fault.Wrap(err, fault.Internal, "chart "+i.chart.definition.Name, "report this as a defect")
 	}
 	return i.state, nil
 }
