--- a/duty/model_test.go
+++ b/duty/model_test.go
@@ -319,7 +319,7 @@
 func (p *process) post(ctx context.Context, shard string, check func() error, c call) error {
 	if !p.waitWhilePaused() || p.world.strikes(platformPartition, p.host) {
 		<-ctx.Done()
-		return fault.New(fault.Unavailable, "platform is cut off", "wait")
+		return fault.New(fault.Unavailable, "platform is unreachable", "wait")
 	}
 	if err := check(); err != nil {
 		return err
@@ -385,7 +385,7 @@
 // Get implements objstore.Store.
 func (l storeLink) Get(ctx context.Context, key string) (objstore.Object, error) {
 	if !l.request(ctx) {
-		return objstore.Object{}, fault.New(fault.Unavailable, "store is cut off", "wait")
+		return objstore.Object{}, fault.New(fault.Unavailable, "store is unreachable", "wait")
 	}
 	obj, err := l.Store.Get(ctx, key)
 	l.response()
@@ -395,7 +395,7 @@
 // Put implements objstore.Store.
 func (l storeLink) Put(ctx context.Context, key string, value []byte, ifVersion objstore.Version, writeID string) (objstore.Object, error) {
 	if !l.request(ctx) {
-		return objstore.Object{}, fault.New(fault.Unavailable, "store is cut off", "wait")
+		return objstore.Object{}, fault.New(fault.Unavailable, "store is unreachable", "wait")
 	}
 	if l.process.world.strikes(storeLateWrites, "") {
 		late := l.process.world.randomBetween(0, maxWriteDelay)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -90,7 +90,8 @@
 	// that is known. Its lease is then taken over before it expires. HolderTerminated may be nil.
 	HolderTerminated func(Record) (reason string, terminated bool)
 	// GoverningLease is written into the record. A lease whose record has the same value is taken
-	// over at once. If it is empty, a lease is only taken over when it has expired.
+	// over at once. If it is empty, the lease of another holder is taken over only after it is
+	// released or expired, or after its holder has terminated.
 	GoverningLease string
 	// NextToken returns the token of a new grant, which must be at least minToken. It is called
 	// immediately before the lease is acquired; if it fails, the lease is not acquired. If it is
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -101,7 +101,7 @@
 	return &Executor{o: o, logger: log.With(o.Logger, "component", "orders")}
 }
 
-// ErrNoGrant means that this process does not, or does no longer, hold the lease.
+// ErrNoGrant means that this process does not hold the lease, or no longer holds it.
 var ErrNoGrant = fault.New(fault.Denied, "this process holds no lease for the engine's pool", "the holder carries on")
 
 // orderRun is the execution of one order.
@@ -293,7 +293,8 @@
 	return r.fire(ctx, unchanged)
 }
 
-// settleTime is the max time for which bytes of an order may be in flight.
+// settleTime is how long an engine must stay unchanged until its order counts as not applied. It is
+// longer than any bytes of the order can be in flight.
 const settleTime = 2 * MaxInFlightTime
 
 // restore asks a half-changed engine to revert to its previous role, and checks whether it
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// quarantineThreshold is the number of instances that must crash under a request before it is
-	// rejected. Other requests that were in flight at a crash are retried too, but it is less likely
-	// that the same ones are in flight at several crashes.
+	// quarantineThreshold is the number of instances that must crash while running a request before
+	// the request is rejected. Other requests that were in flight at a crash are retried too, but it
+	// is less likely that the same ones are in flight at several crashes.
 	quarantineThreshold = 3
 	// quarantineTime is how long a request is rejected after its last crash. Then one trial is
 	// permitted, since the engines may have been fixed meanwhile.
@@ -35,7 +35,7 @@
 // Observation is the outcome of one run of a request.
 type Observation struct {
 	Request Fingerprint
-	// Instance is the instance that crashed under the request. It is empty if the run was
+	// Instance is the instance that crashed while running the request. It is empty if the run was
 	// successful.
 	Instance string
 	// RunTime is the time from the start of the request on the instance to the crash.
@@ -52,12 +52,12 @@
 	// Quarantined is true if the request is a poison request. Trial is true if it may run
 	// nevertheless, because the quarantine time is over.
 	Quarantined, Trial bool
-	// CrashedInstances lists the instances that crashed under the request since its last successful
-	// run.
+	// CrashedInstances lists the instances that crashed while running the request since its last
+	// successful run.
 	CrashedInstances []string
 }
 
-// Suspect is a request under which instances have crashed.
+// Suspect is a request that was in flight on instances when they crashed.
 type Suspect struct {
 	Request Fingerprint
 	Verdict Verdict
@@ -121,8 +121,8 @@
 	return len(t.suspects) == 0
 }
 
-// RecordCrash records that an instance has crashed under a request that had run there for the given time.
-// It returns the verdict on the request.
+// RecordCrash records that an instance has crashed while running a request, which had run there for
+// the given time. It returns the verdict on the request.
 func (t *Table) RecordCrash(f Fingerprint, instance string, ran time.Duration) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -286,8 +286,8 @@
 	return out
 }
 
-// ObservationsAfter returns up to limit observations that follow the one with the given number, in their order,
-// and the number of the last of them.
+// ObservationsAfter returns up to limit observations that follow the one with the given number, in
+// their order, and the number of the last of them.
 func (t *Table) ObservationsAfter(number uint64, limit int) ([]Observation, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
