--- a/duty/history_test.go
+++ b/duty/history_test.go
@@ -203,8 +203,8 @@
 	hosts, contents := map[int64]string{}, map[int64]string{}
 	bySubject := map[string][]call{}
 	for _, c := range w.calls {
-		if m, used := hosts[c.token]; used && m != c.host {
-			wrong = append(wrong, fmt.Sprintf("token %d is used by %s and %s", c.token, m, c.host))
+		if h, used := hosts[c.token]; used && h != c.host {
+			wrong = append(wrong, fmt.Sprintf("token %d is used by %s and %s", c.token, h, c.host))
 		}
 		hosts[c.token] = c.host
 		if c.content != "" && contents[c.window] != "" && contents[c.window] != c.content {
--- a/statechart/statechart.go
+++ b/statechart/statechart.go
@@ -29,15 +29,15 @@
 
 // Definition is the content of a chart file.
 type Definition struct {
-	Name    string                `json:"name"`
-	Doc     string                `json:"doc"`
-	Initial State                 `json:"initial"`
-	Events  []Event               `json:"events"`
-	States  map[State]Description `json:"states"`
+	Name    string                    `json:"name"`
+	Doc     string                    `json:"doc"`
+	Initial State                     `json:"initial"`
+	Events  []Event                   `json:"events"`
+	States  map[State]StateDefinition `json:"states"`
 }
 
-// Description describes one state of a chart.
-type Description struct {
+// StateDefinition defines one state of a chart.
+type StateDefinition struct {
 	Doc string `json:"doc"`
 	// Final is true if an instance ends in this state.
 	Final bool `json:"final,omitempty"`
