--- a/internal/gatewayd/gatewayd.go
+++ b/internal/gatewayd/gatewayd.go
@@ -139,8 +139,8 @@
 		Prefixes: discovery.Prefixes{
 			Config: platform.ConfigPrefix, Instances: platform.InstancePrefix, Rules: platform.RulesPrefix, Members: platform.MemberPrefix, Directory: platform.DirectoryPrefix,
 		},
-		DecodeConfig: platform.DecodeConfig, DecodeInstance: platform.DecodeInstance, RedactConfig: platform.RedactKeys, MaxConfigStaleness: set.Bounds.MaxProofAge(),
-		ApplyLimit: set.Bounds.Apply.Std(), PropagationLimit: set.Bounds.Within(), SettleTime: set.Bounds.Settle.Std(), ExpiredRetention: set.Bounds.Drain.Std() - expiryMargin, Metrics: d.reg, Logger: d.logger,
+		DecodeConfig: platform.DecodeConfig, DecodeInstance: platform.DecodeInstance, RedactConfig: platform.RedactKeys, MaxConfigStaleness: set.Bounds.MaxConfigStaleness(),
+		ApplyLimit: set.Bounds.Apply.Std(), PropagationLimit: set.Bounds.PropagationLimit(), SettleTime: set.Bounds.Settle.Std(), ExpiredRetention: set.Bounds.Drain.Std() - expiryMargin, Metrics: d.reg, Logger: d.logger,
 	})
 	d.client = upstream.New(d.reg)
 	d.placer = placement.New(set.Domain, d.peerLoad, d.isChangingRole)
@@ -151,7 +151,7 @@
 	began := d.buildDuties(self)
 	d.gateway = gateway.New(gateway.Options{
 		View: d.discovery.View, Ready: d.discovery.Ready(), Protocol: platform.Protocol{}, Client: d.client, Scheduler: d.schedulerClient, Placer: d.placer, FailureDomain: set.Domain,
-		MaxConfigStaleness: set.Bounds.MaxProofAge(),
+		MaxConfigStaleness: set.Bounds.MaxConfigStaleness(),
 		Budget: gateway.RetryBudgetConfig{
 			Ratio: set.Bounds.RetryRatio, Slack: set.Bounds.RetrySlack, Window: set.Bounds.RetryWindow.Std(),
 			Processes: func() int { return d.discovery.View().Processes },
@@ -177,7 +177,7 @@
 		Self: self, Store: d.store, Prefix: platform.MemberPrefix, Transport: d.transport, Placer: d.placer, RoleChanges: d.roles.Changing,
 		Members: func() []members.Member { return d.gossipPeers() }, Clock: d.clock, Logger: d.logger,
 	})
-	o := scheduler.Options{Self: self, View: d.discovery.View, Transport: d.transport, Placer: d.placer, Limits: d.limits, Quarantine: d.suspects, InstancePrefix: platform.InstancePrefix, HasContact: d.hasContact, PropagationLimit: d.settings.Bounds.Within(), Clock: d.clock, Metrics: d.reg, Logger: d.logger}
+	o := scheduler.Options{Self: self, View: d.discovery.View, Transport: d.transport, Placer: d.placer, Limits: d.limits, Quarantine: d.suspects, InstancePrefix: platform.InstancePrefix, HasContact: d.hasContact, PropagationLimit: d.settings.Bounds.PropagationLimit(), Clock: d.clock, Metrics: d.reg, Logger: d.logger}
 	d.schedulerClient, d.schedulerServer = scheduler.NewClient(o), scheduler.NewServer(o, d.discovery.Feed())
 	d.crashSync = suspects.New(suspects.Options{Run: d.runID, Table: d.suspects, Transport: d.transport, Peers: d.observationPeers, Logger: d.logger})
 	d.grantSync = ratelimit.NewSyncer(ratelimit.Options{Self: self.Name, Table: d.limits, Transport: d.transport, Deciders: d.deciders, Peers: d.observationPeers, Logger: d.logger})
@@ -343,7 +343,7 @@
 	d.bounds.Store(&set.Bounds)
 	d.gateway.SetRetryBudget(set.Bounds.RetryRatio, set.Bounds.RetrySlack)
 	d.limitMemory(set.MemoryMB)
-	level.Info(d.logger).Log("msg", "reload", "changed", *set != *d.settings, "at_next_start", set.AtNextStart(d.settings))
+	level.Info(d.logger).Log("msg", "reload", "changed", *set != *d.settings, "at_next_start", set.NeedsRestart(d.settings))
 }
 
 func (d *Daemon) limitMemory(mb float64) {
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -14,11 +14,11 @@
 
 var gatewaySchema = jsonc.MustCompile("gateway.json", gatewayText)
 
-// GatewaySchemaText returns the JSON schema of the settings of a gateway.
+// GatewaySchemaText returns the JSON schema of the gateway settings.
 func GatewaySchemaText() []byte { return gatewayText }
 
-// Gateway holds the settings of one gateway process. The schema in gateway.json
-// states each field's meaning, unit, range and default.
+// Gateway holds the settings of one gateway process. The schema in gateway.json describes the meaning,
+// unit, range and default of each field.
 type Gateway struct {
 	Name      string `json:"name"`
 	Domain    string `json:"domain"`
@@ -27,19 +27,19 @@
 	Metrics   string `json:"metrics"`
 	Peer      string `json:"peer"`
 	Store     string `json:"store"`
-	// RolePolicy is a name of package roles.
+	// RolePolicy is the name of a policy of package roles.
 	RolePolicy string  `json:"rolePolicy"`
 	MemoryMB   float64 `json:"memoryMB"`
-	// Weight is how much work the process can take on for others, in shares of a core.
+	// Weight is how much scheduling work the process can do for others, as a share of a CPU core.
 	Weight float64    `json:"weight"`
 	Bounds Bounds     `json:"bounds"`
 	Duties Duties     `json:"duties"`
 	Log    GatewayLog `json:"log"`
 }
 
-// AtNextStart reports whether something has changed since before that a running process
-// does not take over.
-func (g *Gateway) AtNextStart(before *Gateway) bool {
+// NeedsRestart reports whether a setting differs from before that takes effect only when the process
+// starts.
+func (g *Gateway) NeedsRestart(before *Gateway) bool {
 	now, old := *g, *before
 	now.MemoryMB = old.MemoryMB
 	now.Bounds.Grace, now.Bounds.Notice = old.Bounds.Grace, old.Bounds.Notice
@@ -47,7 +47,7 @@
 	return now != old
 }
 
-// Bounds are what the deployment demands.
+// Bounds are the limits that the deployment requires a gateway to keep.
 type Bounds struct {
 	Apply       jsonc.Duration `json:"apply"`
 	Settle      jsonc.Duration `json:"settle"`
@@ -58,51 +58,52 @@
 	RetrySlack  float64        `json:"retrySlack"`
 	RetryWindow jsonc.Duration `json:"retryWindow"`
 	Lease       jsonc.Duration `json:"lease"`
-	// Revoke is 0 where no key is ever taken away.
+	// Revoke is the time after which a revoked API key must not be accepted, 0 if there is no such
+	// limit.
 	Revoke jsonc.Duration `json:"revoke"`
 }
 
-// proofMargin is kept from the time after which a key that was taken away must not be used,
-// for what passes between the check of a request and its first byte to an instance.
-const proofMargin = 300 * time.Millisecond
+// revokeMargin is subtracted from the time after which a revoked key must not be accepted. It covers the
+// time between the check of a request and its first byte to an instance.
+const revokeMargin = 300 * time.Millisecond
 
-// MaxProofAge returns how old the proof may be that the configuration is the newest one,
-// for a request with a key to run; 0 is no bound.
-func (b *Bounds) MaxProofAge() time.Duration {
+// MaxConfigStaleness returns how long ago the configuration may last have been known to be the newest
+// one for a request with a key to run; 0 means no limit.
+func (b *Bounds) MaxConfigStaleness() time.Duration {
 	if b.Revoke == 0 {
 		return 0
 	}
-	return max(b.Revoke.Std()-proofMargin, b.Revoke.Std()/2)
+	return max(b.Revoke.Std()-revokeMargin, b.Revoke.Std()/2)
 }
 
-// Within returns in what time a change in the store must have reached all processes.
-func (b *Bounds) Within() time.Duration { return min(b.Apply.Std(), b.Drain.Std()) }
+// PropagationLimit returns the time in which a change in the store must reach all processes.
+func (b *Bounds) PropagationLimit() time.Duration { return min(b.Apply.Std(), b.Drain.Std()) }
 
-// Duties are what one process at a time does for the whole deployment, besides orders to
-// engines.
+// Duties are the tasks that one process at a time performs for the whole deployment, besides sending
+// orders to engines.
 type Duties struct {
-	// Address is that of the platform's API, empty if there is none.
+	// Address is the address of the platform's API, empty if there is none.
 	Address string `json:"address"`
 	// Kinds are the names of the duties, separated by commas.
 	Kinds string `json:"kinds"`
-	// UsageWindow is the length of the windows in which usage is reported, UsageDue when
-	// after its end a window must have been reported.
+	// UsageWindow is the length of the windows in which usage is reported, UsageDue the time after
+	// the end of a window in which it must have been reported.
 	UsageWindow jsonc.Duration `json:"usageWindow"`
 	UsageDue    jsonc.Duration `json:"usageDue"`
 }
 
-// Has reports whether a duty is among those of the deployment.
+// Has reports whether the deployment has the duty with a name.
 func (d *Duties) Has(name string) bool {
 	return d.Address != "" && slices.Contains(strings.Split(d.Kinds, ","), name)
 }
 
-// GatewayLog says what a gateway logs.
+// GatewayLog sets the level and the rate limit of the log of a gateway.
 type GatewayLog struct {
 	Level          string `json:"level"`
 	LinesPerSecond int    `json:"linesPerSecond"`
 }
 
-// ParseGateway reads the settings of a gateway from text.
+// ParseGateway parses the settings of a gateway. file is the name used in error messages.
 func ParseGateway(file string, text []byte) (*Gateway, error) {
 	var g Gateway
 	if _, err := jsonc.Decode(file, text, gatewaySchema, &g); err != nil {
@@ -113,7 +114,7 @@
 
 // LoadGateway reads the settings of a gateway from a file.
 func LoadGateway(file string) (*Gateway, error) {
-	text, err := read(file)
+	text, err := readFile(file)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -20,8 +20,8 @@
 // SchemaText returns the JSON schema of the settings.
 func SchemaText() []byte { return schemaText }
 
-// Settings are the settings of one process. The schema in schema.json states
-// each field's meaning, unit, range and default.
+// Settings are the settings of one process. The schema in schema.json describes the meaning, unit,
+// range and default of each field.
 type Settings struct {
 	Name          string        `json:"name"`
 	Host          string        `json:"host"`
@@ -37,7 +37,7 @@
 	Log           Log           `json:"log"`
 }
 
-// Limits bound what one process takes on.
+// Limits are the sizes, the number of requests and the times that one process accepts.
 type Limits struct {
 	BodyBytes     int64          `json:"bodyBytes"`
 	HeaderBytes   int            `json:"headerBytes"`
@@ -49,14 +49,14 @@
 	StopGrace     jsonc.Duration `json:"stopGrace"`
 }
 
-// PlatformCalls bound the use of the object API.
+// PlatformCalls limit the calls to the object API of the platform.
 type PlatformCalls struct {
 	PerSecond float64        `json:"perSecond"`
 	Burst     int            `json:"burst"`
 	Timeout   jsonc.Duration `json:"timeout"`
 }
 
-// Control holds the timing between processes.
+// Control holds the times and intervals of the communication between processes.
 type Control struct {
 	Heartbeat  jsonc.Duration `json:"heartbeat"`
 	StaleAfter jsonc.Duration `json:"staleAfter"`
@@ -66,14 +66,14 @@
 	Report      jsonc.Duration `json:"report"`
 }
 
-// Log says what is logged.
+// Log sets the level, the format and the content of the log.
 type Log struct {
 	Level     string `json:"level"`
 	Format    string `json:"format"`
 	Decisions bool   `json:"decisions"`
 }
 
-// Parse reads settings from text.
+// Parse parses settings. file is the name used in error messages.
 func Parse(file string, text []byte) (*Settings, error) {
 	var s Settings
 	if _, err := jsonc.Decode(file, text, schema, &s); err != nil {
@@ -84,15 +84,15 @@
 
 // Load reads settings from a file.
 func Load(file string) (*Settings, error) {
-	text, err := read(file)
+	text, err := readFile(file)
 	if err != nil {
 		return nil, err
 	}
 	return Parse(file, text)
 }
 
-// read returns the text of a settings file of a sensible size.
-func read(file string) ([]byte, error) {
+// readFile returns the text of a settings file of at most maxFileBytes.
+func readFile(file string) ([]byte, error) {
 	info, err := os.Stat(file)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.NotFound, "settings cannot be read", "give the path of a settings file with --settings")
