--- a/internal/gatewayd/duties.go
+++ b/internal/gatewayd/duties.go
@@ -28,7 +28,7 @@
 		return nil
 	}
 	ledger := usage.NewLedger(usage.Source{Process: self.Name, Incarnation: self.Incarnation}, d.settings.Duties.UsageWindow.Std(), d.clock.Now)
-	d.usage = usage.NewSharer(usage.SharerOptions{Ledger: ledger, Transport: d.transport, Keepers: d.schedulerClient.OtherSchedulers, Logger: d.logger})
+	d.usage = usage.NewSyncer(usage.SyncerOptions{Ledger: ledger, Transport: d.transport, Replicas: d.schedulerClient.OtherSchedulers, Logger: d.logger})
 	r := usage.NewReporter(usage.ReporterOptions{
 		Store: d.store, Prefix: platform.UsagePrefix, Writer: self.Incarnation, Authority: d.authority, Biller: api, Ledger: ledger,
 		Collect: d.usage.Collect, Due: d.settings.Duties.UsageDue.Std(), Metrics: d.reg, Logger: d.logger,
--- a/internal/gatewayd/gatewayd.go
+++ b/internal/gatewayd/gatewayd.go
@@ -110,7 +110,7 @@
 	// duties run while this process has the authority for them. usage is nil where usage is not
 	// reported.
 	duties   []func(context.Context)
-	usage    *usage.Sharer
+	usage    *usage.Syncer
 	clock    *truetime.Clock
 	gateway  *gateway.Server
 	stopping atomic.Bool
@@ -367,7 +367,7 @@
 	go func() { _ = d.clientServer.Shutdown(ctx) }() // an error is of no interest: waitUntilIdle waits for the requests in flight
 	empty := d.waitUntilIdle(ctx)
 	if d.usage != nil {
-		d.usage.Share(ctx) // another process must hold the counts before this one exits
+		d.usage.Sync(ctx) // another process must hold the counts before this one exits
 	}
 	if !empty {
 		level.Warn(d.logger).Log("msg", "requests were still in flight at the end of the grace period", "in_hand", d.gateway.InFlight())
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -1,7 +1,7 @@
-// Package usage counts the requests that begin to run, for each workspace in windows of
-// true time, and reports each window once. Counts are kept by the process that counts and by
-// another one, so that one that is killed takes none along; what is reported is decided once,
-// in the store, before it is sent.
+// Package usage counts the requests that start to run, for each workspace and window of true time, and
+// reports each window once. The counts of a process are replicated to another process, so that few are
+// lost if the process is killed. The content of a report is decided once, in the store, before it is
+// sent.
 package usage
 
 import (
@@ -10,68 +10,70 @@
 	"time"
 )
 
-// keptWindows is for how many windows counts are kept: an outage of the store or of the
-// platform's API that is longer loses the oldest.
-const keptWindows = 60
+// retainedWindows is the number of windows whose counts are retained. If the store or the platform's API
+// is down for longer, the oldest counts are lost.
+const retainedWindows = 60
 
-// Source is one run of a process that counts.
+// Source is one run of a process that counts requests.
 type Source struct{ Process, Incarnation string }
 
-// Entry is what a source has counted in a window.
+// Entry is the counts of one source in one window.
 type Entry struct {
 	Window int64
 	Source Source
-	// Counts are by workspace and only grow.
+	// Counts are the numbers of requests by workspace. They never decrease.
 	Counts map[string]int
 }
 
-// Ledger keeps counts. It is safe for concurrent use.
+// Ledger holds the counts of this process and the replicated counts of others. It is safe for
+// concurrent use.
 type Ledger struct {
-	self   Source
-	length time.Duration
-	now    func() time.Time
+	self         Source
+	windowLength time.Duration
+	now          func() time.Time
 
 	mu      sync.Mutex
 	windows map[int64]map[Source]map[string]int
-	// unsent are the windows whose own counts have changed since they were sent.
+	// unsent are the windows in which the counts of this process have changed since they were last
+	// taken by TakeUnsent.
 	unsent map[int64]bool
 }
 
-// NewLedger returns an empty ledger of windows of a length. now is the true time.
+// NewLedger returns an empty ledger with windows of the given length. now returns the true time.
 func NewLedger(self Source, length time.Duration, now func() time.Time) *Ledger {
-	return &Ledger{self: self, length: length, now: now, windows: map[int64]map[Source]map[string]int{}, unsent: map[int64]bool{}}
+	return &Ledger{self: self, windowLength: length, now: now, windows: map[int64]map[Source]map[string]int{}, unsent: map[int64]bool{}}
 }
 
-// Window returns the number of the window that a time is in; window 0 began with 1970.
-func (l *Ledger) Window(t time.Time) int64 { return t.UnixNano() / int64(l.length) }
+// Window returns the number of the window that contains t. Window 0 starts at the Unix epoch.
+func (l *Ledger) Window(t time.Time) int64 { return t.UnixNano() / int64(l.windowLength) }
 
-// current returns the window that is open now.
-func (l *Ledger) current() int64 { return l.Window(l.now()) }
+// currentWindow returns the window that contains the present time.
+func (l *Ledger) currentWindow() int64 { return l.Window(l.now()) }
 
-// oldest returns the first window whose counts are kept.
-func (l *Ledger) oldest() int64 { return l.current() - keptWindows }
+// oldestWindow returns the oldest window whose counts are retained.
+func (l *Ledger) oldestWindow() int64 { return l.currentWindow() - retainedWindows }
 
 // age returns how long ago a window ended.
 func (l *Ledger) age(window int64) time.Duration {
-	return l.now().Sub(time.Unix(0, (window+1)*int64(l.length)))
+	return l.now().Sub(time.Unix(0, (window+1)*int64(l.windowLength)))
 }
 
-// Began counts a request of a workspace that begins to run now.
+// Began counts a request of a workspace that starts to run now.
 func (l *Ledger) Began(workspace string) {
-	window := l.current()
+	window := l.currentWindow()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts(window, l.self)[workspace]++
 	l.unsent[window] = true
 }
 
-// counts returns what a source has counted in a window. The caller holds the lock.
+// counts returns the counts of a source in a window, for reading and writing. The caller holds the lock.
 func (l *Ledger) counts(window int64, s Source) map[string]int {
 	sources := l.windows[window]
 	if sources == nil {
 		sources = map[Source]map[string]int{}
 		l.windows[window] = sources
-		l.forget()
+		l.dropOldWindows()
 	}
 	if sources[s] == nil {
 		sources[s] = map[string]int{}
@@ -79,9 +81,9 @@
 	return sources[s]
 }
 
-// forget drops windows that are too old. The caller holds the lock.
-func (l *Ledger) forget() {
-	oldest := l.oldest()
+// dropOldWindows drops the windows before oldestWindow. The caller holds the lock.
+func (l *Ledger) dropOldWindows() {
+	oldest := l.oldestWindow()
 	for window := range l.windows {
 		if window < oldest {
 			delete(l.windows, window)
@@ -90,12 +92,12 @@
 	}
 }
 
-// Merge takes in what others have counted or were told. Counts only grow, so that entries
-// may come twice, late, or from several that know them.
+// Merge adds counts of other processes. Counts never decrease, so entries may arrive repeatedly, late, or
+// from several processes that have them.
 func (l *Ledger) Merge(entries []Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	oldest := l.oldest()
+	oldest := l.oldestWindow()
 	for _, e := range entries {
 		if e.Source == l.self || e.Window < oldest {
 			continue
@@ -107,7 +109,7 @@
 	}
 }
 
-// Entries returns all that is known of a window.
+// Entries returns the counts of all sources in a window.
 func (l *Ledger) Entries(window int64) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,7 +120,7 @@
 	return out
 }
 
-// Total returns the counts of all sources in a window.
+// Total returns the sums of the counts of all sources in a window, by workspace.
 func (l *Ledger) Total(window int64) map[string]int {
 	out := map[string]int{}
 	for _, e := range l.Entries(window) {
@@ -129,8 +131,8 @@
 	return out
 }
 
-// TakeUnsent returns the own counts of the windows in which they have changed since they
-// were taken.
+// TakeUnsent returns the counts of this process in the windows in which they have changed since they were
+// last taken.
 func (l *Ledger) TakeUnsent() []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -142,8 +144,8 @@
 	return out
 }
 
-// SendAgain has entries that were taken, but did not arrive, taken again.
-func (l *Ledger) SendAgain(entries []Entry) {
+// MarkUnsent makes TakeUnsent return entries again that were taken but did not arrive.
+func (l *Ledger) MarkUnsent(entries []Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range entries {
@@ -151,8 +153,8 @@
 	}
 }
 
-// SendAll has the own counts of all windows taken again.
-func (l *Ledger) SendAll() {
+// MarkAllUnsent makes TakeUnsent return the counts of this process in all windows.
+func (l *Ledger) MarkAllUnsent() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for window, sources := range l.windows {
--- a/internal/usage/sharer.go
+++ b/internal/usage/sharer.go
@@ -15,97 +15,96 @@
 )
 
 const (
-	// shareEvery is how often counts are told to another process: what a process that is
-	// killed has counted since is lost, a tenth of a window of 5 s.
-	shareEvery = 500 * time.Millisecond
-	// callTimeout bounds one call of another process.
+	// syncInterval is how often counts are sent to another process. A process that is killed loses
+	// what it has counted since the last time, a tenth of a window of 5 s.
+	syncInterval = 500 * time.Millisecond
+	// callTimeout limits one call of another process.
 	callTimeout = 300 * time.Millisecond
-	// tries is how many processes are tried in a row.
-	tries = 3
+	// maxAttempts is the number of processes that are tried in one round.
+	maxAttempts = 3
 )
 
-// SharerOptions of a Sharer.
-type SharerOptions struct {
+// SyncerOptions of a Syncer.
+type SyncerOptions struct {
 	Ledger    *Ledger
 	Transport *peer.Transport
-	// Keepers returns the processes that keep the counts of others, in the order in which
-	// this one prefers them and without itself.
-	Keepers func() []members.Member
-	Logger  log.Logger
+	// Replicas returns the processes that hold counts of others, in this process's order of
+	// preference and without itself.
+	Replicas func() []members.Member
+	Logger   log.Logger
 }
 
-// Sharer has other processes keep what this one counts, and keeps what others count.
-type Sharer struct {
-	o      SharerOptions
+// Syncer replicates the counts of this process to other processes, and holds the counts of others.
+type Syncer struct {
+	o      SyncerOptions
 	logger log.Logger
 
 	mu sync.Mutex
-	// keeper is the process that was told last.
-	keeper string
+	// lastReplica is the process that received the counts last.
+	lastReplica string
 }
 
-// NewSharer returns a sharer that has to be run.
-func NewSharer(o SharerOptions) *Sharer {
-	return &Sharer{o: o, logger: log.With(o.Logger, "component", "usage")}
+// NewSyncer returns a syncer that starts to work once Run is called.
+func NewSyncer(o SyncerOptions) *Syncer {
+	return &Syncer{o: o, logger: log.With(o.Logger, "component", "usage")}
 }
 
-// Run shares counts until ctx ends.
-func (s *Sharer) Run(ctx context.Context) error {
-	periodic.Run(ctx, shareEvery, s.Share)
+// Run replicates counts until ctx ends.
+func (s *Syncer) Run(ctx context.Context) error {
+	periodic.Run(ctx, syncInterval, s.Sync)
 	return nil
 }
 
-// Share tells another process what has been counted since the last time.
-func (s *Sharer) Share(ctx context.Context) {
+// Sync sends the counts that have changed since the last call to another process.
+func (s *Syncer) Sync(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	keepers := s.o.Keepers()
-	for _, k := range keepers[:min(tries, len(keepers))] {
-		if k.Name != s.keeper {
-			s.o.Ledger.SendAll() // it knows nothing yet
+	replicas := s.o.Replicas()
+	for _, replica := range replicas[:min(maxAttempts, len(replicas))] {
+		if replica.Name != s.lastReplica {
+			s.o.Ledger.MarkAllUnsent() // this replica has no counts yet
 		}
 		entries := s.o.Ledger.TakeUnsent()
 		if len(entries) == 0 {
 			return
 		}
-		err := s.tell(ctx, k, entries)
+		err := s.send(ctx, replica, entries)
 		if err == nil {
-			s.keeper = k.Name
+			s.lastReplica = replica.Name
 			return
 		}
-		s.o.Ledger.SendAgain(entries)
-		level.Info(s.logger).Log("msg", "counts not told", "keeper", k.Name, "windows", len(entries), "err", err)
+		s.o.Ledger.MarkUnsent(entries)
+		level.Info(s.logger).Log("msg", "counts not sent", "keeper", replica.Name, "windows", len(entries), "err", err)
 	}
 }
 
-func (s *Sharer) tell(ctx context.Context, k members.Member, entries []Entry) error {
+func (s *Syncer) send(ctx context.Context, replica members.Member, entries []Entry) error {
 	cctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	_, err := s.o.Transport.Call(cctx, k.Peer, &peerpb.Request{Body: &peerpb.Request_Usage{Usage: &peerpb.UsageCounts{Entries: encode(entries)}}})
+	_, err := s.o.Transport.Call(cctx, replica.Peer, &peerpb.Request{Body: &peerpb.Request_Usage{Usage: &peerpb.UsageCounts{Entries: encode(entries)}}})
 	return err
 }
 
-// Collect asks all that keep counts for those of a window, and reports whether all of them
-// answered.
-func (s *Sharer) Collect(ctx context.Context, window int64) bool {
-	keepers := s.o.Keepers()
-	answered := make(chan bool, len(keepers))
-	for _, k := range keepers {
-		go func() { answered <- s.collect(ctx, k, window) }()
+// Collect asks all replicas for the counts of a window, and reports whether all of them responded.
+func (s *Syncer) Collect(ctx context.Context, window int64) bool {
+	replicas := s.o.Replicas()
+	responded := make(chan bool, len(replicas))
+	for _, replica := range replicas {
+		go func() { responded <- s.collectFrom(ctx, replica, window) }()
 	}
 	all := true
-	for range keepers {
-		all = <-answered && all
+	for range replicas {
+		all = <-responded && all
 	}
 	return all
 }
 
-func (s *Sharer) collect(ctx context.Context, k members.Member, window int64) bool {
+func (s *Syncer) collectFrom(ctx context.Context, replica members.Member, window int64) bool {
 	cctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	resp, err := s.o.Transport.Call(cctx, k.Peer, &peerpb.Request{Body: &peerpb.Request_UsageQuery{UsageQuery: &peerpb.UsageQuery{Window: window}}})
+	resp, err := s.o.Transport.Call(cctx, replica.Peer, &peerpb.Request{Body: &peerpb.Request_UsageQuery{UsageQuery: &peerpb.UsageQuery{Window: window}}})
 	if err != nil {
-		level.Info(s.logger).Log("msg", "counts not collected", "keeper", k.Name, "window", window, "err", err)
+		level.Info(s.logger).Log("msg", "counts not collected", "keeper", replica.Name, "window", window, "err", err)
 		return false
 	}
 	s.o.Ledger.Merge(decode(resp.GetUsageQuery().GetEntries()))
@@ -113,7 +112,7 @@
 }
 
 // HandlePeer implements peer.Handler.
-func (s *Sharer) HandlePeer(_ context.Context, req *peerpb.Request) *peerpb.Response {
+func (s *Syncer) HandlePeer(_ context.Context, req *peerpb.Request) *peerpb.Response {
 	switch {
 	case req.GetUsage() != nil:
 		s.o.Ledger.Merge(decode(req.GetUsage().GetEntries()))
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -22,48 +22,47 @@
 )
 
 const (
-	testWindow = 200 * time.Millisecond
-	testDue    = time.Second
-	testTTL    = 600 * time.Millisecond
-	testApart  = 300 * time.Millisecond
+	testWindow   = 200 * time.Millisecond
+	testDue      = time.Second
+	testTTL      = 600 * time.Millisecond
+	testHandover = 300 * time.Millisecond
 )
 
-// bench is the store and the platform's API.
-type bench struct {
-	t     *testing.T
-	store *fleetstore.Server
-	api   *fleetapi.Server
-	// addresses are those of the store and of the API.
-	storeAt, apiAt string
+// testPlatform is a store and the API of the platform.
+type testPlatform struct {
+	t                        *testing.T
+	store                    *fleetstore.Server
+	api                      *fleetapi.Server
+	storeAddress, apiAddress string
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{t: t, store: fleetstore.New(), api: fleetapi.New()}
+func newTestPlatform(t *testing.T) *testPlatform {
+	b := &testPlatform{t: t, store: fleetstore.New(), api: fleetapi.New()}
 	store, api := httptest.NewServer(b.store), httptest.NewServer(b.api)
 	t.Cleanup(func() { store.CloseClientConnections(); store.Close(); api.CloseClientConnections(); api.Close() })
-	b.storeAt, b.apiAt = store.Listener.Addr().String(), api.Listener.Addr().String()
+	b.storeAddress, b.apiAddress = store.Listener.Addr().String(), api.Listener.Addr().String()
 	return b
 }
 
-// process is one that counts and may report.
+// process is a process that counts requests and may hold the duty to report.
 type process struct {
 	ledger    *usage.Ledger
 	authority *duty.Authority
 	stop      func()
 }
 
-// start starts a process. others returns the ledgers that are collected from.
-func (b *bench) start(name string, others func() []*usage.Ledger) *process {
+// start starts a process. others returns the ledgers from which it collects counts.
+func (b *testPlatform) start(name string, others func() []*usage.Ledger) *process {
 	b.t.Helper()
-	store := platform.NewStore(b.storeAt)
+	store := platform.NewStore(b.storeAddress)
 	p := &process{ledger: usage.NewLedger(usage.Source{Process: name, Incarnation: name}, testWindow, time.Now)}
 	p.authority = duty.New(duty.Options{
-		Store: store, Prefix: platform.LeasePrefix, Self: members.Member{Name: name, Incarnation: name}, TTL: testTTL, HandoverDelay: testApart,
+		Store: store, Prefix: platform.LeasePrefix, Self: members.Member{Name: name, Incarnation: name}, TTL: testTTL, HandoverDelay: testHandover,
 		View: func() *fleet.View { return &fleet.View{Scheduling: true} }, LivePeers: func() []string { return nil }, Logger: log.NewNopLogger(),
 	})
 	r := usage.NewReporter(usage.ReporterOptions{
 		Store: store, Prefix: platform.UsagePrefix, Writer: name, Authority: p.authority, Ledger: p.ledger, Due: testDue,
-		Biller: platform.NewDutyClient(upstream.New(metrics.NewRegistry()), b.apiAt), Metrics: metrics.NewRegistry(), Logger: log.NewNopLogger(),
+		Biller: platform.NewDutyClient(upstream.New(metrics.NewRegistry()), b.apiAddress), Metrics: metrics.NewRegistry(), Logger: log.NewNopLogger(),
 		Collect: func(_ context.Context, window int64) bool {
 			for _, l := range others() {
 				p.ledger.Merge(l.Entries(window))
@@ -85,7 +84,7 @@
 }
 
 // billed returns how often a workspace has been billed in all windows.
-func (b *bench) billed(workspace string) int {
+func (b *testPlatform) billed(workspace string) int {
 	n := 0
 	for _, counts := range b.api.Reports() {
 		n += counts[workspace]
@@ -93,10 +92,10 @@
 	return n
 }
 
-func none() []*usage.Ledger { return nil }
+func noLedgers() []*usage.Ledger { return nil }
 
-func TestEachBeginIsBilledOnce(t *testing.T) {
-	b := newBench(t)
+func TestEachRequestIsBilledOnce(t *testing.T) {
+	b := newTestPlatform(t)
 	other := usage.NewLedger(usage.Source{Process: "o", Incarnation: "o"}, testWindow, time.Now)
 	p := b.start("p", func() []*usage.Ledger { return []*usage.Ledger{other} })
 	const each = 60
@@ -112,11 +111,11 @@
 	require.Empty(t, b.api.Conflicts())
 }
 
-// TestAWindowNeverHasTwoContents has holders change while windows are decided and sent: each
-// has counted other requests, answers of the store and of the API are lost, and late writes
-// are carried out after the next holder has read.
-func TestAWindowNeverHasTwoContents(t *testing.T) {
-	b := newBench(t)
+// TestWindowIsNeverReportedWithDifferentCounts changes the holder of the duty while windows are decided
+// and sent. Each holder has counted other requests, responses of the store and of the API are lost, and
+// late writes take effect after the next holder has read the record.
+func TestWindowIsNeverReportedWithDifferentCounts(t *testing.T) {
+	b := newTestPlatform(t)
 	var all []*process
 	for round, f := range []struct {
 		store fleetstore.Faults
@@ -125,10 +124,10 @@
 		{}, {api: fleetapi.Faults{LoseAnswers: true}}, {store: fleetstore.Faults{LoseAnswers: true}}, {store: fleetstore.Faults{LateBy: 150 * time.Millisecond}}, {api: fleetapi.Faults{Down: true}}, {store: fleetstore.Faults{DownKind: "rockdoor-usage"}}, {},
 	} {
 		name := string(rune('a' + round))
-		p := b.start(name, none)
+		p := b.start(name, noLedgers)
 		all = append(all, p)
 		require.Eventually(t, func() bool { _, held := p.authority.Grant(); return held }, 6*time.Second, 5*time.Millisecond)
-		time.Sleep(3 * testWindow) // until it has taken over what was decided before
+		time.Sleep(3 * testWindow) // until it has loaded the record
 		b.store.SetFaults(f.store)
 		b.api.SetFaults(f.api)
 		for range 40 {
@@ -154,16 +153,16 @@
 	}
 }
 
-// TestCountsOutliveTheirProcess checks that what was told to another process is known there,
-// that telling it twice, late or to several changes nothing, and that a new run of a process
-// counts apart.
-func TestCountsOutliveTheirProcess(t *testing.T) {
+// TestCountsSurviveTheirProcess checks that counts sent to another process are known there, that sending
+// them twice, late or to several processes changes nothing, and that a new run of a process counts
+// separately.
+func TestCountsSurviveTheirProcess(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
 	ledger := func(process, incarnation string) *usage.Ledger {
 		return usage.NewLedger(usage.Source{Process: process, Incarnation: incarnation}, 5*time.Second, clock)
 	}
-	a, again, k1, k2 := ledger("a", "1"), ledger("a", "2"), ledger("k1", "1"), ledger("k2", "1")
+	a, restarted, k1, k2 := ledger("a", "1"), ledger("a", "2"), ledger("k1", "1"), ledger("k2", "1")
 	a.Began("w")
 	early := a.TakeUnsent()
 	a.Began("w")
@@ -173,27 +172,28 @@
 	k1.Merge(late)
 	k1.Merge(early)
 	k2.Merge(early)
-	again.Began("w")
-	k2.Merge(again.TakeUnsent())
+	restarted.Began("w")
+	k2.Merge(restarted.TakeUnsent())
 	window := k1.Window(now)
 	require.Equal(t, map[string]int{"w": 2, "v": 1}, k1.Total(window))
 	k1.Merge(k2.Entries(window))
 	k1.Merge(k1.Entries(window))
 	require.Equal(t, map[string]int{"w": 3, "v": 1}, k1.Total(window))
-	a.SendAll()
-	require.Equal(t, late, a.TakeUnsent(), "another keeper gets all of it")
+	a.MarkAllUnsent()
+	require.Equal(t, late, a.TakeUnsent(), "a new replica gets all counts")
 	now = now.Add(10 * time.Minute)
 	k1.Began("w")
-	require.Empty(t, k1.Entries(window), "old windows are forgotten")
+	require.Empty(t, k1.Entries(window), "old windows are dropped")
 	k1.Merge(late)
 	require.Empty(t, k1.Entries(window))
 }
 
-// The store comes back from copies that lack what was decided, and the lease, again and again,
-// while holders live, end and change, each of which has counted other requests. A window was
-// then decided anew with other counts, and two holders acted under the same token.
-func TestAWindowNeverHasTwoContentsWhereTheStoreComesBackOlder(t *testing.T) {
-	b := newBench(t)
+// TestWindowIsNeverReportedWithDifferentCountsAfterRestores restores the store again and again from
+// snapshots that lack decided windows and the lease, while holders run, stop and change, each with other
+// counts. Without the era a window was decided again with other counts, and two holders used the same
+// token.
+func TestWindowIsNeverReportedWithDifferentCountsAfterRestores(t *testing.T) {
+	b := newTestPlatform(t)
 	b.store.SetEra(1)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -203,12 +203,12 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	a := b.start("a", none)
+	a := b.start("a", noLedgers)
 	go begin(a, "w")
 	held := func() bool { return len(b.api.Reports()) > 2 }
 	require.Eventually(t, held, 10*time.Second, 5*time.Millisecond)
 	for round := range 5 {
-		p := b.start(string(rune('b'+round)), none)
+		p := b.start(string(rune('b'+round)), noLedgers)
 		go begin(p, "w")
 		time.Sleep(3 * testWindow)
 		if round%2 == 1 {
@@ -216,7 +216,7 @@
 			a = p
 		}
 		b.store.Restore(time.Duration(round+1) * testWindow)
-		time.Sleep(4*testTTL + testApart)
+		time.Sleep(4*testTTL + testHandover)
 	}
 	last := a.ledger.Window(time.Now())
 	require.Eventually(t, func() bool { _, done := b.api.Reports()[last]; return done }, 10*time.Second, 10*time.Millisecond, "usage is reported again")
@@ -224,7 +224,7 @@
 	holders := map[int64]string{}
 	token := int64(0)
 	for _, c := range b.api.Calls() {
-		require.GreaterOrEqual(t, c.Token, token, "tokens rise over eras")
+		require.GreaterOrEqual(t, c.Token, token, "tokens increase across eras")
 		token = c.Token
 		if holder, used := holders[token]; used {
 			require.Equal(t, holder, c.Holder, "token %d", token)
