--- a/internal/gatewayd/duties.go
+++ b/internal/gatewayd/duties.go
@@ -16,7 +16,7 @@
 func (d *Daemon) buildDuties(self members.Member) (began func(workspace string)) {
 	pruner := prune.New(prune.Options{
 		Self: self, Authority: d.authority, Store: d.store, Stale: d.store.WithStaleReads(), Prefix: platform.MemberPrefix, View: d.discovery.View,
-		Hears: d.schedulerServer.HasContact, Unheard: d.schedulerClient.WithoutContact, Every: prune.Every, After: prune.After, Logger: d.logger,
+		HasContact: d.schedulerServer.HasContact, WithoutContact: d.schedulerClient.WithoutContact, ReviewInterval: prune.ReviewInterval, RemoveAfter: prune.RemoveAfter, Logger: d.logger,
 	})
 	d.duties = append(d.duties, d.roles.Run, pruner.Run)
 	api := platform.NewDutyClient(d.client, d.settings.Duties.Address)
--- a/internal/prune/prune.go
+++ b/internal/prune/prune.go
@@ -1,7 +1,7 @@
-// Package prune removes the registrations of processes whose hosts are gone for good. The
-// holder of the duties looks now and then who is registered and heard by nobody. No process
-// writes to the store to show that it lives: each follows a scheduler all the time, and the
-// schedulers know whom they hear.
+// Package prune removes the registrations of processes whose hosts are gone for good. The holder of the
+// duties regularly checks which registered processes no scheduler has contact with. Processes write no
+// heartbeats to the store: each process follows a scheduler all the time, and the schedulers know which
+// processes they have contact with.
 package prune
 
 import (
@@ -22,22 +22,22 @@
 )
 
 const (
-	// Every is how often the holder looks. A look lists the members, from answers that may be
-	// seconds old: 6 calls for 300 members, outside the store's rate.
-	Every = 30 * time.Second
-	// After is for how long each look must have found a process silent. Restarts take seconds
-	// and regions are apart for minutes; a registration that stays for longer costs a place
-	// among the members.
-	After = 10 * time.Minute
-	// pauseMost is how many intervals may lie between two looks that count together: a holder
-	// that was paused for longer has seen nothing of the others.
-	pauseMost = 3
-	// removedAtOnce bounds the deletes of one look: 8 a minute with 30 s between looks, beside
-	// several hundred writes a second that the store takes.
-	removedAtOnce = 4
-	// askTimeout bounds one question to a process, which answers in milliseconds.
-	askTimeout = 500 * time.Millisecond
-	// storeTimeout bounds one use of the store.
+	// ReviewInterval is the time between two reviews. A review lists the members from reads that may
+	// be seconds old: 6 calls for 300 members, which do not count against the store's rate limit.
+	ReviewInterval = 30 * time.Second
+	// RemoveAfter is how long all reviews must have found a process unresponsive before its
+	// registration is removed. Restarts take seconds and network partitions between regions last
+	// minutes. A registration that stays for longer takes up a place among the members.
+	RemoveAfter = 10 * time.Minute
+	// maxReviewGap is the longest time, in review intervals, between two reviews for an observation
+	// to continue: a holder that was paused for longer has had contact with no process.
+	maxReviewGap = 3
+	// maxRemovalsPerReview limits the deletes of one review. This makes 8 deletes a minute, while the
+	// store accepts several hundred writes a second.
+	maxRemovalsPerReview = 4
+	// queryTimeout limits one query to a scheduler, which responds within milliseconds.
+	queryTimeout = 500 * time.Millisecond
+	// storeTimeout limits one call of the store.
 	storeTimeout = 5 * time.Second
 )
 
@@ -45,66 +45,67 @@
 type Options struct {
 	Self      members.Member
 	Authority duty.Granter
-	// Store deletes, Stale lists from answers that may be seconds old.
+	// Store is used for deletes, Stale for lists, which may be seconds old.
 	Store, Stale objstore.Store
-	// Prefix is where the members register.
+	// Prefix is the key prefix of the registrations.
 	Prefix string
 	View   func() *fleet.View
-	// Hears reports whether this process hears another one.
-	Hears func(name string) bool
-	// Unheard asks a scheduler which of the names it does not hear either.
-	Unheard func(ctx context.Context, scheduler members.Member, names []string) ([]string, error)
-	// Every and After are the constants of the same names, except in tests.
-	Every, After time.Duration
-	Logger       log.Logger
+	// HasContact reports whether this process has contact with another one.
+	HasContact func(name string) bool
+	// WithoutContact asks a scheduler which of the named processes it has no contact with.
+	WithoutContact func(ctx context.Context, scheduler members.Member, names []string) ([]string, error)
+	// ReviewInterval and RemoveAfter are the constants of the same names, except in tests.
+	ReviewInterval, RemoveAfter time.Duration
+	Logger                      log.Logger
 }
 
-// Pruner is the duty.
+// Pruner performs the duty.
 type Pruner struct {
 	o      Options
 	logger log.Logger
-	// silent are the registrations that all looks since some time found silent, by key.
-	silent map[string]silence
-	looked bootclock.Instant
+	// unresponsive are the registrations that every review has found unresponsive since the time in
+	// the entry, by key.
+	unresponsive map[string]unresponsiveEntry
+	reviewedAt   bootclock.Instant
 }
 
-// silence is a registration of a process that nobody hears.
-type silence struct {
+// unresponsiveEntry is a registration of a process that no scheduler has contact with.
+type unresponsiveEntry struct {
 	version objstore.Version
 	since   bootclock.Instant
 }
 
-// New returns a pruner that has to be run.
+// New returns a pruner that starts to work once Run is called.
 func New(o Options) *Pruner {
-	return &Pruner{o: o, logger: log.With(o.Logger, "component", "prune"), silent: map[string]silence{}}
+	return &Pruner{o: o, logger: log.With(o.Logger, "component", "prune"), unresponsive: map[string]unresponsiveEntry{}}
 }
 
-// Run looks until ctx ends, whenever this process has the authority.
-func (p *Pruner) Run(ctx context.Context) { periodic.Run(ctx, p.o.Every, p.review) }
+// Run reviews the registrations until ctx ends, whenever this process has the authority.
+func (p *Pruner) Run(ctx context.Context) { periodic.Run(ctx, p.o.ReviewInterval, p.review) }
 
-// review looks. Silence counts anew if nothing is known.
+// review performs one review. If it fails, all observations start over.
 func (p *Pruner) review(ctx context.Context) {
-	if err := p.look(ctx); err != nil {
-		level.Info(p.logger).Log("msg", "silent processes not known", "err", err)
-		clear(p.silent)
+	if err := p.reviewOnce(ctx); err != nil {
+		level.Info(p.logger).Log("msg", "unresponsive processes could not be determined", "err", err)
+		clear(p.unresponsive)
 	}
 }
 
-// look finds out who is silent, and removes who has been for long. An error means that
-// nothing is known, so that silence counts anew.
-func (p *Pruner) look(ctx context.Context) error {
+// reviewOnce determines which processes are unresponsive, and removes the registrations of those that have
+// been unresponsive for RemoveAfter. After an error it is not known which processes are unresponsive.
+func (p *Pruner) reviewOnce(ctx context.Context) error {
 	grant, ok := p.o.Authority.Grant()
 	if !ok {
-		clear(p.silent)
+		clear(p.unresponsive)
 		return nil
 	}
-	last := p.looked
-	p.looked = bootclock.Now()
-	if p.looked.Sub(last) > pauseMost*p.o.Every {
-		clear(p.silent)
+	last := p.reviewedAt
+	p.reviewedAt = bootclock.Now()
+	if p.reviewedAt.Sub(last) > maxReviewGap*p.o.ReviewInterval {
+		clear(p.unresponsive)
 	}
 	if !p.o.View().StoreUp {
-		return fault.New(fault.Unavailable, "store does not answer", "it is looked again later")
+		return fault.New(fault.Unavailable, "store does not respond", "the next review tries again")
 	}
 	lctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	registered, _, err := p.o.Stale.List(lctx, p.o.Prefix)
@@ -112,62 +113,64 @@
 	if err != nil {
 		return err
 	}
-	unheard, err := p.unheard(ctx, registered)
+	withoutContact, err := p.withoutContact(ctx, registered)
 	if err != nil {
 		return err
 	}
-	p.count(registered, unheard)
-	p.remove(ctx, grant)
+	p.recordUnresponsive(registered, withoutContact)
+	p.removeUnresponsive(ctx, grant)
 	return nil
 }
 
-// unheard returns the names of the members that neither this process nor any scheduler hears.
-func (p *Pruner) unheard(ctx context.Context, registered []objstore.Object) ([]string, error) {
+// withoutContact returns the names of the members that neither this process nor any other scheduler has
+// contact with.
+func (p *Pruner) withoutContact(ctx context.Context, registered []objstore.Object) ([]string, error) {
 	var names []string
 	for _, m := range members.Parse(registered) {
-		if m.Name != p.o.Self.Name && !p.o.Hears(m.Name) {
+		if m.Name != p.o.Self.Name && !p.o.HasContact(m.Name) {
 			names = append(names, m.Name)
 		}
 	}
-	for _, s := range p.o.View().Schedulers {
-		if s.Name == p.o.Self.Name || len(names) == 0 {
+	for _, scheduler := range p.o.View().Schedulers {
+		if scheduler.Name == p.o.Self.Name || len(names) == 0 {
 			continue
 		}
-		actx, cancel := context.WithTimeout(ctx, askTimeout)
-		left, err := p.o.Unheard(actx, s, names)
+		qctx, cancel := context.WithTimeout(ctx, queryTimeout)
+		stillWithout, err := p.o.WithoutContact(qctx, scheduler, names)
 		cancel()
 		if err != nil {
-			return nil, err // whom it hears is not known
+			return nil, err // the contacts of this scheduler are unknown
 		}
-		names = slices.DeleteFunc(names, func(n string) bool { return n == s.Name || !slices.Contains(left, n) })
+		names = slices.DeleteFunc(names, func(n string) bool { return n == scheduler.Name || !slices.Contains(stillWithout, n) })
 	}
 	return names, nil
 }
 
-// count takes a look in: silence goes on only for the same registration.
-func (p *Pruner) count(registered []objstore.Object, unheard []string) {
-	next := map[string]silence{}
+// recordUnresponsive applies the result of a review. An observation continues only as long as the
+// registration stays the same.
+func (p *Pruner) recordUnresponsive(registered []objstore.Object, withoutContact []string) {
+	next := map[string]unresponsiveEntry{}
 	for _, obj := range registered {
 		m, ok := members.Decode(obj)
-		if !ok || !slices.Contains(unheard, m.Name) {
+		if !ok || !slices.Contains(withoutContact, m.Name) {
 			continue
 		}
-		s, known := p.silent[obj.Key]
-		if !known || s.version != obj.Version {
-			s = silence{obj.Version, p.looked}
-			level.Info(p.logger).Log("msg", "process is heard by nobody", "process", m.Name, "revision", obj.Version)
+		entry, known := p.unresponsive[obj.Key]
+		if !known || entry.version != obj.Version {
+			entry = unresponsiveEntry{obj.Version, p.reviewedAt}
+			level.Info(p.logger).Log("msg", "no scheduler has contact with process", "process", m.Name, "revision", obj.Version)
 		}
-		next[obj.Key] = s
+		next[obj.Key] = entry
 	}
-	p.silent = next
+	p.unresponsive = next
 }
 
-// remove deletes a few of the registrations that have been silent for long, each only if it
-// is still the one that was silent.
-func (p *Pruner) remove(ctx context.Context, grant duty.Grant) {
+// removeUnresponsive deletes a few of the registrations that have been unresponsive for RemoveAfter. A
+// delete names the version that was observed, so that a renewed registration stays.
+func (p *Pruner) removeUnresponsive(ctx context.Context, grant duty.Grant) {
 	removed := 0
-	for key, s := range p.silent {
-		if p.looked.Sub(s.since) < p.o.After || removed == removedAtOnce {
+	for key, entry := range p.unresponsive {
+		if p.reviewedAt.Sub(entry.since) < p.o.RemoveAfter || removed == maxRemovalsPerReview {
 			continue
 		}
 		if err := grant.Check(); err != nil {
@@ -175,10 +178,10 @@
 			return
 		}
 		dctx, cancel := context.WithTimeout(ctx, storeTimeout)
-		err := p.o.Store.Delete(dctx, key, s.version)
+		err := p.o.Store.Delete(dctx, key, entry.version)
 		cancel()
 		removed++
-		delete(p.silent, key)
-		level.Info(p.logger).Log("msg", "registration removed", "key", key, "revision", s.version, "silent_for", p.looked.Sub(s.since).Round(time.Second), "err", err)
+		delete(p.unresponsive, key)
+		level.Info(p.logger).Log("msg", "registration removed", "key", key, "revision", entry.version, "silent_for", p.reviewedAt.Sub(entry.since).Round(time.Second), "err", err)
 	}
 }
--- a/internal/prune/prune_test.go
+++ b/internal/prune/prune_test.go
@@ -22,31 +22,31 @@
 )
 
 const (
-	every = 20 * time.Millisecond
-	after = 10 * every
-	lease = time.Second
-	soon  = 3 * time.Second
+	reviewInterval = 20 * time.Millisecond
+	removeAfter    = 10 * reviewInterval
+	leaseTTL       = time.Second
+	pollTimeout    = 3 * time.Second
 )
 
 // deployment is a store with registrations and a pruner that has the authority.
 type deployment struct {
-	t     *testing.T
-	fake  *fleetstore.Server
-	store *platform.Store
+	t      *testing.T
+	server *fleetstore.Server
+	store  *platform.Store
 
 	mu sync.Mutex
-	// heard are the processes that the holder hears, heardThere those that its one other
-	// scheduler hears, mute is true while that one does not answer.
-	heard, heardThere []string
-	mute, storeDown   bool
+	// holderContacts are the processes that the holder has contact with, schedulerContacts those of the
+	// one other scheduler. schedulerDown is true while that scheduler does not respond.
+	holderContacts, schedulerContacts []string
+	schedulerDown, storeDown          bool
 }
 
 var self = members.Member{Name: "holder", Incarnation: members.NewIncarnation(), Domain: "a"}
 
 func start(t *testing.T) *deployment {
 	t.Helper()
-	d := &deployment{t: t, fake: fleetstore.New()}
-	server := httptest.NewServer(d.fake)
+	d := &deployment{t: t, server: fleetstore.New()}
+	server := httptest.NewServer(d.server)
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 	d.store = platform.NewStore(server.Listener.Addr().String())
 	view := func() *fleet.View {
@@ -55,16 +55,16 @@
 		return &fleet.View{Scheduling: true, StoreUp: !d.storeDown, Schedulers: []members.Member{self, {Name: "other"}}}
 	}
 	authority := duty.New(duty.Options{
-		Store: d.store, Prefix: platform.LeasePrefix, Self: self, TTL: lease, HandoverDelay: lease, View: view, LivePeers: func() []string { return nil }, Logger: log.NewNopLogger(),
+		Store: d.store, Prefix: platform.LeasePrefix, Self: self, TTL: leaseTTL, HandoverDelay: leaseTTL, View: view, LivePeers: func() []string { return nil }, Logger: log.NewNopLogger(),
 	})
 	p := prune.New(prune.Options{
 		Self: self, Authority: authority, Store: d.store, Stale: d.store.WithStaleReads(), Prefix: platform.MemberPrefix, View: view,
-		Hears: func(name string) bool {
+		HasContact: func(name string) bool {
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			return slices.Contains(d.heard, name)
+			return slices.Contains(d.holderContacts, name)
 		},
-		Unheard: d.unheard, Every: every, After: after, Logger: log.NewNopLogger(),
+		WithoutContact: d.withoutContact, ReviewInterval: reviewInterval, RemoveAfter: removeAfter, Logger: log.NewNopLogger(),
 	})
 	d.register("holder", "other")
 	ctx, cancel := context.WithCancel(context.Background())
@@ -74,17 +74,17 @@
 	return d
 }
 
-func (d *deployment) unheard(_ context.Context, _ members.Member, names []string) ([]string, error) {
+func (d *deployment) withoutContact(_ context.Context, _ members.Member, names []string) ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.mute {
+	if d.schedulerDown {
 		return nil, errors.New("no answer")
 	}
-	return slices.DeleteFunc(slices.Clone(names), func(n string) bool { return slices.Contains(d.heardThere, n) }), nil
+	return slices.DeleteFunc(slices.Clone(names), func(n string) bool { return slices.Contains(d.schedulerContacts, n) }), nil
 }
 
-// set changes what is heard.
-func (d *deployment) set(change func()) {
+// update changes the fields that mu guards.
+func (d *deployment) update(change func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	change()
@@ -104,91 +104,90 @@
 	return members.Names(members.Parse(all))
 }
 
-// TestHostsThatAreGoneArePruned checks that a registration goes whose process nobody hears,
-// and that one stays whose process is heard by one scheduler.
-func TestHostsThatAreGoneArePruned(t *testing.T) {
+// TestUnresponsiveProcessesArePruned checks that a registration is removed if no scheduler has contact with
+// its process, and kept if one scheduler has.
+func TestUnresponsiveProcessesArePruned(t *testing.T) {
 	d := start(t)
-	d.set(func() { d.heard, d.heardThere = []string{"near"}, []string{"far"} })
+	d.update(func() { d.holderContacts, d.schedulerContacts = []string{"near"}, []string{"far"} })
 	d.register("near", "far", "gone-1", "gone-2")
-	require.Eventually(t, func() bool { return slices.Equal(d.registered(), []string{"far", "holder", "near", "other"}) }, soon, every)
-	time.Sleep(2 * after)
+	require.Eventually(t, func() bool { return slices.Equal(d.registered(), []string{"far", "holder", "near", "other"}) }, pollTimeout, reviewInterval)
+	time.Sleep(2 * removeAfter)
 	require.Len(t, d.registered(), 4)
 }
 
-// TestARegistrationThatWasRenewedStays has the process of a silent registration start again
-// every now and then, heard by nobody yet.
-func TestARegistrationThatWasRenewedStays(t *testing.T) {
+// TestRenewedRegistrationIsKept restarts an unresponsive process again and again before RemoveAfter has
+// passed, without contact to a scheduler. Each restart renews the registration, so it must be kept.
+func TestRenewedRegistrationIsKept(t *testing.T) {
 	d := start(t)
 	for range 6 {
 		d.register("often")
-		time.Sleep(after * 6 / 10)
+		time.Sleep(removeAfter * 6 / 10)
 		require.Contains(t, d.registered(), "often")
 	}
-	require.Eventually(t, func() bool { return !slices.Contains(d.registered(), "often") }, soon, every)
+	require.Eventually(t, func() bool { return !slices.Contains(d.registered(), "often") }, pollTimeout, reviewInterval)
 }
 
-// TestNothingIsPrunedInDoubt covers a scheduler that does not answer, a store that is away,
-// and one that was away: silence counts anew after each.
-func TestNothingIsPrunedInDoubt(t *testing.T) {
+// TestNothingIsPrunedWithoutKnowledge covers a scheduler that does not respond, a view without the store,
+// and a store that is down. After each of these the time to removal starts over.
+func TestNothingIsPrunedWithoutKnowledge(t *testing.T) {
 	for name, doubt := range map[string]func(d *deployment, on bool){
-		"scheduler": func(d *deployment, on bool) { d.set(func() { d.mute = on }) },
-		"view":      func(d *deployment, on bool) { d.set(func() { d.storeDown = on }) },
-		"store":     func(d *deployment, on bool) { d.fake.SetFaults(fleetstore.Faults{DownKind: kindIf(on)}) },
+		"scheduler": func(d *deployment, on bool) { d.update(func() { d.schedulerDown = on }) },
+		"view":      func(d *deployment, on bool) { d.update(func() { d.storeDown = on }) },
+		"store":     func(d *deployment, on bool) { d.server.SetFaults(fleetstore.Faults{DownKind: memberKindIf(on)}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := start(t)
-			time.Sleep(lease / 2) // the authority is held
+			time.Sleep(leaseTTL / 2) // until the authority is held
 			d.register("gone")
 			for range 3 {
-				time.Sleep(after * 6 / 10)
+				time.Sleep(removeAfter * 6 / 10)
 				doubt(d, true)
-				time.Sleep(4 * every)
+				time.Sleep(4 * reviewInterval)
 				doubt(d, false)
 				require.Contains(t, d.registered(), "gone")
 			}
-			require.Eventually(t, func() bool { return !slices.Contains(d.registered(), "gone") }, soon, every)
+			require.Eventually(t, func() bool { return !slices.Contains(d.registered(), "gone") }, pollTimeout, reviewInterval)
 		})
 	}
 }
 
-func kindIf(on bool) string {
+func memberKindIf(on bool) string {
 	if on {
 		return platform.MemberPrefix[:len(platform.MemberPrefix)-1]
 	}
 	return ""
 }
 
-// TestFewAreRemovedAtOnce bounds what a look writes, and counts the calls of a deployment in
-// which all are heard.
-func TestFewAreRemovedAtOnce(t *testing.T) {
+// TestRemovalsPerReviewAreLimited checks how many registrations one review deletes.
+func TestRemovalsPerReviewAreLimited(t *testing.T) {
 	const gone = 20
 	d := start(t)
 	for n := range gone {
 		d.register(fmt.Sprintf("gone-%02d", n))
 	}
-	before, left := time.Now(), gone+2
+	before, remaining := time.Now(), gone+2
 	require.Eventually(t, func() bool {
 		now := len(d.registered())
-		looks := 2 + int(time.Since(before)/every)
-		require.LessOrEqual(t, left-now, 4*looks)
-		before, left = time.Now(), now
+		reviews := 2 + int(time.Since(before)/reviewInterval)
+		require.LessOrEqual(t, remaining-now, 4*reviews)
+		before, remaining = time.Now(), now
 		return now == 2
-	}, 2*soon, every/2)
+	}, 2*pollTimeout, reviewInterval/2)
 }
 
-// TestALookCostsOneList counts the calls of a deployment in which all are heard: a list for
-// each look, and the lease.
-func TestALookCostsOneList(t *testing.T) {
-	const others, pages, looks, leaseCalls = 20, 5, 20, 20
+// TestReviewCostsOneList counts the calls to the store when all processes have contact: one list for each
+// review, and the lease.
+func TestReviewCostsOneList(t *testing.T) {
+	const others, pages, reviews, leaseCalls = 20, 5, 20, 20
 	d := start(t)
 	for n := range others {
 		name := fmt.Sprintf("near-%02d", n)
 		d.register(name)
-		d.set(func() { d.heard = append(d.heard, name) })
+		d.update(func() { d.holderContacts = append(d.holderContacts, name) })
 	}
-	time.Sleep(lease / 2)
-	before := d.fake.Calls()
-	time.Sleep(looks * every)
-	require.LessOrEqual(t, d.fake.Calls()-before, looks*pages+leaseCalls)
+	time.Sleep(leaseTTL / 2)
+	before := d.server.Calls()
+	time.Sleep(reviews * reviewInterval)
+	require.LessOrEqual(t, d.server.Calls()-before, reviews*pages+leaseCalls)
 	require.Len(t, d.registered(), others+2)
 }
