--- a/internal/httpserve/httpserve.go
+++ b/internal/httpserve/httpserve.go
@@ -1,5 +1,5 @@
-// Package httpserve runs HTTP servers as parts of a process whose parts end
-// together.
+// Package httpserve runs HTTP servers as components of a process in which the end of one component ends
+// all others.
 package httpserve
 
 import (
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Serve serves until ctx ends. A server that is shut down stops to accept at once
-// but is not done before its process is.
+// Serve accepts connections on l until s is shut down or fails. After a shutdown it returns only when ctx
+// ends: a return would end the whole process, which may still have requests in flight.
 func Serve(ctx context.Context, s *http.Server, l net.Listener) error {
 	err := s.Serve(l)
 	if errors.Is(err, http.ErrServerClosed) {
