--- a/internal/charts/charts.go
+++ b/internal/charts/charts.go
@@ -1,5 +1,5 @@
-// Package charts holds the state charts that rockdoor interprets. They are
-// checked when the program starts.
+// Package charts holds the state charts of rockdoor. They are loaded and checked when the program
+// starts.
 package charts
 
 import (
@@ -11,7 +11,7 @@
 //go:embed *.json
 var files embed.FS
 
-// The charts.
+// The state charts.
 var (
 	Attempt = load("attempt.json")
 	Request = load("request.json")
@@ -19,7 +19,7 @@
 	Order   = load("order.json")
 )
 
-// All lists the charts, for the docs.
+// All lists the charts for the generated documentation.
 var All = []*statechart.Chart{Attempt, Request, Process, Order}
 
 func load(name string) *statechart.Chart {
@@ -57,7 +57,8 @@
 	RequestNotRun   statechart.State = "not_run"
 	RequestUnknown  statechart.State = "unknown"
 	RequestFailed   statechart.State = "failed"
-	// RequestDuplicate requests got the answer of another with the same key.
+	// RequestDuplicate is the state of a request that got the response of another request with the
+	// same idempotency key.
 	RequestDuplicate statechart.State = "duplicate"
 
 	Duplicate       statechart.Event = "duplicate"
--- a/internal/charts/charts_test.go
+++ b/internal/charts/charts_test.go
@@ -9,9 +9,9 @@
 	"github.com/rockdoor/rockdoor/statechart"
 )
 
-// Whatever happens to a request, "not run" is only said if no attempt may have
-// begun, and a complete answer only after a complete attempt.
-func TestRequestChartNeverLies(t *testing.T) {
+// TestRequestChartReportsNotRunCorrectly checks for random event sequences that a request ends as not run
+// only if no attempt may have run, and as complete only after a complete attempt.
+func TestRequestChartReportsNotRunCorrectly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Request.Start()
 		mayHaveRun, completed := false, false
@@ -30,17 +30,17 @@
 			}
 		}
 		if r.State() == RequestNotRun && mayHaveRun {
-			t.Fatal("said not run after an attempt that may have run")
+			t.Fatal("request ended as not run after an attempt that may have run")
 		}
 		if (r.State() == RequestComplete) != completed {
-			t.Fatal("complete without a complete attempt, or the reverse")
+			t.Fatal("request ended as complete without a complete attempt, or not complete after one")
 		}
 	})
 }
 
-// An attempt that was sent never ends as not run unless the connection or the
-// target proves it.
-func TestAttemptChartNeverLies(t *testing.T) {
+// TestAttemptChartReportsNotRunCorrectly checks for random event sequences that an attempt that was sent
+// ends as not run only if the connection or the target proves it.
+func TestAttemptChartReportsNotRunCorrectly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := Attempt.Start()
 		last := statechart.Event("")
@@ -51,7 +51,7 @@
 				t.Fatal(err)
 			}
 			if before == AttemptAnswering && a.State() == AttemptNotRun {
-				t.Fatal("not run after an answer began")
+				t.Fatal("attempt ended as not run after its response began")
 			}
 		}
 		if a.State() == AttemptNotRun {
