--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,17 +1,17 @@
-// Package admin serves operators: health checks, metrics, the configuration and
-// the state of the fleet. The command line uses the same calls.
+// Package admin serves the operators' API: health checks, metrics, the configuration and the state of the
+// fleet. The command line uses the same API.
 //
-//	GET  /healthz                     the process lives
-//	GET  /readyz                      the process takes requests
-//	GET  /metrics                     metrics in the text format of scrapers
+//	GET  /healthz                     liveness check
+//	GET  /readyz                      readiness check: the process accepts requests
+//	GET  /metrics                     metrics in the Prometheus text format
 //	GET  /api/v1/config               the configuration in force
-//	PUT  /api/v1/config?ifRevision=N  replace it; 409 if another change was first
-//	POST /api/v1/config/validate      check one without accepting it
+//	PUT  /api/v1/config?ifRevision=N  replace the configuration; 409 if N is not in force
+//	POST /api/v1/config/validate      check a configuration without applying it
 //	GET  /api/v1/config/history       accepted changes, newest first
-//	POST /api/v1/edits                small changes of labels and states
-//	GET  /api/v1/status               members, engines, backend servers
-//	POST /api/v1/vouch                vouch that a run of a process is over
-//	POST /api/v1/explain              where a request would run
+//	POST /api/v1/edits                edit single labels and states
+//	GET  /api/v1/status               members, engines and backend servers
+//	POST /api/v1/vouch                confirm that a run of a process has ended
+//	POST /api/v1/explain              explain where a request would run
 package admin
 
 import (
@@ -40,11 +40,11 @@
 )
 
 const (
-	maxConfigBytes = 64 << 20
-	maxSmallBody   = 1 << 20
-	callTimeout    = 20 * time.Second
-	defaultHistory = 20
-	maxHistory     = 1000
+	maxConfigBytes        = 64 << 20
+	maxJSONBytes          = 1 << 20
+	callTimeout           = 20 * time.Second
+	defaultHistoryEntries = 20
+	maxHistoryEntries     = 1000
 )
 
 // Options of a Server.
@@ -52,21 +52,21 @@
 	Store    objstore.Store
 	Loader   *confstore.Loader
 	Snapshot func() *control.Snapshot
-	// Refresh makes this process see its own writes at once.
+	// Refresh reads the store, so that this process sees its own writes at once.
 	Refresh func(context.Context)
-	// Ready says why the process takes no requests, or nil.
+	// Ready returns why the process does not accept requests, or nil if it does.
 	Ready   func() error
 	Explain func(entry.Question) (*entry.Explanation, error)
-	// Pools says which pools' orders this process gives or would give.
+	// Pools returns the pools that this process controls or is a candidate to control.
 	Pools func() []controller.PoolStatus
-	// Watcher says whether this process watches the store.
+	// Watcher reports whether this process watches the store.
 	Watcher func() bool
 	Self    members.Member
 	Metrics metrics.Registry
 	Logger  log.Logger
 }
 
-// Server is the handler of operators' requests.
+// Server handles the requests of operators.
 type Server struct {
 	o      Options
 	router *mux.Router
@@ -99,7 +99,7 @@
 	s.router.ServeHTTP(w, r.WithContext(ctx))
 }
 
-// ErrorBody is the answer to a call that failed.
+// ErrorBody is the response to a call that failed.
 type ErrorBody struct {
 	Kind     fault.Kind     `json:"kind"`
 	Message  string         `json:"message"`
@@ -156,7 +156,7 @@
 	return body, nil
 }
 
-// Accepted is the answer to a change that was accepted.
+// Accepted is the response to a change of the configuration that was accepted.
 type Accepted struct {
 	Revision int64  `json:"revision"`
 	ChangeID string `json:"changeID"`
@@ -192,8 +192,8 @@
 		writeError(w, err)
 		return
 	}
-	a, err := s.writer.Apply(r.Context(), base, c, change(r))
-	s.answerChange(w, r, a, err)
+	a, err := s.writer.Apply(r.Context(), base, c, changeFromQuery(r))
+	s.writeChange(w, r, a, err)
 }
 
 func fileName(r *http.Request) string {
@@ -218,12 +218,12 @@
 	return nil
 }
 
-func change(r *http.Request) confstore.Change {
+func changeFromQuery(r *http.Request) confstore.Change {
 	q := r.URL.Query()
 	return confstore.Change{ID: q.Get("changeID"), Author: q.Get("author"), Note: q.Get("note")}
 }
 
-func (s *Server) answerChange(w http.ResponseWriter, r *http.Request, a confstore.Accepted, err error) {
+func (s *Server) writeChange(w http.ResponseWriter, r *http.Request, a confstore.Accepted, err error) {
 	if err != nil {
 		writeError(w, err)
 		return
@@ -248,9 +248,9 @@
 func (s *Server) history(w http.ResponseWriter, r *http.Request) {
 	limit, err := strconv.Atoi(r.URL.Query().Get("limit"))
 	if err != nil || limit < 1 {
-		limit = defaultHistory
+		limit = defaultHistoryEntries
 	}
-	heads, err := confstore.History(r.Context(), s.o.Store, min(limit, maxHistory))
+	heads, err := confstore.History(r.Context(), s.o.Store, min(limit, maxHistoryEntries))
 	if err != nil {
 		writeError(w, err)
 		return
@@ -263,16 +263,16 @@
 
 func (s *Server) edit(w http.ResponseWriter, r *http.Request) {
 	var edits []confstore.Edit
-	if err := decodeSmall(w, r, &edits); err != nil {
+	if err := decodeJSON(w, r, &edits); err != nil {
 		writeError(w, err)
 		return
 	}
-	a, err := s.writer.EditAll(r.Context(), s.o.Loader, edits, change(r))
-	s.answerChange(w, r, a, err)
+	a, err := s.writer.EditAll(r.Context(), s.o.Loader, edits, changeFromQuery(r))
+	s.writeChange(w, r, a, err)
 }
 
-func decodeSmall(w http.ResponseWriter, r *http.Request, out any) error {
-	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxSmallBody))
+func decodeJSON(w http.ResponseWriter, r *http.Request, out any) error {
+	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxJSONBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(out); err != nil {
 		return fault.Wrap(err, fault.Invalid, "body cannot be read", "send the JSON that the API describes")
@@ -280,8 +280,7 @@
 	return nil
 }
 
-// Vouch is an operator's word that a run of a process is over and will never
-// act again.
+// Vouch is an operator's confirmation that a run of a process has ended and will never act again.
 type Vouch struct {
 	Incarnation string `json:"incarnation"`
 	By          string `json:"by"`
@@ -289,7 +288,7 @@
 
 func (s *Server) vouch(w http.ResponseWriter, r *http.Request) {
 	var v Vouch
-	err := decodeSmall(w, r, &v)
+	err := decodeJSON(w, r, &v)
 	if err == nil && (v.Incarnation == "" || v.By == "") {
 		err = fault.New(fault.Invalid, "incarnation or by is missing", "give both; rockdoor status -o json shows the incarnations")
 	}
@@ -300,14 +299,14 @@
 		writeError(w, err)
 		return
 	}
-	level.Warn(s.o.Logger).Log("msg", "operator vouches that a process is over", "incarnation", v.Incarnation, "by", v.By)
+	level.Warn(s.o.Logger).Log("msg", "operator confirmed that a process has ended", "incarnation", v.Incarnation, "by", v.By)
 	s.o.Refresh(r.Context())
 	writeJSON(w, http.StatusOK, v)
 }
 
 func (s *Server) explain(w http.ResponseWriter, r *http.Request) {
 	var q entry.Question
-	if err := decodeSmall(w, r, &q); err != nil {
+	if err := decodeJSON(w, r, &q); err != nil {
 		writeError(w, err)
 		return
 	}
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -13,13 +13,13 @@
 
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// metrics writes the registry in the text format that scrapers read.
+// metrics responds with the registry in the Prometheus text format.
 func (s *Server) metrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	WriteMetrics(w, s.o.Metrics)
 }
 
-// WriteMetrics writes a registry in the text format that scrapers read.
+// WriteMetrics writes a registry in the Prometheus text format.
 func WriteMetrics(w io.Writer, reg metrics.Registry) {
 	var names []string
 	reg.Each(func(name string, _ any) { names = append(names, name) })
--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -15,13 +15,13 @@
 	Process  string `json:"process"`
 	Revision int64  `json:"revision"`
 	ChangeID string `json:"changeID"`
-	// Fresh is false if the process cannot know that the revision is in force.
+	// Fresh is false if the process cannot know whether the revision is in force.
 	Fresh bool `json:"fresh"`
 	// Watcher is true if the process reads the platform's store for its domain.
 	Watcher bool                  `json:"watcher"`
 	Members []control.MemberState `json:"members"`
 	Targets []TargetStatus        `json:"targets"`
-	// Pools are those that this process is a candidate to control.
+	// Pools are the pools that this process is a candidate to control.
 	Pools []controller.PoolStatus `json:"pools"`
 }
 
@@ -34,13 +34,13 @@
 	Address string             `json:"address"`
 	State   config.ServerState `json:"state"`
 	Role    engine.Role        `json:"role,omitempty"`
-	// WantedRole is the role that the operator asks for.
+	// WantedRole is the role that the operator has configured.
 	WantedRole engine.Role `json:"wantedRole,omitempty"`
 	Changing   bool        `json:"changing,omitempty"`
-	// Order is the state of the last order, if it has not ended.
+	// Order is the state of the last order to the engine, empty if that order has ended.
 	Order    string `json:"order,omitempty"`
 	Requests int    `json:"requests"`
-	// Report is empty, or why the engine gives no status.
+	// Report is the reason why there is no current status report of the engine, empty if there is one.
 	Report string `json:"report,omitempty"`
 	// ReportAge is the age of the report, in milliseconds.
 	ReportAge int64 `json:"reportAgeMs,omitempty"`
