--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,6 +1,6 @@
-// Package logsink writes log lines without ever blocking the writer. Lines wait
-// in a bounded queue; when it is full, or a second's allowance is used up, lines
-// are dropped and counted, those of ordinary successes before the others.
+// Package logsink writes log lines without ever blocking the goroutine that logs. Lines wait in a bounded
+// queue. When the queue is full, or the rate limit of the current second is used up, lines are dropped and
+// counted. Lines of level debug, which successful requests log, are dropped before others.
 package logsink
 
 import (
@@ -13,37 +13,36 @@
 )
 
 const (
-	// queueLines is how many lines wait for a slow reader: a few seconds' worth
-	// at the usual rate, under a megabyte.
-	queueLines = 4096
-	// reserve is the part of the queue and of the allowance that is kept for
-	// lines that are not of ordinary successes.
-	reserve = 0.25
-	// DefaultRate is the allowance in lines a second: some ten lines for each of
-	// the requests that a small host takes at its peak.
+	// queueCapacity is the number of lines that wait for a slow reader: the lines of a few seconds at
+	// the usual rate, less than a megabyte.
+	queueCapacity = 4096
+	// reservedShare is the share of the queue and of the rate limit that debug lines may not use.
+	reservedShare = 0.25
+	// DefaultRate is the default rate limit in lines per second: about ten lines for each request that a
+	// small host accepts at its peak.
 	DefaultRate = 2000
 )
 
-// ordinary marks lines that are dropped first.
-var ordinary = []byte("level=debug")
+// debugLevel marks the lines that are dropped first.
+var debugLevel = []byte("level=debug")
 
-// Sink is a writer for one log line a call. It is safe for concurrent use.
+// Sink is an io.Writer that expects one log line in each call. It is safe for concurrent use.
 type Sink struct {
-	out     io.Writer
-	lines   chan []byte
-	rate    int64
-	second  atomic.Int64
-	used    atomic.Int64
-	dropped atomic.Int64
-	done    chan struct{}
-	// mu keeps Close from closing lines while a line is put there.
+	out            io.Writer
+	lines          chan []byte
+	rate           int64
+	currentSecond  atomic.Int64
+	usedThisSecond atomic.Int64
+	dropped        atomic.Int64
+	done           chan struct{}
+	// mu prevents Close from closing lines while a line is being enqueued.
 	mu     sync.RWMutex
 	closed bool
 }
 
-// New returns a sink that writes to out at most rate lines a second.
+// New returns a sink that writes at most rate lines per second to out.
 func New(out io.Writer, rate int) *Sink {
-	s := &Sink{out: out, lines: make(chan []byte, queueLines), rate: int64(rate), done: make(chan struct{})}
+	s := &Sink{out: out, lines: make(chan []byte, queueCapacity), rate: int64(rate), done: make(chan struct{})}
 	go s.run()
 	return s
 }
@@ -51,27 +50,27 @@
 // Write implements io.Writer. It never blocks and never fails.
 func (s *Sink) Write(line []byte) (int, error) {
 	limit, room := s.rate, cap(s.lines)
-	if bytes.Contains(line, ordinary) {
-		limit -= int64(float64(limit) * reserve)
-		room -= int(float64(room) * reserve)
+	if bytes.Contains(line, debugLevel) {
+		limit -= int64(float64(limit) * reservedShare)
+		room -= int(float64(room) * reservedShare)
 	}
 	now := time.Now().Unix()
-	if old := s.second.Load(); old != now && s.second.CompareAndSwap(old, now) {
-		s.used.Store(0)
+	if old := s.currentSecond.Load(); old != now && s.currentSecond.CompareAndSwap(old, now) {
+		s.usedThisSecond.Store(0)
 	}
-	if s.used.Add(1) > limit || len(s.lines) >= room {
+	if s.usedThisSecond.Add(1) > limit || len(s.lines) >= room {
 		s.dropped.Add(1)
 		return len(line), nil
 	}
-	if !s.put(bytes.Clone(line)) {
+	if !s.enqueue(bytes.Clone(line)) {
 		s.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// put has a line wait to be written. It reports false if there is no room, or if the sink has
-// been closed: goroutines of a process that is about to exit may still log.
-func (s *Sink) put(line []byte) bool {
+// enqueue adds a line to the queue. It reports false if the queue is full or the sink has been closed:
+// goroutines of a process that is about to exit may still log.
+func (s *Sink) enqueue(line []byte) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	if s.closed {
@@ -85,10 +84,11 @@
 	}
 }
 
-// Dropped returns how many lines have been dropped.
+// Dropped returns the number of lines that have been dropped.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
-// Close writes what waits, for at most the given time. Lines that come later are dropped.
+// Close writes the lines in the queue, for at most the given time. Lines that are written later are
+// dropped.
 func (s *Sink) Close(within time.Duration) {
 	s.mu.Lock()
 	s.closed = true
@@ -100,18 +100,18 @@
 	}
 }
 
-// run writes lines as the reader takes them. The number of lines that were
-// dropped is told before the next one.
+// run writes the lines in the queue as fast as the reader accepts them. Before the next line it reports the
+// number of lines that were dropped.
 func (s *Sink) run() {
 	defer close(s.done)
-	told := int64(0)
+	reported := int64(0)
 	for line := range s.lines {
-		if n := s.dropped.Load(); n != told {
-			fmt.Fprintf(s.out, "level=warn msg=\"log lines dropped\" lines=%d total=%d\n", n-told, n)
-			told = n
+		if n := s.dropped.Load(); n != reported {
+			fmt.Fprintf(s.out, "level=warn msg=\"log lines dropped\" lines=%d total=%d\n", n-reported, n)
+			reported = n
 		}
 		if _, err := s.out.Write(line); err != nil {
-			s.dropped.Add(1) // nobody reads; there is nowhere left to say so
+			s.dropped.Add(1) // the output is broken, so the error cannot be logged
 		}
 	}
 }
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -11,19 +11,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestReaderThatStops checks that lines are dropped and counted, and that nobody
-// waits, when nobody reads.
-func TestReaderThatStops(t *testing.T) {
+// TestStalledReaderDoesNotBlockWriters checks that lines are dropped and counted, and that no writer waits,
+// while nothing reads the output.
+func TestStalledReaderDoesNotBlockWriters(t *testing.T) {
 	r, w := io.Pipe()
 	defer r.Close()
 	s := New(w, 1<<30)
 	begun := time.Now()
-	for range 3 * queueLines {
+	for range 3 * queueCapacity {
 		_, err := s.Write([]byte("level=warn msg=x\n"))
 		require.NoError(t, err)
 	}
 	require.Less(t, time.Since(begun), 5*time.Second)
-	require.GreaterOrEqual(t, s.Dropped(), int64(queueLines))
+	require.GreaterOrEqual(t, s.Dropped(), int64(queueCapacity))
 }
 
 type buffer struct {
@@ -37,13 +37,13 @@
 	return b.b.Write(p)
 }
 
-// TestFlood checks that the allowance holds and that lines of ordinary successes
-// go before the others.
-func TestFlood(t *testing.T) {
+// TestRateLimitDropsDebugLinesFirst checks that the rate limit holds and that debug lines cannot use the
+// share reserved for other lines.
+func TestRateLimitDropsDebugLinesFirst(t *testing.T) {
 	const rate = 100
 	out := &buffer{}
 	s := New(out, rate)
-	for time.Now().Nanosecond() > int(500*time.Millisecond) { // stay inside one second
+	for time.Now().Nanosecond() > int(500*time.Millisecond) { // so that all lines fall within one second
 		time.Sleep(10 * time.Millisecond)
 	}
 	for range 1000 {
@@ -54,7 +54,7 @@
 	require.Greater(t, s.Dropped(), int64(900))
 }
 
-func TestDroppedLinesAreTold(t *testing.T) {
+func TestDroppedLinesAreReported(t *testing.T) {
 	out := &buffer{}
 	s := New(out, 1)
 	s.dropped.Add(7)
@@ -64,15 +64,15 @@
 	require.Contains(t, out.b.String(), "msg=failure")
 }
 
-// TestWritesAfterTheEnd has goroutines log while the sink is closed and after, as those of a
-// process do that is about to exit.
-func TestWritesAfterTheEnd(t *testing.T) {
+// TestWritesAfterClose has goroutines log while the sink is being closed and afterwards, as goroutines of a
+// process that is about to exit do.
+func TestWritesAfterClose(t *testing.T) {
 	s := New(io.Discard, 1_000_000)
-	var all sync.WaitGroup
+	var writers sync.WaitGroup
 	for range 4 {
-		all.Add(1)
+		writers.Add(1)
 		go func() {
-			defer all.Done()
+			defer writers.Done()
 			for range 2000 {
 				_, err := s.Write([]byte("msg=x\n"))
 				require.NoError(t, err)
@@ -80,9 +80,9 @@
 		}()
 	}
 	s.Close(time.Second)
-	all.Wait()
+	writers.Wait()
 	before := s.Dropped()
 	_, err := s.Write([]byte("msg=late\n"))
 	require.NoError(t, err)
-	require.Equal(t, before+1, s.Dropped(), "a line after the end is dropped and counted")
+	require.Equal(t, before+1, s.Dropped(), "a line after Close is dropped and counted")
 }
