--- a/internal/trace/reach.go
+++ b/internal/trace/reach.go
@@ -6,43 +6,45 @@
 	"time"
 )
 
-// Change is something that each process comes to know by itself: a configuration that is in force, an instance
-// that has gone, or that it is ready.
+// Change is a change that each process notices on its own: a configuration that takes effect, a removed
+// instance, or the readiness of the process itself.
 type Change struct {
-	// What is the message, ID the configuration's version or the instance.
+	// What is the log message, ID the version of the configuration or the ID of the instance.
 	What, ID string
-	// First is when the first process said so.
+	// First is the time at which the first process logged the change.
 	First time.Time
-	// Processes is how many did, Half and Last how long after the first one half of them and all had.
+	// Processes is the number of processes that logged the change. Half and Last are the times from the
+	// first process until half of them and until all of them had logged it.
 	Processes  int
 	Half, Last time.Duration
 }
 
-// reached are the messages that each process logs once a change has reached it, with the field that names it.
-var reached = map[string]string{"configuration in force": "version", "instance gone": "id", "ready": ""}
+// propagatedMessages are the messages that each process logs once a change has reached it, with the field
+// that identifies the change.
+var propagatedMessages = map[string]string{"configuration in force": "version", "instance gone": "id", "ready": ""}
 
-// Reach returns how long changes took to reach the processes whose logs are given, in the order in which they
-// were seen first. A process counts for its first word of a change.
+// Reach returns how long changes took to reach the processes that wrote the logs, in the order in which the
+// changes were first logged. For each process only the first line about a change counts.
 func Reach(lines []Line) []Change {
 	type key struct{ what, id string }
-	heard := map[key]map[string]time.Time{}
+	seen := map[key]map[string]time.Time{}
 	for _, l := range lines {
-		field, ok := reached[l.Msg]
+		field, ok := propagatedMessages[l.Msg]
 		if !ok {
 			continue
 		}
 		k := key{l.Msg, l.Get(field)}
-		if heard[k] == nil {
-			heard[k] = map[string]time.Time{}
+		if seen[k] == nil {
+			seen[k] = map[string]time.Time{}
 		}
-		if at, known := heard[k][l.Process]; !known || l.At.Before(at) {
-			heard[k][l.Process] = l.At
+		if at, known := seen[k][l.Process]; !known || l.At.Before(at) {
+			seen[k][l.Process] = l.At
 		}
 	}
-	out := make([]Change, 0, len(heard))
-	for k, by := range heard {
+	out := make([]Change, 0, len(seen))
+	for k, byProcess := range seen {
 		var times []time.Time
-		for _, at := range by {
+		for _, at := range byProcess {
 			times = append(times, at)
 		}
 		slices.SortFunc(times, time.Time.Compare)
--- a/internal/trace/summary.go
+++ b/internal/trace/summary.go
@@ -6,49 +6,50 @@
 	"slices"
 )
 
-// Phase is how far a request had come when it ended.
+// Phase is the last step of its processing that a request had reached when it ended.
 type Phase string
 
 // Phases of a request.
 const (
 	// PhaseWaiting: nothing had been sent to an instance.
 	PhaseWaiting Phase = "waiting"
-	// PhaseReading: an engine had its prompt.
-	PhaseReading Phase = "reading"
-	// PhaseRead: its prompt had been read, and it had been sent to no runner.
-	PhaseRead Phase = "read"
-	// PhaseSent: it had been sent, and no instance had begun it.
+	// PhasePrefilling: a prefill engine had been chosen for the prompt.
+	PhasePrefilling Phase = "reading"
+	// PhasePrefilled: the prompt had been prefilled, and the request had been sent to no instance to
+	// run it.
+	PhasePrefilled Phase = "read"
+	// PhaseSent: the request had been sent to an instance, and no instance had started to run it.
 	PhaseSent Phase = "sent"
-	// PhaseRunning: an instance may have begun it, and the caller had got nothing.
+	// PhaseRunning: an instance may have started to run the request, and the client had received nothing.
 	PhaseRunning Phase = "running"
-	// PhaseRelaying: the caller had got a part of the answer.
+	// PhaseRelaying: the client had received a part of the response.
 	PhaseRelaying Phase = "relaying"
 )
 
-// Group is requests of a route that ended in the same way.
+// Group is a set of requests of one route that ended in the same way.
 type Group struct {
 	Route, Service, Outcome string
 	Phase                   Phase
-	// Why is the error, with what differs between requests left out.
+	// Why is the error without the parts that differ between the requests.
 	Why string
-	// Count is how many there are, First the id of one of them.
+	// Count is the number of requests, First the ID of one of them.
 	Count int
 	First string
 }
 
-// Summarize groups the requests that did not end well, the largest group first. It
-// expects the lines of all requests.
+// Summarize groups the requests that did not succeed, the largest group first. It expects the log lines of
+// all requests.
 func Summarize(lines []Line) []Group {
-	readers := map[string]bool{}
+	hasPrefillEngine := map[string]bool{}
 	groups := map[Group]*Group{}
 	for _, l := range lines {
 		id := l.Get("request")
 		switch {
 		case id == "":
 		case l.Msg == "decision" && l.Get("reader") != "":
-			readers[id] = true
+			hasPrefillEngine[id] = true
 		case l.Msg == "request" && l.Get("outcome") != "ok":
-			add(groups, l, phase(l, readers[id]))
+			addToGroup(groups, l, phaseOf(l, hasPrefillEngine[id]))
 		}
 	}
 	out := make([]Group, 0, len(groups))
@@ -61,8 +62,8 @@
 	return out
 }
 
-func add(groups map[Group]*Group, l Line, p Phase) {
-	key := Group{Route: l.Get("route"), Service: l.Get("service"), Outcome: l.Get("outcome"), Phase: p, Why: alike(l.Get("err"))}
+func addToGroup(groups map[Group]*Group, l Line, p Phase) {
+	key := Group{Route: l.Get("route"), Service: l.Get("service"), Outcome: l.Get("outcome"), Phase: p, Why: normalizeError(l.Get("err"))}
 	g := groups[key]
 	if g == nil {
 		g = &Group{}
@@ -73,27 +74,27 @@
 	g.Count++
 }
 
-// phase tells how far the request of a line had come. hadReader is true if an engine
-// was chosen to read its prompt.
-func phase(l Line, hadReader bool) Phase {
-	some := func(key string) bool { return l.Get(key) != "" && l.Get(key) != "0" && l.Get(key) != "0s" }
+// phaseOf returns the phase in which the request of a line ended. hasPrefillEngine is true if an engine was
+// chosen to prefill its prompt.
+func phaseOf(l Line, hasPrefillEngine bool) Phase {
+	nonZero := func(key string) bool { return l.Get(key) != "" && l.Get(key) != "0" && l.Get(key) != "0s" }
 	switch {
-	case some("events"):
+	case nonZero("events"):
 		return PhaseRelaying
-	case some("runs"):
+	case nonZero("runs"):
 		return PhaseRunning
-	case some("sends"):
+	case nonZero("sends"):
 		return PhaseSent
-	case some("read"):
-		return PhaseRead
-	case hadReader:
-		return PhaseReading
+	case nonZero("read"):
+		return PhasePrefilled
+	case hasPrefillEngine:
+		return PhasePrefilling
 	}
 	return PhaseWaiting
 }
 
-// particulars are what differs between the errors of requests with the same cause:
-// addresses, identifiers of instances, and numbers.
-var particulars = regexp.MustCompile(`\d+\.\d+\.\d+\.\d+(:\d+)?|\b[\w-]*[0-9a-f]{6,}\b`)
+// variableParts matches the parts in which errors with the same cause differ: addresses, identifiers of
+// instances, and long numbers.
+var variableParts = regexp.MustCompile(`\d+\.\d+\.\d+\.\d+(:\d+)?|\b[\w-]*[0-9a-f]{6,}\b`)
 
-func alike(err string) string { return particulars.ReplaceAllString(err, "*") }
+func normalizeError(err string) string { return variableParts.ReplaceAllString(err, "*") }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,6 +1,5 @@
-// Package trace tells the story of one request from the logs of several
-// gateways: the decisions that touched it, and what the process that took it
-// came to believe meanwhile.
+// Package trace explains what happened to one request from the logs of several gateways: the decisions
+// about the request, and what the process that served it learned in the meantime.
 package trace
 
 import (
@@ -17,10 +16,10 @@
 )
 
 const (
-	// maxLine bounds one line of a log in bytes.
+	// maxLine is the maximum size of a log line in bytes.
 	maxLine = 1 << 20
-	// before is how long before a request beliefs are shown that may explain it.
-	before = 5 * time.Second
+	// contextPeriod is how long before a request a log line may explain its outcome.
+	contextPeriod = 5 * time.Second
 )
 
 // Line is one line of a log.
@@ -31,10 +30,10 @@
 	Fields  []Field
 }
 
-// Field is one key and its value.
+// Field is a key and its value.
 type Field struct{ Key, Value string }
 
-// Get returns the value of a key, empty if there is none.
+// Get returns the value of a key, or the empty string if the line does not have the key.
 func (l *Line) Get(key string) string {
 	for _, f := range l.Fields {
 		if f.Key == key {
@@ -44,9 +43,9 @@
 	return ""
 }
 
-// Read reads the lines of a log that are not about other requests than id, or all lines
-// if id is empty. Text before the time stamp, as collectors put it there, is passed over,
-// and so are lines that are not log lines.
+// Read reads the lines of a log, except those about requests with another ID than id; if id is empty, it reads
+// all lines. Text before the time stamp, as log collectors add it, and lines that are not log lines are
+// skipped.
 func Read(r io.Reader, id string) ([]Line, error) {
 	scan := bufio.NewScanner(r)
 	scan.Buffer(nil, maxLine)
@@ -77,7 +76,7 @@
 		key, value := string(dec.Key()), string(dec.Value())
 		switch key {
 		case "ts":
-			l.At, _ = time.Parse(time.RFC3339Nano, value) // checked below
+			l.At, _ = time.Parse(time.RFC3339Nano, value) // a zero time is rejected below
 		case "process":
 			l.Process = value
 		case "msg":
@@ -89,27 +88,27 @@
 	return l, dec.Err() == nil && !l.At.IsZero() && l.Msg != ""
 }
 
-// Story is what the logs tell of a request.
-type Story struct {
-	// Lines are those of the request, and the beliefs of its process that may
-	// explain them, in order.
+// RequestTrace is what the logs contain about a request.
+type RequestTrace struct {
+	// Lines are the lines about the request and the lines of its process that may explain its outcome,
+	// in order.
 	Lines []Line
-	// Outcome is the code of the request's last line, empty if it has none.
+	// Outcome is the outcome in the last line about the request, empty if that line has none.
 	Outcome string
-	// Cause says in words what the outcome means, Remedy what can be done.
+	// Cause explains the outcome in words, Remedy says what an operator can do.
 	Cause, Remedy string
 }
 
-// beliefs are the messages that may explain a request's end.
-var beliefs = map[string]bool{
+// contextMessages are the messages that may explain the outcome of a request.
+var contextMessages = map[string]bool{
 	"configuration in force": true, "configuration left out": true, "store lost": true, "store regained": true,
 	"instance": true, "instance gone": true, "instance lapsed": true, "rules in force": true, "rules removed": true,
 	"role decision": true, "order": true, "stopping": true, "start": true, "ready": true, "peer silent": true, "log lines dropped": true,
 }
 
-// Tell tells the story of the request with the id. The error is of kind NotFound
-// if no line is about it.
-func Tell(lines []Line, id string) (*Story, error) {
+// Tell returns the trace of the request with the given ID. The error is of kind NotFound if no line is about
+// the request.
+func Tell(lines []Line, id string) (*RequestTrace, error) {
 	var own []Line
 	engines := map[string]bool{}
 	for _, l := range lines {
@@ -128,24 +127,25 @@
 	}
 	slices.SortStableFunc(own, func(a, b Line) int { return a.At.Compare(b.At) })
 	last := own[len(own)-1]
-	s := &Story{Lines: slices.Clone(own)}
+	s := &RequestTrace{Lines: slices.Clone(own)}
 	for _, l := range lines {
-		if explains(l, own, engines) {
+		if isContext(l, own, engines) {
 			s.Lines = append(s.Lines, l)
 		}
 	}
 	slices.SortStableFunc(s.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
-	s.judge(last)
+	s.explainOutcome(last)
 	return s, nil
 }
 
-// explains reports whether a line tells what the process of a request came to
-// believe shortly before or during it.
-func explains(l Line, own []Line, engines map[string]bool) bool {
-	if l.Get("request") != "" || !beliefs[l.Msg] || l.Process != own[0].Process {
+// isContext reports whether a line of the request's process may explain the outcome: it was logged during the
+// request or up to contextPeriod before. If the line names an instance, a decision about the request must have
+// named the same one.
+func isContext(l Line, own []Line, engines map[string]bool) bool {
+	if l.Get("request") != "" || !contextMessages[l.Msg] || l.Process != own[0].Process {
 		return false
 	}
-	if l.At.Before(own[0].At.Add(-before)) || l.At.After(own[len(own)-1].At) {
+	if l.At.Before(own[0].At.Add(-contextPeriod)) || l.At.After(own[len(own)-1].At) {
 		return false
 	}
 	if id := l.Get("id") + l.Get("engine"); id != "" {
@@ -154,9 +154,9 @@
 	return true
 }
 
-type verdict struct{ cause, remedy string }
+type explanation struct{ cause, remedy string }
 
-var verdicts = map[string]verdict{
+var explanations = map[string]explanation{
 	"ok":              {"the whole answer was passed on", "if it was late, compare ahead and read of the decision with the latency target: a long queue, or a prompt that was not kept"},
 	"not-ready":       {"the process did not know a configuration and the instances yet", "see store lost and start; the balancer should not have led here"},
 	"no-route":        {"no route of the configuration in force matches", "compare config with the operator's version; an old one says that the store was not reached"},
@@ -173,21 +173,20 @@
 	"lost-connection": {"the caller could not be reached", "none"},
 }
 
-func (s *Story) judge(last Line) {
+func (s *RequestTrace) explainOutcome(last Line) {
 	s.Outcome = last.Get("outcome")
-	v, known := verdicts[s.Outcome]
+	v, known := explanations[s.Outcome]
 	switch {
 	case s.Outcome == "":
-		v = verdict{"the logs end before the request did: the process was killed, or lines were dropped", "see the balancer's record; look for log lines dropped"}
+		v = explanation{"the logs end before the request did: the process was killed, or lines were dropped", "see the balancer's record; look for log lines dropped"}
 	case !known:
-		v = verdict{"outcome " + s.Outcome, "see err"}
+		v = explanation{"outcome " + s.Outcome, "see err"}
 	}
 	s.Cause, s.Remedy = v.cause, v.remedy
 }
 
-// Write writes the story for a reader, with times relative to the request's
-// first line.
-func (s *Story) Write(w io.Writer) error {
+// Write writes the trace as text, with times relative to the first line about the request.
+func (s *RequestTrace) Write(w io.Writer) error {
 	var first time.Time
 	for _, l := range s.Lines {
 		if l.Get("request") != "" {
@@ -197,7 +196,7 @@
 	}
 	var b strings.Builder
 	for _, l := range s.Lines {
-		b.WriteString(l.At.Format("15:04:05.000") + " " + offset(l.At.Sub(first)) + "  " + l.Process + "  " + l.Msg)
+		b.WriteString(l.At.Format("15:04:05.000") + " " + formatOffset(l.At.Sub(first)) + "  " + l.Process + "  " + l.Msg)
 		for _, f := range l.Fields {
 			if f.Key == "level" || f.Key == "request" || f.Key == "component" {
 				continue
@@ -211,7 +210,7 @@
 	return err
 }
 
-func offset(d time.Duration) string {
+func formatOffset(d time.Duration) string {
 	sign := "+"
 	if d < 0 {
 		sign = ""
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -9,7 +9,7 @@
 	"github.com/rockdoor/rockdoor/fault"
 )
 
-const sample = `
+const sampleLog = `
   18.2 edge-a ts=2026-10-23T20:56:50.000Z level=info process=a component=discovery msg="instance gone" id=i-9 service=s
   18.2 edge-a ts=2026-10-23T20:56:50.100Z level=warn process=a component=discovery msg="store lost" feed=config err="no answer"
   18.2 edge-b ts=2026-10-23T20:56:50.100Z level=warn process=b component=discovery msg="store lost" feed=config err="no answer"
@@ -21,8 +21,8 @@
   18.9 edge-a ts=2026-10-23T20:56:59.000Z level=info process=a component=discovery msg="store regained" feed=config
 `
 
-func TestStory(t *testing.T) {
-	lines, err := Read(strings.NewReader(sample), "r1")
+func TestRequestTrace(t *testing.T) {
+	lines, err := Read(strings.NewReader(sampleLog), "r1")
 	require.NoError(t, err)
 	s, err := Tell(lines, "r1")
 	require.NoError(t, err)
@@ -41,10 +41,10 @@
 	require.True(t, fault.Is(err, fault.NotFound))
 }
 
-// TestManyBeliefs covers a story whose lines of beliefs came between the request's
-// own and once took their place when the outcome was looked up.
-func TestManyBeliefs(t *testing.T) {
-	text := sample
+// TestManyContextLines guards against taking the outcome from a wrong line: context lines between the lines
+// of the request once overwrote the last line of the request.
+func TestManyContextLines(t *testing.T) {
+	text := sampleLog
 	for range 50 {
 		text += "ts=2026-10-23T20:56:51.700Z level=info process=a msg=\"store lost\" feed=rules\n"
 	}
@@ -56,7 +56,7 @@
 }
 
 func TestLogThatEndsBeforeTheRequest(t *testing.T) {
-	lines, err := Read(strings.NewReader(sample), "r2")
+	lines, err := Read(strings.NewReader(sampleLog), "r2")
 	require.NoError(t, err)
 	s, err := Tell(lines, "r2")
 	require.NoError(t, err)
@@ -64,17 +64,17 @@
 	require.Contains(t, s.Cause, "killed")
 }
 
-// TestEveryOutcomeHasACause keeps the words in step with the gateway's codes.
+// TestEveryOutcomeHasACause checks that each outcome of the gateway has an explanation.
 func TestEveryOutcomeHasACause(t *testing.T) {
 	for _, code := range []string{
 		"ok", "not-ready", "no-route", "bad-request", "bad-body", "none-permitted", "all-full", "hopeless", "attempts-used", "budget-empty", "lost", "deadline", "caller-gone",
 	} {
-		require.NotEmpty(t, verdicts[code].cause, code)
+		require.NotEmpty(t, explanations[code].cause, code)
 	}
 }
 
-// TestSummary groups requests that ended in the same way, whatever the address was, and
-// leaves out those that ended well.
+// TestSummary checks that requests that ended in the same way are grouped whatever the address in the error
+// is, and that successful requests are left out.
 func TestSummary(t *testing.T) {
 	const text = `
 ts=2026-10-23T20:56:50.000Z process=a msg=decision request=r1 reader=i-1
@@ -89,7 +89,7 @@
 	require.NoError(t, err)
 	require.Equal(t, []Group{
 		{Route: "x", Service: "s", Outcome: "lost", Phase: PhaseRunning, Why: "no answer from * at *", Count: 2, First: "r2"},
-		{Route: "x", Service: "s", Outcome: "deadline", Phase: PhaseReading, Why: "time is up", Count: 1, First: "r1"},
+		{Route: "x", Service: "s", Outcome: "deadline", Phase: PhasePrefilling, Why: "time is up", Count: 1, First: "r1"},
 		{Route: "x", Service: "s", Outcome: "lost", Phase: PhaseRelaying, Why: "stream was cut", Count: 1, First: "r5"},
 		{Route: "x", Service: "s", Outcome: "hopeless", Phase: PhaseWaiting, Why: "refused", Count: 1, First: "r6"},
 	}, Summarize(lines))
--- a/internal/trace/workspace.go
+++ b/internal/trace/workspace.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// Workspace is how the requests of one workspace ended.
+// Workspace counts the requests of one workspace by how they ended.
 type Workspace struct {
 	Name string
-	// Requests are all, Served those with a whole answer, Refused those that certainly did
-	// not run, Failed the others, also where the caller left.
+	// Requests counts all requests, Served those with a complete response, Refused those that certainly did
+	// not run, Failed the others, also those that the client aborted.
 	Requests, Served, Refused, Failed int
 }
 
-// ShareServed returns the part of the requests that were served.
+// ShareServed returns the share of the requests that were served, 0 if there are none.
 func (w Workspace) ShareServed() float64 {
 	if w.Requests == 0 {
 		return 0
@@ -33,9 +33,9 @@
 	}
 }
 
-// ByWorkspace counts requests by the workspace of their callers, the least served first, and
-// all of them together. Requests of callers without one are left out. It expects the lines of
-// all requests, those that ended well among them, which are logged at level debug.
+// ByWorkspace counts requests by workspace, sorted by the share that was served with the lowest first, and
+// counts all of them together. Requests without a workspace are left out. It expects the lines of all requests,
+// also of successful ones, which are logged at level debug.
 func ByWorkspace(lines []Line) (each []Workspace, all Workspace) {
 	found := map[string]*Workspace{}
 	for _, l := range lines {
--- a/internal/trace/workspace_test.go
+++ b/internal/trace/workspace_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestByWorkspace counts requests once, whatever other lines name their workspace, and puts
-// the least served workspace first.
+// TestByWorkspace checks that each request counts once, however many lines name its workspace, and that the
+// workspace with the lowest share of served requests comes first.
 func TestByWorkspace(t *testing.T) {
 	const text = `
 ts=2026-10-23T20:56:50.000Z process=a msg=decision request=r1 workspace=small reason=hopeless
