--- a/internal/gatewayd/fleet_test.go
+++ b/internal/gatewayd/fleet_test.go
@@ -177,7 +177,7 @@
 
 // TestKeysRevokedDuringAStoreOutage revokes API keys while no process reaches the store, and kills one
 // of the processes that schedule for the others. No request may run with a revoked key for longer
-// than the operator allows. Until the store answers, clients get 503 for all keys; after that the
+// than the operator allows. Until the store responds, clients get 503 for all keys; after that the
 // remaining keys are valid again. A key that moves to another workspace is covered too.
 func TestKeysRevokedDuringAStoreOutage(t *testing.T) {
 	const revoke = 2 * time.Second
--- a/internal/gatewayd/gatewayd.go
+++ b/internal/gatewayd/gatewayd.go
@@ -80,13 +80,13 @@
 // Daemon is one gateway process.
 type Daemon struct {
 	settings *settings.Gateway
-	// bounds are the ones of the settings that were loaded last.
+	// bounds are the bounds of the settings that were loaded last.
 	bounds atomic.Pointer[settings.Bounds]
 	file   string
 	logger log.Logger
 	reg    metrics.Registry
 	runID  string
-	// droppedLogLines returns how many log lines were dropped.
+	// droppedLogLines returns the number of log lines that were dropped.
 	droppedLogLines func() int64
 
 	store     *platform.Store
@@ -119,7 +119,7 @@
 }
 
 // New returns a process that serves once Run is called. file is the path that the settings were
-// loaded from, dropped returns how many log lines were dropped.
+// loaded from, dropped returns the number of log lines that were dropped.
 func New(set *settings.Gateway, file string, logger log.Logger, dropped func() int64) *Daemon {
 	d := &Daemon{settings: set, file: file, droppedLogLines: dropped, reg: metrics.NewRegistry(), runID: members.NewIncarnation(), clock: truetime.New()}
 	d.logger = log.With(logger, "process", set.Name)
@@ -183,7 +183,7 @@
 	d.grantSync = ratelimit.NewSyncer(ratelimit.Options{Self: self.Name, Table: d.limits, Transport: d.transport, Deciders: d.deciders, Peers: d.observationPeers, Logger: d.logger})
 }
 
-// hasContact reports whether this process receives the loads of the scheduler with a name.
+// hasContact reports whether this process receives the loads of the scheduler with the given name.
 func (d *Daemon) hasContact(name string) bool { return slices.Contains(d.loadSync.Reachable(), name) }
 
 // gossipPeers returns the schedulers that this process exchanges loads with, none if it is not a
@@ -201,8 +201,8 @@
 	return ratelimit.Deciders{All: v.GossipPeers, Reachable: d.loadSync.Reachable(), Processes: v.Processes}
 }
 
-// maxNotifiedSchedulers is to how many schedulers a process that is not a scheduler sends its
-// observations of instances.
+// maxNotifiedSchedulers is the number of schedulers that receive the observations of a process that is
+// not a scheduler itself.
 const maxNotifiedSchedulers = 2
 
 // observationPeers returns the processes that receive what this one observes of instances, such as
@@ -364,7 +364,7 @@
 	go d.deregister()
 	ctx, cancel := context.WithDeadline(context.Background(), begun.Add(d.bounds.Load().Grace.Std()-exitMargin))
 	defer cancel()
-	go func() { _ = d.clientServer.Shutdown(ctx) }() // an error is of no interest: waitUntilIdle waits for the requests in flight
+	go func() { _ = d.clientServer.Shutdown(ctx) }() // the error is ignored: waitUntilIdle waits for the requests in flight
 	empty := d.waitUntilIdle(ctx)
 	if d.usage != nil {
 		d.usage.Sync(ctx) // another process must hold the counts before this one exits
--- a/internal/gatewayd/ratelimit_test.go
+++ b/internal/gatewayd/ratelimit_test.go
@@ -80,9 +80,9 @@
 func TestRateLimitHoldsForTheSumOfAllProcesses(t *testing.T) {
 	const sendGap = 150 * time.Millisecond
 	for _, c := range []struct {
-		fleet string
-		rate  float64
-		most  float64
+		fleet       string
+		rate        float64
+		maxArrivals float64
 	}{
 		{"few", 5, maxRateFactor * 5 * 4},
 		{"large", 5, maxRateFactor * 5 * 4},
@@ -104,10 +104,10 @@
 			require.Equal(t, c.rate, st.Limits[0].PerSecond)
 			arrived := arrivalTimes(limited)
 			require.NotEmpty(t, arrived)
-			most := maxInWindow(arrived, arrived[0].Add(limitPropagationTime), rateWindow)
+			highest := maxInWindow(arrived, arrived[0].Add(limitPropagationTime), rateWindow)
 			used := countBetween(arrived, begun.Add(sendDuration-rateWindow), begun.Add(sendDuration))
-			t.Logf("%d in all, at most %d in %s, the last %s %d", len(arrived), most, rateWindow, rateWindow, used)
-			require.LessOrEqual(t, float64(most), c.most, "in %s, of a limit of %v a second", rateWindow, c.rate)
+			t.Logf("%d in all, at most %d in %s, the last %s %d", len(arrived), highest, rateWindow, rateWindow, used)
+			require.LessOrEqual(t, float64(highest), c.maxArrivals, "in %s, of a limit of %v a second", rateWindow, c.rate)
 			require.GreaterOrEqual(t, float64(used), 0.9*c.rate*rateWindow.Seconds()-1, "the rate that the instance accepts is used")
 		})
 	}
@@ -229,9 +229,9 @@
 	begun := time.Now()
 	sendFromAll(running, "/app/x", nil, sendGap, sendDuration)
 	arrived := arrivalTimes(limited)
-	most := maxInWindow(arrived, arrived[0].Add(limitPropagationTime), rateWindow)
+	highest := maxInWindow(arrived, arrived[0].Add(limitPropagationTime), rateWindow)
 	used := countBetween(arrived, begun.Add(sendDuration-rateWindow), begun.Add(sendDuration))
-	t.Logf("%d in all, at most %d in %s, the last %s %d", len(arrived), most, rateWindow, rateWindow, used)
-	require.LessOrEqual(t, float64(most), maxRateFactor*rate*rateWindow.Seconds())
+	t.Logf("%d in all, at most %d in %s, the last %s %d", len(arrived), highest, rateWindow, rateWindow, used)
+	require.LessOrEqual(t, float64(highest), maxRateFactor*rate*rateWindow.Seconds())
 	require.GreaterOrEqual(t, float64(used), 0.9*rate*rateWindow.Seconds()-1)
 }
--- a/internal/gatewayd/watchers_test.go
+++ b/internal/gatewayd/watchers_test.go
@@ -61,10 +61,11 @@
 // TestRouteAddedWhileAllWatchersAreCutOff guards against a stale configuration in a large fleet, in
 // which a few processes watch the store and the others follow them. If all watchers lose the store,
 // they go on serving the version that they have, and their followers, which can reach the store, stay
-// on it too. In a fleet of 295 hosts 315 requests on a route that had been added 4.0 s before got 404
-// in this way; the configuration was up to 8.891 s old, and the change was in force after 7.2 s, when
-// the watchers reached the store again. If processes read the store themselves once their watchers are
-// stale, it takes 1.9 s.
+// on it too. Followers whose snapshot is older than 0.6 of the limit ask other processes for a newer
+// one, but these have the same version. In a fleet of 295 hosts 315 requests on a route that had been
+// added 4.0 s before got 404 in this way; the configuration was up to 8.891 s old, and the change was in
+// force after 7.2 s, when the watchers reached the store again. If processes read the store themselves
+// once their watchers are stale, it takes 1.9 s.
 func TestRouteAddedWhileAllWatchersAreCutOff(t *testing.T) {
 	d := newDeployment(t)
 	d.applyLimit = propagationLimit.String()
@@ -133,9 +134,10 @@
 // own responses for such an outage: it kept the instances that were removed meanwhile for 2.7 s from
 // the time at which it noticed, and passed them on to processes that had lost no response. In a fleet
 // of 65 processes and 93 instances, requests reached instances more than 3 s after the store had
-// acknowledged their removal, although no configuration was older than 647 ms. In this test the
-// watcher noticed 1.6 s after the store had last confirmed the instance, and 50 of 96 requests sent
-// more than 3 s after the removal by 16 processes that reached the store arrived at the instance.
+// acknowledged that they were shutting down, although the store responded and the configuration of all
+// seven processes involved was at most 647 ms old. With that fault, the watcher in this test noticed the
+// loss 1.6 s after the store had last confirmed the instance, and 50 of the 96 requests that 16 processes
+// with access to the store sent more than 3 s after the removal arrived at the instance.
 func TestInstanceRemovedDuringABriefStoreOutageOfWatchers(t *testing.T) {
 	d := newDeployment(t)
 	d.applyLimit = propagationLimit.String()
--- a/internal/prune/prune.go
+++ b/internal/prune/prune.go
@@ -1,4 +1,4 @@
-// Package prune removes the registrations of processes whose hosts are gone for good. The holder of the
+// Package prune removes the registrations of processes whose hosts were removed for good. The holder of the
 // duties regularly checks which registered processes no scheduler has contact with. Processes write no
 // heartbeats to the store: each process follows a scheduler all the time, and the schedulers know which
 // processes they have contact with.
--- a/internal/prune/prune_test.go
+++ b/internal/prune/prune_test.go
@@ -160,12 +160,12 @@
 
 // TestRemovalsPerReviewAreLimited checks how many registrations one review deletes.
 func TestRemovalsPerReviewAreLimited(t *testing.T) {
-	const gone = 20
+	const unresponsive = 20
 	d := start(t)
-	for n := range gone {
+	for n := range unresponsive {
 		d.register(fmt.Sprintf("gone-%02d", n))
 	}
-	before, remaining := time.Now(), gone+2
+	before, remaining := time.Now(), unresponsive+2
 	require.Eventually(t, func() bool {
 		now := len(d.registered())
 		reviews := 2 + int(time.Since(before)/reviewInterval)
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -92,12 +92,12 @@
 	UsageDue    jsonc.Duration `json:"usageDue"`
 }
 
-// Has reports whether the deployment has the duty with a name.
+// Has reports whether the deployment has the duty with the given name.
 func (d *Duties) Has(name string) bool {
 	return d.Address != "" && slices.Contains(strings.Split(d.Kinds, ","), name)
 }
 
-// GatewayLog sets the level and the rate limit of the log of a gateway.
+// GatewayLog sets the level and the rate limit of a gateway's log.
 type GatewayLog struct {
 	Level          string `json:"level"`
 	LinesPerSecond int    `json:"linesPerSecond"`
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -127,15 +127,15 @@
 	}
 	slices.SortStableFunc(own, func(a, b Line) int { return a.At.Compare(b.At) })
 	last := own[len(own)-1]
-	s := &RequestTrace{Lines: slices.Clone(own)}
+	t := &RequestTrace{Lines: slices.Clone(own)}
 	for _, l := range lines {
 		if isContext(l, own, engines) {
-			s.Lines = append(s.Lines, l)
+			t.Lines = append(t.Lines, l)
 		}
 	}
-	slices.SortStableFunc(s.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
-	s.explainOutcome(last)
-	return s, nil
+	slices.SortStableFunc(t.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
+	t.explainOutcome(last)
+	return t, nil
 }
 
 // isContext reports whether a line of the request's process may explain the outcome: it was logged during the
@@ -173,29 +173,29 @@
 	"lost-connection": {"the caller could not be reached", "none"},
 }
 
-func (s *RequestTrace) explainOutcome(last Line) {
-	s.Outcome = last.Get("outcome")
-	v, known := explanations[s.Outcome]
+func (t *RequestTrace) explainOutcome(last Line) {
+	t.Outcome = last.Get("outcome")
+	v, known := explanations[t.Outcome]
 	switch {
-	case s.Outcome == "":
+	case t.Outcome == "":
 		v = explanation{"the logs end before the request did: the process was killed, or lines were dropped", "see the balancer's record; look for log lines dropped"}
 	case !known:
-		v = explanation{"outcome " + s.Outcome, "see err"}
+		v = explanation{"outcome " + t.Outcome, "see err"}
 	}
-	s.Cause, s.Remedy = v.cause, v.remedy
+	t.Cause, t.Remedy = v.cause, v.remedy
 }
 
 // Write writes the trace as text, with times relative to the first line about the request.
-func (s *RequestTrace) Write(w io.Writer) error {
+func (t *RequestTrace) Write(w io.Writer) error {
 	var first time.Time
-	for _, l := range s.Lines {
+	for _, l := range t.Lines {
 		if l.Get("request") != "" {
 			first = l.At
 			break
 		}
 	}
 	var b strings.Builder
-	for _, l := range s.Lines {
+	for _, l := range t.Lines {
 		b.WriteString(l.At.Format("15:04:05.000") + " " + formatOffset(l.At.Sub(first)) + "  " + l.Process + "  " + l.Msg)
 		for _, f := range l.Fields {
 			if f.Key == "level" || f.Key == "request" || f.Key == "component" {
@@ -205,7 +205,7 @@
 		}
 		b.WriteByte('\n')
 	}
-	b.WriteString("\noutcome: " + s.Outcome + "\ncause:   " + s.Cause + "\nremedy:  " + s.Remedy + "\n")
+	b.WriteString("\noutcome: " + t.Outcome + "\ncause:   " + t.Cause + "\nremedy:  " + t.Remedy + "\n")
 	_, err := io.WriteString(w, b.String())
 	return err
 }
