--- a/cmd/rockdoor-lab/soak.go
+++ b/cmd/rockdoor-lab/soak.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	o.CallersEach, o.Think, o.Dir = c.Int("callers"), c.Duration("think"), dir
+	o.ClientsPerProcess, o.ThinkTime, o.Dir = c.Int("callers"), c.Duration("think"), dir
 	o.Command, o.Progress = []string{binary}, c.App.Writer
 	r, err := soak.Run(c.Context, o)
 	if err != nil {
--- a/internal/lab/soak/caller.go
+++ b/internal/lab/soak/caller.go
@@ -16,158 +16,160 @@
 )
 
 const (
-	// patienceSlack is how much longer than it says a caller waits for an answer, so that one
-	// that is late is seen.
-	patienceSlack = time.Second
-	// thinkTime is the mean time between an answer and the next request.
+	// clientTimeoutSlack is how much longer than its stated timeout a client waits for a response,
+	// so that late responses are observed.
+	clientTimeoutSlack = time.Second
+	// thinkTime is the default mean time between a response and the client's next request.
 	thinkTime = 30 * time.Millisecond
-	// redialTime is how long a caller waits before it connects again.
-	redialTime = 50 * time.Millisecond
-	// leaveShare is the share of requests whose callers leave before the answer, within
-	// leaveWithin.
-	leaveShare  = 0.04
-	leaveWithin = 300 * time.Millisecond
-	// longShare is the share of streams with long prompts, which one engine reads and another
-	// generates.
-	longShare = 0.5
-	subjects  = 20
-	// shortPrompt and longPrompt are the tokens of a prompt's own part. Before that of a long one
-	// come systemTokens that all have and subjectTokens that those of one subject have.
-	shortPrompt   = 100
-	longPrompt    = 2700
-	systemTokens  = 2500
-	subjectTokens = 3800
+	// reconnectDelay is how long a client waits before it connects again.
+	reconnectDelay = 50 * time.Millisecond
+	// cancelShare is the share of requests whose clients disconnect before the response, within
+	// maxCancelDelay.
+	cancelShare    = 0.04
+	maxCancelDelay = 300 * time.Millisecond
+	// longPromptShare is the share of streams with long prompts, which one engine prefills and
+	// another decodes.
+	longPromptShare = 0.5
+	promptPrefixes  = 20
+	// shortPromptTokens and longPromptTokens are the tokens in the part that is unique to a prompt.
+	// A long prompt begins with systemTokens that all long prompts share and prefixTokens that
+	// those with the same prefix share.
+	shortPromptTokens = 100
+	longPromptTokens  = 2700
+	systemTokens      = 2500
+	prefixTokens      = 3800
 )
 
-// mix is the share of each kind of request.
-var mix = []struct {
+// kindShares is the share of each kind of request.
+var kindShares = []struct {
 	kind  Kind
 	share float64
 }{{Mark, 0.3}, {Only, 0.1}, {Once, 0.2}, {Repeat, 0.15}, {Stream, 0.15}, {StreamOnce, 0.1}}
 
-// caller sends one request after the other, on one connection as long as that is open.
-type caller struct {
-	w      *world
-	number int
-	home   int
-	rng    *rand.Rand
-	op     *operator
-
-	conn    net.Conn
-	reader  *bufio.Reader
-	gateway int
-	life    int
-	used    bool
-	sent    int
+// client sends requests one after another and reuses its connection while that stays open.
+type client struct {
+	w                *world
+	number           int
+	preferredGateway int
+	rng              *rand.Rand
+	op               *operator
+
+	conn        net.Conn
+	reader      *bufio.Reader
+	gateway     int
+	incarnation int
+	connUsed    bool
+	callCount   int
 }
 
-func newCaller(w *world, op *operator, number, home int) *caller {
-	return &caller{w: w, op: op, number: number, home: home, rng: rand.New(rand.NewPCG(w.o.Seed, uint64(number)))}
+func newClient(w *world, op *operator, number, preferred int) *client {
+	return &client{w: w, op: op, number: number, preferredGateway: preferred, rng: rand.New(rand.NewPCG(w.o.Seed, uint64(number)))}
 }
 
-// run sends requests until the context ends.
-func (c *caller) run(ctx context.Context) {
-	defer c.hangUp()
+// run sends requests until the context is canceled.
+func (c *client) run(ctx context.Context) {
+	defer c.closeConn()
 	for ctx.Err() == nil {
 		if c.conn == nil && !c.connect() {
-			time.Sleep(redialTime)
+			time.Sleep(reconnectDelay)
 			continue
 		}
-		c.send(c.next())
-		time.Sleep(time.Duration(c.rng.ExpFloat64() * float64(c.w.o.Think)))
+		c.sendCall(c.nextCall())
+		time.Sleep(time.Duration(c.rng.ExpFloat64() * float64(c.w.o.ThinkTime)))
 	}
 }
 
-func (c *caller) hangUp() {
+func (c *client) closeConn() {
 	if c.conn != nil {
-		_ = c.conn.Close() // the caller is done with it
+		_ = c.conn.Close() // the client no longer uses it
 		c.conn = nil
 	}
 }
 
-// connect opens a connection to the home process, or to another that the balancer has in.
-func (c *caller) connect() bool {
+// connect opens a connection to the preferred gateway if it is in rotation, otherwise to another
+// that is.
+func (c *client) connect() bool {
 	in := c.w.readyProcesses()
 	if len(in) == 0 {
 		return false
 	}
 	c.gateway = in[c.rng.IntN(len(in))]
-	if slices.Contains(in, c.home) {
-		c.gateway = c.home
+	if slices.Contains(in, c.preferredGateway) {
+		c.gateway = c.preferredGateway
 	}
-	g := c.w.gates[c.gateway]
-	c.life, _ = g.state()
-	conn, err := net.DialTimeout("tcp", c.w.callersLink(g).Address, time.Second)
+	g := c.w.gateways[c.gateway]
+	c.incarnation, _ = g.state()
+	conn, err := net.DialTimeout("tcp", c.w.clientLink(g).Address, time.Second)
 	if err != nil {
 		return false
 	}
-	c.conn, c.reader, c.used = conn, bufio.NewReader(conn), false
+	c.conn, c.reader, c.connUsed = conn, bufio.NewReader(conn), false
 	return true
 }
 
-// next makes up a request.
-func (c *caller) next() *Call {
-	kind := mix[0].kind
-	for x, n := c.rng.Float64(), 0; n < len(mix); n++ {
-		if x -= mix[n].share; x < 0 {
-			kind = mix[n].kind
+// nextCall generates a request.
+func (c *client) nextCall() *Call {
+	kind := kindShares[0].kind
+	for x, n := c.rng.Float64(), 0; n < len(kindShares); n++ {
+		if x -= kindShares[n].share; x < 0 {
+			kind = kindShares[n].kind
 			break
 		}
 	}
-	c.sent++
-	id := fmt.Sprintf("s%d-c%d-%d", c.w.o.Seed, c.number, c.sent)
-	call := &Call{ID: id, Kind: kind, Gateway: c.gateway, Life: c.life, Body: "body of " + id, Wait: callTimeout, Kept: c.used}
-	call.Path = fmt.Sprintf("/%s/%d", kind, c.sent)
+	c.callCount++
+	id := fmt.Sprintf("s%d-c%d-%d", c.w.o.Seed, c.number, c.callCount)
+	call := &Call{ID: id, Kind: kind, Gateway: c.gateway, Incarnation: c.incarnation, Body: "body of " + id, Timeout: callTimeout, ReusedConn: c.connUsed}
+	call.Path = fmt.Sprintf("/%s/%d", kind, c.callCount)
 	switch {
 	case kind.Streams():
-		call.Wait = streamTimeout
+		call.Timeout = streamTimeout
 	case kind == Only:
-		newest := c.op.newest()
-		call.Path = fmt.Sprintf("%s%d", onlyPath(max(1, newest-c.rng.IntN(2*onlyVersions))), c.sent)
+		newest := c.op.newestIndex()
+		call.Path = fmt.Sprintf("%s%d", onlyPath(max(1, newest-c.rng.IntN(2*onlyVersions))), c.callCount)
 	}
 	return call
 }
 
-// send sends a request and notes what comes of it.
-func (c *caller) send(call *Call) {
-	text := c.request(call)
+// sendCall sends a request and records its outcome.
+func (c *client) sendCall(call *Call) {
+	text := c.encode(call)
 	stop := func() {}
-	if c.rng.Float64() < leaveShare {
-		stop = c.leave(call, time.Duration(c.rng.Int64N(int64(leaveWithin))))
+	if c.rng.Float64() < cancelShare {
+		stop = c.cancelAfter(call, time.Duration(c.rng.Int64N(int64(maxCancelDelay))))
 	}
-	_ = c.conn.SetDeadline(time.Now().Add(call.Wait + patienceSlack)) // a closed connection fails below
+	_ = c.conn.SetDeadline(time.Now().Add(call.Timeout + clientTimeoutSlack)) // on a closed connection the write below fails
 	call.Sent = time.Now()
-	c.w.facts.note(func() { c.w.facts.Calls = append(c.w.facts.Calls, call) })
+	c.w.observed.record(func() { c.w.observed.Calls = append(c.w.observed.Calls, call) })
 	_, err := io.WriteString(c.conn, text)
 	keep := false
 	if err == nil {
-		keep, err = c.receive(call)
+		keep, err = c.readResponse(call)
 	} else {
-		c.w.facts.note(func() { call.Unsent = true })
+		c.w.observed.record(func() { call.Unsent = true })
 	}
 	stop()
-	c.w.facts.note(func() {
+	c.w.observed.record(func() {
 		call.Ended = time.Now()
 		if err != nil {
 			call.Err = err.Error()
 		}
 	})
-	c.used = true
+	c.connUsed = true
 	if !keep {
-		c.hangUp()
+		c.closeConn()
 	}
 }
 
-// leave closes the connection after a time. The returned function prevents it, or waits
-// until it is done.
-func (c *caller) leave(call *Call, after time.Duration) (stop func()) {
+// cancelAfter closes the connection after a delay. The returned function stops the timer; if it has
+// fired already, it waits until the connection is closed.
+func (c *client) cancelAfter(call *Call, after time.Duration) (stop func()) {
 	conn := c.conn
 	var done sync.WaitGroup
 	done.Add(1)
 	t := time.AfterFunc(after, func() {
 		defer done.Done()
-		_ = conn.Close() // the request in hand fails
-		c.w.facts.note(func() { call.Left = time.Now() })
+		_ = conn.Close() // the request in flight fails
+		c.w.observed.record(func() { call.CanceledAt = time.Now() })
 	})
 	return func() {
 		if !t.Stop() {
@@ -176,35 +178,35 @@
 	}
 }
 
-// request returns a call as it is sent.
-func (c *caller) request(call *Call) string {
-	r := fleetcaller.Request{ID: call.ID, Path: call.Path, Body: call.Body, Host: hostName, Key: workspaceKey, Wait: call.Wait}
+// encode returns the request text of a call.
+func (c *client) encode(call *Call) string {
+	r := fleetcaller.Request{ID: call.ID, Path: call.Path, Body: call.Body, Host: hostName, Key: workspaceKey, Wait: call.Timeout}
 	if call.Kind.Streams() {
-		r.Prompt = &fleetcaller.Prompt{Model: modelName, Parts: c.parts(call), Output: streamEvents}
+		r.Prompt = &fleetcaller.Prompt{Model: modelName, Parts: c.promptParts(call), Output: streamEvents}
 	}
 	return r.String()
 }
 
-// parts makes up the parts of a prompt.
-func (c *caller) parts(call *Call) []engine.Part {
-	if c.rng.Float64() >= longShare {
-		return []engine.Part{{ID: ownPart(call), Tokens: shortPrompt}}
+// promptParts generates the parts of a prompt.
+func (c *client) promptParts(call *Call) []engine.Part {
+	if c.rng.Float64() >= longPromptShare {
+		return []engine.Part{{ID: ownPart(call), Tokens: shortPromptTokens}}
 	}
 	return []engine.Part{
 		{ID: "aa", Tokens: systemTokens},
-		{ID: fmt.Sprintf("sub%d", c.rng.IntN(subjects)), Tokens: subjectTokens},
-		{ID: ownPart(call), Tokens: longPrompt},
+		{ID: fmt.Sprintf("sub%d", c.rng.IntN(promptPrefixes)), Tokens: prefixTokens},
+		{ID: ownPart(call), Tokens: longPromptTokens},
 	}
 }
 
-// ownPart is the part of a prompt that no other request has.
+// ownPart returns the ID of the prompt part that is unique to a call.
 func ownPart(call *Call) string { return "own" + call.ID }
 
-// receive reads the answer. keep is true if the connection can be used again.
-func (c *caller) receive(call *Call) (keep bool, err error) {
+// readResponse reads the response. keep is true if the connection can be reused.
+func (c *client) readResponse(call *Call) (keep bool, err error) {
 	a, err := fleetcaller.ReadAnswer(c.reader)
-	c.w.facts.note(func() {
-		call.Status, call.Sealed, call.Answer, call.Whole = a.Status, a.Sealed, a.Body, a.Whole
+	c.w.observed.record(func() {
+		call.Status, call.Sealed, call.ResponseBody, call.Complete = a.Status, a.Sealed, a.Body, a.Whole
 	})
 	return err == nil && !a.Last, err
 }
--- a/internal/lab/soak/check.go
+++ b/internal/lab/soak/check.go
@@ -9,60 +9,62 @@
 	"github.com/rockdoor/rockdoor/internal/standin/fleetapi"
 )
 
-// checker checks promises on facts that do not change any more.
+// checker checks the guarantees. The observations must be complete and no longer change.
 type checker struct {
-	o Options
-	f *Facts
-	// calls are by id, arrivals by the id of their request, in order of their times.
+	o        Options
+	observed *Observations
+	// calls is indexed by request ID, arrivals too; the arrivals of a request are in order of time.
 	calls    map[string]*Call
 	arrivals map[string][]*Arrival
 	healed   time.Time
-	// reports are those of usage.
-	reports []fleetapi.Call
+	// usageReports are the usage reports that the platform's API received.
+	usageReports []fleetapi.Call
 }
 
-// check checks all promises.
+// check checks all guarantees and returns the report.
 func check(w *world, healed time.Time) *Report {
-	w.facts.mu.Lock()
-	defer w.facts.mu.Unlock()
-	c := newChecker(w.o, w.facts, healed)
-	c.reports = w.api.Calls()
+	w.observed.mu.Lock()
+	defer w.observed.mu.Unlock()
+	c := newChecker(w.o, w.observed, healed)
+	c.usageReports = w.api.Calls()
 	r := c.summary()
 	for _, p := range []struct {
-		check func() Promise
-		// rate is how many cases a run must have, for each process and minute of faults.
+		check func() Guarantee
+		// rate is the number of cases that a run needs per process and minute of faults.
 		rate float64
 	}{
-		{c.answersAreWhole, 100}, {c.refusalsAreTrue, 5}, {c.atMostOnce, 30}, {c.unchanged, 100}, {c.routed, 100}, {c.notDenied, 100},
-		{c.answered, 30}, {c.inTime, 0}, {c.configurationInForce, 10}, {c.configurationNeverBack, 20}, {c.leavingGetNothing, leaveRate},
-		{c.rateLimits, limitRate},
-		{c.budget, 0}, {c.deadlines, 30}, {c.goneIsOver, 2}, {c.runsGoOnAlone, 0}, {c.oneHolder, 1}, {c.authority, 1},
-		{c.windowsHaveOneContent, 1}, {c.stopsCutNothing, 2}, {c.processesLive, 1}, {c.logsAreClean, 1}, {c.recovers, 3},
+		{c.responsesComplete, 100}, {c.refusedNeverRun, 5}, {c.atMostOnce, 30}, {c.requestsUnchanged, 100}, {c.routedAsConfigured, 100}, {c.allowedNotDenied, 100},
+		{c.reusedConnsAnswered, 30}, {c.answeredInTime, 0}, {c.configurationInForce, 10}, {c.configurationMonotonic, 20}, {c.withdrawnGetNoWork, minWithdrawalRate},
+		{c.rateLimits, minLimitCaseRate},
+		{c.budget, 0}, {c.deadlines, 30}, {c.canceledWorkEnds, 2}, {c.resumedRunsExclusive, 0}, {c.singleHolder, 1}, {c.ordersUnderLease, 1},
+		{c.usageWindowsStable, 1}, {c.plannedStopsLoseNothing, 2}, {c.processesExitWhenTold, 1}, {c.logsAreClean, 1}, {c.servesAfterRecovery, 3},
 	} {
-		promise := p.check()
-		promise.Least = int(p.rate * c.o.Length.Minutes() * float64(c.o.Processes))
-		r.Promises = append(r.Promises, promise)
+		guarantee := p.check()
+		guarantee.MinCases = int(p.rate * c.o.Length.Minutes() * float64(c.o.Processes))
+		r.Guarantees = append(r.Guarantees, guarantee)
 	}
 	return r
 }
 
-// leaveRate is how many instances must leave, for each process and minute: of two, one proved nothing.
-const leaveRate = 1.5
+// minWithdrawalRate is the number of withdrawals that a run needs per process and minute. Without
+// it, runs of 65 processes with 2 and 7 withdrawals were reported as kept, which proved nothing.
+const minWithdrawalRate = 1.5
 
-// limitRate is how many instances must have limited their rate, for each process and minute.
-const limitRate = 0.5
+// minLimitCaseRate is the number of instances with a rate limit that a run needs per process and
+// minute.
+const minLimitCaseRate = 0.5
 
-func newChecker(o Options, f *Facts, healed time.Time) *checker {
-	o.complete()
-	o.Bounds = o.checked()
-	c := &checker{o: o, f: f, calls: map[string]*Call{}, arrivals: map[string][]*Arrival{}, healed: healed}
+func newChecker(o Options, f *Observations, healed time.Time) *checker {
+	o.setDefaults()
+	o.Bounds = o.relaxedBounds()
+	c := &checker{o: o, observed: f, calls: map[string]*Call{}, arrivals: map[string][]*Arrival{}, healed: healed}
 	for _, call := range f.Calls {
 		c.calls[call.ID] = call
 	}
 	slices.SortStableFunc(f.Arrivals, func(a, b *Arrival) int { return a.At.Compare(b.At) })
 	for _, a := range f.Arrivals {
 		if a.Ended.IsZero() {
-			a.Ran = !a.Read // it hangs at the instance
+			a.Ran = !a.Read // the instance never finished it
 		}
 		c.arrivals[a.ID] = append(c.arrivals[a.ID], a)
 	}
@@ -71,32 +73,32 @@
 
 func (c *checker) summary() *Report {
 	r := &Report{
-		Seed: c.o.Seed, Processes: c.o.Processes, Length: c.o.Length, Dir: c.o.Dir, Calls: len(c.f.Calls), Arrivals: len(c.f.Arrivals),
-		Answers: map[string]int{}, Faults: map[Fault]int{},
+		Seed: c.o.Seed, Processes: c.o.Processes, Length: c.o.Length, Dir: c.o.Dir, Calls: len(c.observed.Calls), Arrivals: len(c.observed.Arrivals),
+		Outcomes: map[string]int{}, Faults: map[Fault]int{},
 	}
-	for _, call := range c.f.Calls {
-		r.Answers[outcome(call)]++
+	for _, call := range c.observed.Calls {
+		r.Outcomes[outcome(call)]++
 	}
-	for _, d := range c.f.Disturbances {
+	for _, d := range c.observed.Disturbances {
 		r.Faults[d.Fault]++
 	}
-	r.Served, _ = c.servedAfter(c.healed.Add(c.o.Bounds.Recovery))
+	r.ServedShare, _ = c.servedAfter(c.healed.Add(c.o.Bounds.Recovery))
 	return r
 }
 
 func outcome(call *Call) string {
 	switch {
-	case !call.Left.IsZero():
-		return "caller left"
+	case !call.CanceledAt.IsZero():
+		return "client canceled"
 	case call.Status == 0:
-		return "no answer"
-	case !call.Whole:
+		return "no response"
+	case !call.Complete:
 		return "cut"
 	}
 	return fmt.Sprint(call.Status)
 }
 
-// runs returns the arrivals of a request that ran.
+// runs returns the arrivals of a request that an instance began to run.
 func (c *checker) runs(id string) []*Arrival {
 	var out []*Arrival
 	for _, a := range c.arrivals[id] {
@@ -107,45 +109,45 @@
 	return out
 }
 
-// broken reports whether an instance broke off one of the arrivals.
-func broken(arrivals []*Arrival) bool {
-	return slices.ContainsFunc(arrivals, func(a *Arrival) bool { return a.Broke })
+// anyAborted reports whether an instance aborted one of the arrivals.
+func anyAborted(arrivals []*Arrival) bool {
+	return slices.ContainsFunc(arrivals, func(a *Arrival) bool { return a.Aborted })
 }
 
-// breach adds a case, whose signs in the logs may be added to it.
-func (p *Promise) breach(request, format string, args ...any) *Breach {
-	p.Breaches = append(p.Breaches, Breach{Request: request, What: fmt.Sprintf(format, args...)})
-	return &p.Breaches[len(p.Breaches)-1]
+// addViolation adds a violation, to which the caller may add log patterns.
+func (p *Guarantee) addViolation(request, format string, args ...any) *Violation {
+	p.Violations = append(p.Violations, Violation{Request: request, What: fmt.Sprintf(format, args...)})
+	return &p.Violations[len(p.Violations)-1]
 }
 
-// signs says what the lines of the logs hold that tell of a breach.
-func (b *Breach) signs(all ...string) { b.Signs = append(b.Signs, all...) }
+// addLogPatterns adds substrings of the log lines that belong to the violation.
+func (b *Violation) addLogPatterns(all ...string) { b.LogPatterns = append(b.LogPatterns, all...) }
 
-// servedAfter returns the share of requests that were answered whole, of those that were sent
-// after a time and not left, and how many there were.
-func (c *checker) servedAfter(at time.Time) (share float64, of int) {
+// servedAfter returns the share of the requests sent after a time that got a complete response, and
+// the number of those requests. Requests that their client canceled are not counted.
+func (c *checker) servedAfter(at time.Time) (share float64, total int) {
 	served := 0
-	for _, call := range c.f.Calls {
-		if call.Sent.Before(at) || !call.Left.IsZero() {
+	for _, call := range c.observed.Calls {
+		if call.Sent.Before(at) || !call.CanceledAt.IsZero() {
 			continue
 		}
-		of++
-		if call.Whole && (call.Status == http.StatusOK || call.Kind == Only && call.Status == http.StatusNotFound) {
+		total++
+		if call.Complete && (call.Status == http.StatusOK || call.Kind == Only && call.Status == http.StatusNotFound) {
 			served++
 		}
 	}
-	return float64(served) / float64(max(of, 1)), of
+	return float64(served) / float64(max(total, 1)), total
 }
 
-// leastServed is the share of requests that must be served after the recovery.
-const leastServed = 0.9
+// minServedShare is the share of requests that must be served after the recovery.
+const minServedShare = 0.9
 
-func (c *checker) recovers() Promise {
-	p := Promise{Name: "requests are served again once the faults are over"}
-	share, of := c.servedAfter(c.healed.Add(c.o.Bounds.Recovery))
-	p.Cases = of
-	if share < leastServed {
-		p.breach("", "%.0f%% of %d requests were answered whole", 100*share, of)
+func (c *checker) servesAfterRecovery() Guarantee {
+	p := Guarantee{Name: "requests are served again after the faults have ended"}
+	share, total := c.servedAfter(c.healed.Add(c.o.Bounds.Recovery))
+	p.Cases = total
+	if share < minServedShare {
+		p.addViolation("", "%.0f%% of %d requests got a complete response", 100*share, total)
 	}
 	return p
 }
--- a/internal/lab/soak/check_answers.go
+++ b/internal/lab/soak/check_answers.go
@@ -9,7 +9,7 @@
 	"github.com/rockdoor/rockdoor/internal/standin/fleetcaller"
 )
 
-// expected returns the whole answer to a request.
+// expected returns the complete response body for a request.
 func expected(call *Call) string {
 	if !call.Kind.Streams() {
 		return "answer to " + call.ID
@@ -21,11 +21,11 @@
 	return b.String()
 }
 
-// answersAreWhole: a success is the instance's whole answer to this very request, and what is
-// cut short does not look complete.
-func (c *checker) answersAreWhole() Promise {
-	p := Promise{Name: "a success is the whole answer to its own request"}
-	for _, call := range c.f.Calls {
+// responsesComplete checks that a successful response is the instance's complete response to this
+// request, and that a truncated one does not appear complete.
+func (c *checker) responsesComplete() Guarantee {
+	p := Guarantee{Name: "a successful response is the complete response to its own request"}
+	for _, call := range c.observed.Calls {
 		if call.Status == 0 {
 			continue
 		}
@@ -34,15 +34,15 @@
 		success := call.Status/100 == 2
 		switch {
 		case success && !call.Sealed:
-			p.breach(call.ID, "%s: success without a seal", call.ID)
-		case success && call.Whole && call.Answer != want:
-			p.breach(call.ID, "%s: looks complete but is %q", call.ID, tail(call.Answer))
-		case success && !strings.HasPrefix(want, call.Answer):
-			p.breach(call.ID, "%s: begins with other bytes: %q", call.ID, tail(call.Answer))
-		case !success && call.Sealed && !c.gave(call):
-			p.breach(call.ID, "%s: sealed answer %d that no instance gave", call.ID, call.Status)
+			p.addViolation(call.ID, "%s: success without a seal", call.ID)
+		case success && call.Complete && call.ResponseBody != want:
+			p.addViolation(call.ID, "%s: appears complete but is %q", call.ID, tail(call.ResponseBody))
+		case success && !strings.HasPrefix(want, call.ResponseBody):
+			p.addViolation(call.ID, "%s: does not match the expected response: %q", call.ID, tail(call.ResponseBody))
+		case !success && call.Sealed && !c.instanceReturned(call):
+			p.addViolation(call.ID, "%s: sealed response %d that no instance returned", call.ID, call.Status)
 		case call.Err == fleetcaller.ErrExcess.Error():
-			p.breach(call.ID, "%s: bytes after the answer", call.ID)
+			p.addViolation(call.ID, "%s: bytes after the response", call.ID)
 		}
 	}
 	return p
@@ -50,93 +50,95 @@
 
 func tail(text string) string { return text[max(0, len(text)-80):] }
 
-// gave reports whether an instance answered a request with the status that its caller got.
-func (c *checker) gave(call *Call) bool {
+// instanceReturned reports whether an instance responded to a request with the status that the
+// client got.
+func (c *checker) instanceReturned(call *Call) bool {
 	return slices.ContainsFunc(c.arrivals[call.ID], func(a *Arrival) bool { return a.Status == call.Status })
 }
 
-// refusals are the statuses that promise that a request has not run and never will.
+// refusals are the statuses that guarantee that a request has not run and never will.
 var refusals = []int{http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
 
-// refusalsAreTrue: a refusal that promises that a request does not run is true to the end.
-func (c *checker) refusalsAreTrue() Promise {
-	p := Promise{Name: "what was refused has not run and does not run later"}
-	for _, call := range c.f.Calls {
+// refusedNeverRun checks that a request that was rejected with one of these statuses never runs.
+func (c *checker) refusedNeverRun() Guarantee {
+	p := Guarantee{Name: "rejected requests have not run and do not run later"}
+	for _, call := range c.observed.Calls {
 		if !slices.Contains(refusals, call.Status) {
 			continue
 		}
 		p.Cases++
 		for _, a := range c.runs(call.ID) {
-			p.breach(call.ID, "%s: refused with %d, but ran at %s", call.ID, call.Status, a.Instance)
+			p.addViolation(call.ID, "%s: rejected with %d, but ran at %s", call.ID, call.Status, a.Instance)
 		}
 	}
 	return p
 }
 
-// notDenied: what every configuration allows is not answered with a denial.
-func (c *checker) notDenied() Promise {
-	p := Promise{Name: "what all configurations allow is not denied"}
-	for _, call := range c.f.Calls {
+// allowedNotDenied checks that requests that every configuration allows are not denied.
+func (c *checker) allowedNotDenied() Guarantee {
+	p := Guarantee{Name: "requests that all configurations allow are not denied"}
+	for _, call := range c.observed.Calls {
 		if call.Kind == Only || call.Status == 0 {
 			continue
 		}
 		p.Cases++
 		if call.Status/100 == 3 || call.Status/100 == 4 && !slices.Contains(refusals, call.Status) {
-			p.breach(call.ID, "%s: denied with %d: %s", call.ID, call.Status, tail(call.Answer))
+			p.addViolation(call.ID, "%s: denied with %d: %s", call.ID, call.Status, tail(call.ResponseBody))
 		}
 	}
 	return p
 }
 
 const (
-	// mostUnanswered is how many requests from kept connections a process may leave without an
-	// answer, by the users' rules.
-	mostUnanswered = 3
-	// mostLate is how many requests may wait longer than they should, and lateShare their share.
-	mostLate  = 7
-	lateShare = 0.25
+	// maxUnanswered is the number of requests on reused connections that a process may leave
+	// without a response, by the users' rules.
+	maxUnanswered = 3
+	// A run may have up to maxLateResponses late responses, or a share of maxLateShare of those
+	// that waited until their timeout.
+	maxLateResponses = 7
+	maxLateShare     = 0.25
 )
 
-// answered: a process in touch that handed a request of a kept connection to a sound instance
-// answers it.
-func (c *checker) answered() Promise {
-	p := Promise{Name: "processes in touch answer what they took from kept connections"}
+// reusedConnsAnswered checks that an undisturbed process answers a request on a reused connection
+// that it passed on to an instance which did not abort it.
+func (c *checker) reusedConnsAnswered() Guarantee {
+	p := Guarantee{Name: "undisturbed processes answer requests on reused connections"}
 	open := map[int][]*Call{}
-	for _, call := range c.f.Calls {
-		if !call.Kept || !c.inTouch(call.Gateway, call.Ended) {
+	for _, call := range c.observed.Calls {
+		if !call.ReusedConn || !c.undisturbed(call.Gateway, call.Ended) {
 			continue
 		}
 		p.Cases++
 		arrivals := c.arrivals[call.ID]
-		sound := len(arrivals) > 0 && !broken(arrivals)
-		if call.Status == 0 && call.Left.IsZero() && sound && call.took() < call.Wait {
+		sound := len(arrivals) > 0 && !anyAborted(arrivals)
+		if call.Status == 0 && call.CanceledAt.IsZero() && sound && call.duration() < call.Timeout {
 			open[call.Gateway] = append(open[call.Gateway], call)
 		}
 	}
 	for gateway, calls := range open {
-		if len(calls) > mostUnanswered {
-			p.breach(calls[0].ID, "%s left %d requests unanswered, first %s: %s", gatewayName(gateway), len(calls), calls[0].ID, calls[0].Err)
+		if len(calls) > maxUnanswered {
+			p.addViolation(calls[0].ID, "%s left %d requests unanswered, first %s: %s", gatewayName(gateway), len(calls), calls[0].ID, calls[0].Err)
 		}
 	}
 	return p
 }
 
-// inTime: processes in touch answer soon after the timeout of a route.
-func (c *checker) inTime() Promise {
-	p := Promise{Name: "processes in touch give a final answer soon after the timeout"}
+// answeredInTime checks that undisturbed processes respond soon after the timeout of a route.
+func (c *checker) answeredInTime() Guarantee {
+	p := Guarantee{Name: "undisturbed processes send a final response soon after the timeout"}
 	past, late := 0, []*Call{}
-	for _, call := range c.f.Calls {
-		if !call.Left.IsZero() || call.took() < call.Wait || !c.inTouch(call.Gateway, call.Ended) {
+	for _, call := range c.observed.Calls {
+		if !call.CanceledAt.IsZero() || call.duration() < call.Timeout || !c.undisturbed(call.Gateway, call.Ended) {
 			continue
 		}
 		past++
-		if call.took() > call.Wait+c.o.Bounds.Late {
+		if call.duration() > call.Timeout+c.o.Bounds.LateResponse {
 			late = append(late, call)
 		}
 	}
 	p.Cases = past
-	if len(late) > mostLate && float64(len(late)) > lateShare*float64(past) {
-		p.breach(late[0].ID, "%d of %d requests were unanswered %s after their timeout, first %s", len(late), past, c.o.Bounds.Late, late[0].ID)
+	if len(late) > maxLateResponses && float64(len(late)) > maxLateShare*float64(past) {
+		p.addViolation(late[0].ID, "%d of %d requests were unanswered %s after their timeout, first %s", len(late), past, c.o.Bounds.LateResponse, late[0].ID)
 	}
 	return p
 }
--- a/internal/lab/soak/check_budget.go
+++ b/internal/lab/soak/check_budget.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// extras returns the arrivals of a request that count against the retry budget: all but the
-// first, and but the first read of its prompt that was taken up.
-func extras(arrivals []*Arrival) []*Arrival {
+// budgetedArrivals returns the arrivals of a request that count against the retry budget: all but
+// the first one and the first accepted prefill.
+func budgetedArrivals(arrivals []*Arrival) []*Arrival {
 	var out []*Arrival
 	read := false
 	for _, a := range arrivals {
@@ -22,20 +22,20 @@
 	return out[min(1, len(out)):]
 }
 
-// budget: all processes together send each service no more than the budget beyond the first
-// arrival of each request.
-func (c *checker) budget() Promise {
-	p := Promise{Name: "all processes together keep the retry budget"}
+// budget checks that all processes together send each service no more arrivals beyond the first of
+// each request than the retry budget allows.
+func (c *checker) budget() Guarantee {
+	p := Guarantee{Name: "all processes together keep the retry budget"}
 	requests, more := map[string][]time.Time{}, map[string][]*Arrival{}
 	for id, arrivals := range c.arrivals {
-		for _, a := range extras(arrivals) {
+		for _, a := range budgetedArrivals(arrivals) {
 			more[a.Service] = append(more[a.Service], a)
 		}
 		if call := c.calls[id]; call != nil && call.Kind == Mark {
 			requests[arrivals[0].Service] = append(requests[arrivals[0].Service], call.Sent)
 		}
 	}
-	for _, call := range c.f.Calls {
+	for _, call := range c.observed.Calls {
 		switch {
 		case call.Kind.Streams():
 			requests[serviceModels] = append(requests[serviceModels], call.Sent)
@@ -45,13 +45,13 @@
 	}
 	for service, sent := range requests {
 		slices.SortFunc(sent, time.Time.Compare)
-		c.budgetOf(&p, service, sent, more[service])
+		c.checkBudget(&p, service, sent, more[service])
 	}
 	return p
 }
 
-// budgetOf looks at each window that ends with an arrival.
-func (c *checker) budgetOf(p *Promise, service string, sent []time.Time, more []*Arrival) {
+// checkBudget checks each window that ends with an arrival.
+func (c *checker) checkBudget(p *Guarantee, service string, sent []time.Time, more []*Arrival) {
 	window := c.o.Bounds.RetryWindow
 	slices.SortFunc(more, func(a, b *Arrival) int { return a.At.Compare(b.At) })
 	worst, first := 0.0, (*Arrival)(nil)
@@ -69,11 +69,11 @@
 		}
 	}
 	if first != nil {
-		p.breach(first.ID, "service %s got %.0f arrivals more than the budget in a window of %s", service, worst, window)
+		p.addViolation(first.ID, "service %s got %.0f arrivals more than the budget in a window of %s", service, worst, window)
 	}
 }
 
-// between counts the times after from and up to to, in a sorted list.
+// between counts the times in a sorted list that are after from and not after to.
 func between(times []time.Time, from, to time.Time) int {
 	upTo := func(t time.Time) int {
 		return sort.Search(len(times), func(n int) bool { return times[n].After(t) })
--- a/internal/lab/soak/check_config.go
+++ b/internal/lab/soak/check_config.go
@@ -10,55 +10,57 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// sight is what one request showed of the configuration in force at a process.
-type sight struct {
+// configObservation is what one request shows about the configuration in force at a process.
+type configObservation struct {
 	call *Call
-	// versions are the configurations, by number, that allow what was seen, in order.
+	// versions are the indexes of the configurations that are consistent with the observation, in
+	// order.
 	versions []int
-	// from and to are between when the process looked at its configuration.
+	// The process read its configuration between from and to.
 	from, to time.Time
 }
 
-// sights returns what all requests showed.
-func (c *checker) sights() []sight {
-	var out []sight
-	for _, call := range c.f.Calls {
+// configObservations returns the observations from all requests.
+func (c *checker) configObservations() []configObservation {
+	var out []configObservation
+	for _, call := range c.observed.Calls {
 		switch call.Kind {
 		case Mark:
 			for _, a := range c.arrivals[call.ID] {
-				service := c.meant(a)
-				out = append(out, c.sight(call, a.At, func(index int) bool { return markService(index) == service }))
+				service := c.intendedService(a)
+				out = append(out, c.configObservation(call, a.At, func(index int) bool { return markService(index) == service }))
 			}
 		case Only:
 			var first int
 			if _, err := fmt.Sscanf(strings.TrimPrefix(call.Path, "/"+string(Only)+"-"), "%d/", &first); err != nil {
-				continue // unreachable: the path is made by the caller
+				continue // unreachable: the client generated the path
 			}
 			there := func(index int) bool { return index >= first && index < first+onlyVersions }
 			for _, a := range c.arrivals[call.ID] {
-				out = append(out, c.sight(call, a.At, there))
+				out = append(out, c.configObservation(call, a.At, there))
 			}
 			if call.Status == http.StatusNotFound {
-				out = append(out, c.sight(call, call.Ended, func(index int) bool { return !there(index) }))
+				out = append(out, c.configObservation(call, call.Ended, func(index int) bool { return !there(index) }))
 			}
 		}
 	}
 	return out
 }
 
-// meant returns the service that a request was sent to: that of the instance it names, since
-// another one may run at the address by now and answers 421.
-func (c *checker) meant(a *Arrival) string {
+// intendedService returns the service that a request was sent to: that of the instance which it
+// names. Another instance may run at the address meanwhile, which responds with 421.
+func (c *checker) intendedService(a *Arrival) string {
 	if named := c.o.Layout.serviceOf(a.Meant); named != "" {
 		return named
 	}
 	return a.Service
 }
 
-// sight returns what was seen up to a time, among the configurations that had been sent then.
-func (c *checker) sight(call *Call, to time.Time, allows func(index int) bool) sight {
-	s := sight{call: call, from: call.Sent, to: to}
-	for _, a := range c.f.Applied {
+// configObservation returns the observation of a call up to a time, from the configurations written
+// until then.
+func (c *checker) configObservation(call *Call, to time.Time, allows func(index int) bool) configObservation {
+	s := configObservation{call: call, from: call.Sent, to: to}
+	for _, a := range c.observed.ConfigWrites {
 		if !a.Sent.After(to) && allows(a.Index) {
 			s.versions = append(s.versions, a.Index)
 		}
@@ -67,29 +69,29 @@
 	return s
 }
 
-// configurationInForce: processes in touch know a configuration within the bound.
-func (c *checker) configurationInForce() Promise {
-	p := Promise{Name: "processes in touch have a configuration in force within the bound"}
-	for _, s := range c.sights() {
-		if !c.inTouch(s.call.Gateway, s.to) || !c.inTouch(s.call.Gateway, s.from) {
+// configurationInForce checks that undisturbed processes apply a configuration within the bound.
+func (c *checker) configurationInForce() Guarantee {
+	p := Guarantee{Name: "undisturbed processes apply a configuration within the bound"}
+	for _, s := range c.configObservations() {
+		if !c.undisturbed(s.call.Gateway, s.to) || !c.undisturbed(s.call.Gateway, s.from) {
 			continue
 		}
 		p.Cases++
 		newest := 0
-		for _, a := range c.f.Applied {
+		for _, a := range c.observed.ConfigWrites {
 			if !a.Done.Add(c.o.Bounds.Apply).After(s.from) {
 				newest = max(newest, a.Index)
 			}
 		}
 		if len(s.versions) == 0 || s.versions[len(s.versions)-1] < newest {
-			p.breach(s.call.ID, "%s: %s at %s shows one of the configurations %v, %d is in force", s.call.ID, s.call.Path, gatewayName(s.call.Gateway), s.versions, newest)
+			p.addViolation(s.call.ID, "%s: %s at %s shows one of the configurations %v, %d is in force", s.call.ID, s.call.Path, gatewayName(s.call.Gateway), s.versions, newest)
 		}
 	}
 	return p
 }
 
-// configModel is a process's configuration: each look at it shows one of some versions, and
-// it never goes back.
+// configModel models the configuration of a process: each observation allows a set of versions, and
+// the version never decreases.
 var configModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{0} },
 	Step: func(state, input, _ any) []any {
@@ -103,23 +105,25 @@
 	},
 }).ToModel()
 
-// historyTimeout bounds the check of one life of a process.
+// historyTimeout limits the check of one incarnation of a process.
 const historyTimeout = 20 * time.Second
 
-// configurationNeverBack: within one life of a process its configuration only moves up.
-func (c *checker) configurationNeverBack() Promise {
-	p := Promise{Name: "the configuration of a process never goes back"}
-	type life struct{ gateway, life int }
-	histories := map[life][]porcupine.Operation{}
-	first := map[life]string{}
-	for _, s := range c.sights() {
+// configurationMonotonic checks that within one incarnation of a process its configuration version
+// never decreases.
+func (c *checker) configurationMonotonic() Guarantee {
+	p := Guarantee{Name: "the configuration version of a process never decreases"}
+	type processRun struct{ gateway, incarnation int }
+	histories := map[processRun][]porcupine.Operation{}
+	first := map[processRun]string{}
+	for _, s := range c.configObservations() {
 		p.Cases++
-		key := life{s.call.Gateway, s.call.Life}
-		slack := c.o.Bounds.Back
-		if !c.inTouch(s.call.Gateway, s.to) {
-			slack = c.o.Bounds.BackSlow
+		key := processRun{s.call.Gateway, s.call.Incarnation}
+		slack := c.o.Bounds.StaleConfig
+		if !c.undisturbed(s.call.Gateway, s.to) {
+			slack = c.o.Bounds.StaleConfigDisturbed
 		}
-		// A version that was seen is in force from slack after; before, an older one may be met.
+		// A version that was observed is in force after slack has passed; until then, requests may
+		// still meet an older one.
 		histories[key] = append(histories[key], porcupine.Operation{
 			ClientId: len(histories[key]), Input: s.versions, Call: s.from.UnixNano(), Return: s.to.Add(slack).UnixNano(),
 		})
@@ -128,23 +132,23 @@
 	for key, ops := range histories {
 		switch porcupine.CheckOperationsTimeout(configModel, ops, historyTimeout) {
 		case porcupine.Illegal:
-			id, why := c.regression(key.gateway, key.life)
-			p.breach(id, "%s in its life %d: no order of its configurations explains what requests met%s", gatewayName(key.gateway), key.life, why)
+			id, why := c.regression(key.gateway, key.incarnation)
+			p.addViolation(id, "%s in its incarnation %d: no order of its configurations explains the observations%s", gatewayName(key.gateway), key.incarnation, why)
 		case porcupine.Unknown:
-			p.breach(first[key], "%s in its life %d: not decided within %s", gatewayName(key.gateway), key.life, historyTimeout)
+			p.addViolation(first[key], "%s in its incarnation %d: not decided within %s", gatewayName(key.gateway), key.incarnation, historyTimeout)
 		}
 	}
 	return p
 }
 
-// regression names a pair of requests of which the later one met an older configuration.
-func (c *checker) regression(gateway, life int) (id, why string) {
-	all := slices.DeleteFunc(c.sights(), func(s sight) bool {
-		return s.call.Gateway != gateway || s.call.Life != life || len(s.versions) == 0
+// regression returns a pair of requests of which the later one met an older configuration.
+func (c *checker) regression(gateway, incarnation int) (id, why string) {
+	all := slices.DeleteFunc(c.configObservations(), func(s configObservation) bool {
+		return s.call.Gateway != gateway || s.call.Incarnation != incarnation || len(s.versions) == 0
 	})
 	for _, later := range all {
 		for _, before := range all {
-			if before.to.Add(c.o.Bounds.Back).Before(later.from) && before.versions[0] > later.versions[len(later.versions)-1] {
+			if before.to.Add(c.o.Bounds.StaleConfig).Before(later.from) && before.versions[0] > later.versions[len(later.versions)-1] {
 				return later.call.ID, fmt.Sprintf(": %s showed %v, %s later %s showed %v",
 					before.call.ID, before.versions, later.from.Sub(before.to), later.call.ID, later.versions)
 			}
--- a/internal/lab/soak/check_process.go
+++ b/internal/lab/soak/check_process.go
@@ -10,30 +10,31 @@
 	"time"
 )
 
-// besideStops counts all faults but planned stops.
-func besideStops(d *Disturbance) bool { return d.Fault != FaultStop }
+// isNotPlannedStop reports whether a disturbance is anything but a planned stop.
+func isNotPlannedStop(d *Disturbance) bool { return d.Fault != FaultStop }
 
-// stopsCutNothing: a process that is asked to end answers all that it has read.
-func (c *checker) stopsCutNothing() Promise {
-	p := Promise{Name: "a planned stop cuts no request"}
-	for _, call := range c.f.Calls {
+// plannedStopsLoseNothing checks that a process that is stopped responds to all requests that it
+// has read.
+func (c *checker) plannedStopsLoseNothing() Guarantee {
+	p := Guarantee{Name: "a planned stop interrupts no request"}
+	for _, call := range c.observed.Calls {
 		stop := c.stopDuring(call)
-		if stop == nil || c.f.disturbed(call.Gateway, call.Sent.Add(-c.o.Bounds.Contact), call.Ended, besideStops) {
+		if stop == nil || c.observed.wasDisturbed(call.Gateway, call.Sent.Add(-c.o.Bounds.ContactTime), call.Ended, isNotPlannedStop) {
 			continue
 		}
 		p.Cases++
 		arrivals := c.arrivals[call.ID]
-		passedOn := len(arrivals) > 0 || call.took() > c.o.Bounds.Loss
-		if call.Left.IsZero() && !call.Whole && !call.Unsent && passedOn && !broken(arrivals) && call.took() < call.Wait {
-			p.breach(call.ID, "%s: cut after %s while %s stopped: %s", call.ID, call.took(), gatewayName(call.Gateway), call.Err)
+		passedOn := len(arrivals) > 0 || call.duration() > c.o.Bounds.UnansweredRead
+		if call.CanceledAt.IsZero() && !call.Complete && !call.Unsent && passedOn && !anyAborted(arrivals) && call.duration() < call.Timeout {
+			p.addViolation(call.ID, "%s: interrupted after %s while %s stopped: %s", call.ID, call.duration(), gatewayName(call.Gateway), call.Err)
 		}
 	}
 	return p
 }
 
-// stopDuring returns the planned stop of its process that a request met.
+// stopDuring returns the planned stop of the process that overlapped with a request, or nil.
 func (c *checker) stopDuring(call *Call) *Disturbance {
-	for _, d := range c.f.Disturbances {
+	for _, d := range c.observed.Disturbances {
 		if d.Fault != FaultStop || !d.From.Before(call.Ended) || !d.From.Add(c.o.Bounds.Grace+time.Second).After(call.Sent) {
 			continue
 		}
@@ -44,48 +45,49 @@
 	return nil
 }
 
-// processesLive: no process ends unless it is told to, nor outlives its grace period.
-func (c *checker) processesLive() Promise {
-	p := Promise{Name: "processes end only when they are told to, and in time"}
-	for _, e := range c.f.Exits {
+// processesExitWhenTold checks that no process exits unless it is told to, nor exceeds its grace
+// period.
+func (c *checker) processesExitWhenTold() Guarantee {
+	p := Guarantee{Name: "processes exit only when they are told to, and in time"}
+	for _, e := range c.observed.Exits {
 		p.Cases++
-		started := c.f.Starts[e.Gateway][e.Life-1]
-		if c.unborn(e, started) {
+		started := c.observed.Starts[e.Gateway][e.Incarnation-1]
+		if c.diedBeforeSignalSetup(e, started) {
 			continue
 		}
 		switch {
-		case e.Why == "":
-			p.breach("", "%s ended by itself with code %d %s, %s after its start", gatewayName(e.Gateway), e.Code, e.Signal, e.At.Sub(started))
-		case e.Why == "SIGTERM" && (!e.Overdue || e.Signal == "") && e.Code != 0:
-			p.breach("", "%s ended with code %d %s after SIGTERM, %s after its start", gatewayName(e.Gateway), e.Code, e.Signal, e.At.Sub(started))
-		// One that ended with a code had exited before the signal at the end of the grace period, which
-		// nobody survives; on a busy machine the kernel takes seconds to clear it away.
-		case e.Overdue && e.Signal != "" && !c.f.disturbed(e.Gateway, e.At.Add(-c.o.Bounds.Grace-time.Second), e.At, besideStops):
-			p.breach("", "%s outlived its grace period: it ended %s after it was asked to, with code %d %s",
-				gatewayName(e.Gateway), e.At.Sub(e.Asked), e.Code, e.Signal).signs("process=" + gatewayName(e.Gateway) + " msg=sto")
+		case e.SentSignal == "":
+			p.addViolation("", "%s exited on its own with code %d %s, %s after its start", gatewayName(e.Gateway), e.Code, e.Signal, e.At.Sub(started))
+		case e.SentSignal == "SIGTERM" && (!e.ExceededGrace || e.Signal == "") && e.Code != 0:
+			p.addViolation("", "%s exited with code %d %s after SIGTERM, %s after its start", gatewayName(e.Gateway), e.Code, e.Signal, e.At.Sub(started))
+		// An exit code shows that the process had exited before the SIGKILL at the end of the grace
+		// period, which leaves none. On a busy machine the kernel may take seconds to clean it up.
+		case e.ExceededGrace && e.Signal != "" && !c.observed.wasDisturbed(e.Gateway, e.At.Add(-c.o.Bounds.Grace-time.Second), e.At, isNotPlannedStop):
+			p.addViolation("", "%s exceeded its grace period: it exited %s after it was asked to, with code %d %s",
+				gatewayName(e.Gateway), e.At.Sub(e.StopRequestedAt), e.Code, e.Signal).addLogPatterns("process=" + gatewayName(e.Gateway) + " msg=sto")
 		}
 	}
 	return p
 }
 
-// birth is how long a program may take until it has asked for its signals: on a busy machine
-// one died of SIGHUP 25 ms after its start, and its packages take 40 ms to initialize.
-const birth = 2 * time.Second
+// signalSetupTime is how long a program may take to set up its signal handlers. On a busy machine,
+// a process died of SIGHUP 25 ms after its start, and its packages take 40 ms to initialize.
+const signalSetupTime = 2 * time.Second
 
-// unborn reports whether a process died of a signal that it had not asked for yet, and had
-// served nobody. Until a program runs, the signal's default action holds. A time for which it was frozen is none
-// in which it could ask.
-func (c *checker) unborn(e Exit, started time.Time) bool {
-	if e.Signal != syscall.SIGTERM.String() && e.Signal != syscall.SIGHUP.String() || c.f.awake(e.Gateway, started, e.At) > birth {
+// diedBeforeSignalSetup reports whether a process died of a signal before it had set up its signal
+// handlers and had responded to no request. Until then the signal's default action applies. Time in
+// which the process was frozen does not count, because it cannot set up handlers then.
+func (c *checker) diedBeforeSignalSetup(e Exit, started time.Time) bool {
+	if e.Signal != syscall.SIGTERM.String() && e.Signal != syscall.SIGHUP.String() || c.observed.runningTime(e.Gateway, started, e.At) > signalSetupTime {
 		return false
 	}
-	return !slices.ContainsFunc(c.f.Calls, func(call *Call) bool {
-		return call.Gateway == e.Gateway && call.Life == e.Life && call.Status != 0
+	return !slices.ContainsFunc(c.observed.Calls, func(call *Call) bool {
+		return call.Gateway == e.Gateway && call.Incarnation == e.Incarnation && call.Status != 0
 	})
 }
 
-// awake returns for how long a process was not frozen from its start until a time.
-func (f *Facts) awake(gateway int, started, until time.Time) time.Duration {
+// runningTime returns how long a process was not frozen, from its start until a time.
+func (f *Observations) runningTime(gateway int, started, until time.Time) time.Duration {
 	freezes := slices.DeleteFunc(slices.Clone(f.Disturbances), func(d *Disturbance) bool {
 		return d.Fault != FaultFreeze || !slices.Contains(d.Gateways, gateway) || d.From.Before(started)
 	})
@@ -103,25 +105,25 @@
 	return awake + max(0, until.Sub(from))
 }
 
-// signs are what a log holds of a defect.
-var signs = [][]byte{[]byte("panic:"), []byte("DATA RACE"), []byte("fatal error:")}
+// defectPatterns are texts in a log that show a defect.
+var defectPatterns = [][]byte{[]byte("panic:"), []byte("DATA RACE"), []byte("fatal error:")}
 
-func (c *checker) logsAreClean() Promise {
-	p := Promise{Name: "no log shows a panic or a data race"}
+func (c *checker) logsAreClean() Guarantee {
+	p := Guarantee{Name: "no log shows a panic or a data race"}
 	files, err := filepath.Glob(filepath.Join(c.o.Dir, "gateway-*.log"))
 	if err != nil {
-		p.breach("", "logs cannot be listed: %s", err)
+		p.addViolation("", "cannot list logs: %s", err)
 	}
 	for _, file := range files {
 		p.Cases++
 		text, err := os.ReadFile(file)
 		if err != nil {
-			p.breach("", "log cannot be read: %s", err)
+			p.addViolation("", "log cannot be read: %s", err)
 			continue
 		}
-		for _, sign := range signs {
-			if at := bytes.Index(text, sign); at >= 0 {
-				p.breach("", "%s: %s", filepath.Base(file), fmt.Sprintf("%q", text[at:min(len(text), at+200)]))
+		for _, pattern := range defectPatterns {
+			if at := bytes.Index(text, pattern); at >= 0 {
+				p.addViolation("", "%s: %s", filepath.Base(file), fmt.Sprintf("%q", text[at:min(len(text), at+200)]))
 			}
 		}
 	}
--- a/internal/lab/soak/grown.go
+++ b/internal/lab/soak/grown.go
@@ -6,96 +6,103 @@
 )
 
 const (
-	// stayTime is how long an instance of a large layout stays on average. Of some hundred, two
-	// leave each second, so that a run of half a minute has some fifty to judge.
-	stayTime = 50 * time.Second
-	// watcherEvery is the mean time between two faults of processes that watch the store for the
-	// others, watcherFault the longest: the others leave one that is stale for longer.
-	watcherEvery = 2 * time.Second
-	watcherFault = 2500 * time.Millisecond
-	// storeWideShare is the part of a run, its first one, that has faults of the store for all
-	// processes. Nobody is in touch then: with them all through a run, no arrival was judged.
-	storeWideShare = 0.25
-	// mostRestores is how often the store comes back from an older copy in a run at the most,
-	// oldestCopy how much older it is at the most, and writtenAgain in what time what the
-	// operator and the instances wrote is written again: about two seconds, by the users'
-	// pages.
-	mostRestores = 2
-	oldestCopy   = 6 * time.Second
-	writtenAgain = 2 * time.Second
-	// rollBegin and rollShare say when all processes are stopped and started again in turn, as
-	// parts of a run.
-	rollBegin = 0.3
-	rollShare = 0.3
+	// meanInstanceLifetime is the mean lifetime of an instance in a large layout. Of about a
+	// hundred instances, two end each second, so that a run of half a minute has about fifty
+	// withdrawals to check.
+	meanInstanceLifetime = 50 * time.Second
+	// meanWatcherFaultInterval is the mean time between two faults of processes that watch the
+	// store for the others. maxWatcherFault limits their duration, because the others switch to
+	// another watcher if one is stale for longer.
+	meanWatcherFaultInterval = 2 * time.Second
+	maxWatcherFault          = 2500 * time.Millisecond
+	// storeFaultsShare is the first part of a run, in which faults of the store affect all
+	// processes. No time bound applies to any process then: with such faults throughout the run, no
+	// arrival could be checked.
+	storeFaultsShare = 0.25
+	// maxRestores limits how often a run restores the store from an older snapshot, maxSnapshotAge
+	// the age of the snapshot. Within rewriteTime, the operator and the instances write their
+	// objects again; the users' pages state about two seconds.
+	maxRestores    = 2
+	maxSnapshotAge = 6 * time.Second
+	rewriteTime    = 2 * time.Second
+	// rollingRestartStart and rollingRestartShare are the start and the length of the rolling
+	// restart of all processes, as fractions of a run.
+	rollingRestartStart = 0.3
+	rollingRestartShare = 0.3
 )
 
-// storeWideUntil returns until when a run has faults of the store for all processes.
-func storeWideUntil(length time.Duration) time.Duration {
-	return time.Duration(storeWideShare * float64(length))
+// storeFaultsEnd returns the time after which a run has no more faults of the store for all
+// processes.
+func storeFaultsEnd(length time.Duration) time.Duration {
+	return time.Duration(storeFaultsShare * float64(length))
 }
 
-// restores returns at what times the store comes back from an older copy, among the faults of
-// the store for all processes. For says how much older the copy is.
-func (s *scheduler) restores(length time.Duration) []Action {
+// storeRestores returns the restores of the store from an older snapshot, within the time of the
+// store-wide faults. Duration is the age of the snapshot.
+func (s *scheduleBuilder) storeRestores(length time.Duration) []Action {
 	var out []Action
-	for range 1 + s.rng.IntN(mostRestores) {
-		out = append(out, Action{At: s.upTo(storeWideUntil(length)), Fault: FaultStoreRestore, For: s.upTo(oldestCopy)})
+	for range 1 + s.rng.IntN(maxRestores) {
+		out = append(out, Action{At: s.randomDuration(storeFaultsEnd(length)), Fault: FaultStoreRestore, Duration: s.randomDuration(maxSnapshotAge)})
 	}
 	return out
 }
 
-// restore has the store come back from an older copy. The operator and the instances write
-// again, in any order; registrations of instances that are gone lapse again.
-func (w *world) restore(op *operator, by time.Duration) {
+// restoreStore restores the store from a snapshot of the given age. The operator and the instances
+// then write their objects again, in any order, and the registrations of instances that have ended
+// are removed again.
+func (w *world) restoreStore(op *operator, by time.Duration) {
 	w.store.Restore(by)
-	w.later(rand.N(writtenAgain), op.again)
+	w.runAfter(rand.N(rewriteTime), op.rewriteConfig)
 	for _, p := range w.places {
-		w.later(rand.N(writtenAgain), p.again)
+		w.runAfter(rand.N(rewriteTime), p.rewriteRegistration)
 	}
 }
 
-// again writes the newest configuration again.
-func (o *operator) again() {
+// rewriteConfig writes the newest configuration again.
+func (o *operator) rewriteConfig() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.w.store.Configure(configuration(o.index))
 }
 
-// again writes what the registration of the present instance was, and lets those of earlier ones lapse.
-func (p *place) again() {
+// rewriteRegistration writes the registration of the current instance again, unless it was removed,
+// and removes those of earlier instances.
+func (p *place) rewriteRegistration() {
 	p.mu.Lock()
-	e, starts, gone := p.now, p.starts, p.gone
+	e, starts, deregistered := p.current, p.starts, p.deregistered
 	p.mu.Unlock()
 	for n := range starts {
-		if id := instanceID(p.number, n+1); id != e.ID || gone {
+		if id := instanceID(p.number, n+1); id != e.ID || deregistered {
 			p.w.store.Deregister(id)
 		}
 	}
-	p.write(e, e.Stage())
+	p.register(e, e.Stage())
 }
 
-// leaveActions are the ways in which instances leave.
-var leaveActions = []weighted{
-	{5, instanceFault(FaultDrain, 1, leaves)},
-	{5, instanceFault(FaultRemove, 1, leaves)},
-	{1, instanceFault(FaultCrash, 1, leaves)},
-	{1, instanceFault(FaultReuse, 1, leaves)},
+// withdrawalActions are the ways in which instances are withdrawn or end.
+var withdrawalActions = []weightedAction{
+	{5, instanceFault(FaultDrain, 1, hasSeveralInstances)},
+	{5, instanceFault(FaultRemove, 1, hasSeveralInstances)},
+	{1, instanceFault(FaultCrash, 1, hasSeveralInstances)},
+	{1, instanceFault(FaultReuse, 1, hasSeveralInstances)},
 }
 
-// leaves reports whether instances of a service leave more often than by the other faults. The
-// services of marks have one instance each.
-func leaves(service string) bool { return service == serviceApp || service == serviceModels }
+// hasSeveralInstances reports whether a service has more than one instance, so that instances can
+// be withdrawn more often than by the general faults. The mark services have one instance each.
+func hasSeveralInstances(service string) bool {
+	return service == serviceApp || service == serviceModels
+}
 
-// leaves returns instances that leave, and others that take their places.
-func (s *scheduler) leaves(length time.Duration) []Action {
-	every := stayTime / time.Duration(len(s.layout.Places))
-	return s.often(every, length, func() Action { return s.pickFrom(leaveActions) })
+// withdrawals returns withdrawals of instances, each of which is replaced by a new instance.
+func (s *scheduleBuilder) withdrawals(length time.Duration) []Action {
+	every := meanInstanceLifetime / time.Duration(len(s.layout.Places))
+	return s.atRandomIntervals(every, length, func() Action { return s.randomActionFrom(withdrawalActions) })
 }
 
-// often returns actions with a mean time between two.
-func (s *scheduler) often(every, length time.Duration, next func() Action) []Action {
+// atRandomIntervals returns actions with the given mean time between two of them.
+func (s *scheduleBuilder) atRandomIntervals(every, length time.Duration, next func() Action) []Action {
 	var out []Action
-	for at := s.upTo(2 * every); at < length; at += s.upTo(2 * every) {
+	for at := s.randomDuration(2 * every); at < length; at += s.randomDuration(2 * every) {
 		a := next()
 		a.At = at
 		out = append(out, a)
@@ -103,32 +110,32 @@
 	return out
 }
 
-// watcherActions are short faults of what a process has to do with the store.
-var watcherActions = []weighted{
-	{2, func(s *scheduler) Action { return Action{Fault: FaultStoreSome} }},
-	{2, func(s *scheduler) Action { return Action{Fault: FaultReset, Party: partyStore} }},
-	{2, func(s *scheduler) Action {
-		return Action{Fault: FaultSilence, Party: partyStore, Conditions: Conditions{CutThere: true, CutBack: true}}
+// watcherActions are faults of a process or of its connection to the store.
+var watcherActions = []weightedAction{
+	{2, func(s *scheduleBuilder) Action { return Action{Fault: FaultStoreRefusesSome} }},
+	{2, func(s *scheduleBuilder) Action { return Action{Fault: FaultReset, Party: partyStore} }},
+	{2, func(s *scheduleBuilder) Action {
+		return Action{Fault: FaultSilence, Party: partyStore, Conditions: Conditions{BlockForward: true, BlockBackward: true}}
 	}},
-	{1, func(s *scheduler) Action { return Action{Fault: FaultFreeze} }},
+	{1, func(s *scheduleBuilder) Action { return Action{Fault: FaultFreeze} }},
 }
 
 // watcherFaults returns short faults of processes that watch the store for the others.
-func (s *scheduler) watcherFaults(length time.Duration) []Action {
-	return s.often(watcherEvery, length, func() Action {
-		a := s.pickFrom(watcherActions)
-		a.Watcher, a.Gateways, a.For = true, []int{s.rng.IntN(s.processes)}, s.upTo(watcherFault)
+func (s *scheduleBuilder) watcherFaults(length time.Duration) []Action {
+	return s.atRandomIntervals(meanWatcherFaultInterval, length, func() Action {
+		a := s.randomActionFrom(watcherActions)
+		a.TargetWatcher, a.Gateways, a.Duration = true, []int{s.rng.IntN(s.processes)}, s.randomDuration(maxWatcherFault)
 		return a
 	})
 }
 
-// roll returns planned stops of all processes, one after the other.
-func (s *scheduler) roll(length time.Duration) []Action {
-	gap := time.Duration(rollShare * float64(length) / float64(s.processes))
+// rollingRestart returns planned stops of all processes, one after the other.
+func (s *scheduleBuilder) rollingRestart(length time.Duration) []Action {
+	gap := time.Duration(rollingRestartShare * float64(length) / float64(s.processes))
 	var out []Action
 	for n, process := range s.rng.Perm(s.processes) {
-		at := time.Duration(rollBegin*float64(length)) + time.Duration(n)*gap
-		out = append(out, Action{At: at, Fault: FaultStop, Gateways: []int{process}, For: s.upTo(time.Second)})
+		at := time.Duration(rollingRestartStart*float64(length)) + time.Duration(n)*gap
+		out = append(out, Action{At: at, Fault: FaultStop, Gateways: []int{process}, Duration: s.randomDuration(time.Second)})
 	}
 	return out
 }
--- a/internal/lab/soak/instances.go
+++ b/internal/lab/soak/instances.go
@@ -14,49 +14,53 @@
 )
 
 const (
-	// streamEvents is how many events a stream has, eventGap the time between two: a stream
-	// lasts long enough for faults to strike it.
+	// streamEvents is the number of events of a stream, eventGap the time between two of them. A
+	// stream must last long enough for faults to affect it.
 	streamEvents = 16
 	eventGap     = 50 * time.Millisecond
-	// workTime is how long a request takes before its answer or first event.
+	// workTime is the time that a request takes before its response or first event.
 	workTime = 15 * time.Millisecond
-	// instanceSlots is small, so that engines fill up and change their stages.
+	// instanceSlots is the number of requests that an engine runs at a time. It is small, so that
+	// engines fill up and change their stages.
 	instanceSlots = 8
-	// roleChange is how long a change of the stage takes.
-	roleChange = 300 * time.Millisecond
-	// lateOrder is how late an order that was not answered is carried out.
-	lateOrder = 2 * time.Second
-	// instancesHost is the last number of the IP of all instances, instancesPort the port of
+	// roleChangeTime is the time that an engine takes to change its stage.
+	roleChangeTime = 300 * time.Millisecond
+	// lateOrderDelay is the delay with which FaultLateOrders carries out an order that got no
+	// response.
+	lateOrderDelay = 2 * time.Second
+	// instancesHost is the last octet of the IP address of all instances, instancesPort the port of
 	// the first one.
 	instancesHost = 254
 	instancesPort = 8000
 )
 
-// Services of the configuration. Those of marks follow each other with the versions.
+// Services of the configuration. There are markServiceCount mark services. Configuration n routes
+// the requests of kind Mark to markService(n), so that the service that gets one shows the version
+// in force.
 const (
-	serviceApp    = "app"
-	serviceModels = "models"
-	markServices  = 4
+	serviceApp       = "app"
+	serviceModels    = "models"
+	markServiceCount = 4
 )
 
-func markService(version int) string { return fmt.Sprintf("mark-%d", version%markServices) }
+func markService(version int) string { return fmt.Sprintf("mark-%d", version%markServiceCount) }
 
-// place is an address at which one instance after the other runs, as the platform gives the
-// addresses of those that ended to others.
+// place is a Place of the layout and its current instance. A new instance takes over the address of
+// the old one, as the platform reassigns the addresses of instances that ended.
 type place struct {
 	Place
 	w       *world
 	number  int
 	address string
 
-	mu     sync.Mutex
-	now    *fleetengine.Engine
-	starts int
-	// draining and gone are of the instance that runs now: it has stated that it will leave, and
-	// its registration was taken away.
-	draining, gone bool
-	// server is nil while nothing runs here. listener is closed by itself: the server does not
-	// know it yet just after its start.
+	mu      sync.Mutex
+	current *fleetengine.Engine
+	starts  int
+	// draining is true if the current instance has announced that it drains, deregistered if its
+	// registration was removed.
+	draining, deregistered bool
+	// server is nil while no instance is running. listener is closed separately, because just after
+	// the start the server has not taken it over yet.
 	server   *http.Server
 	listener net.Listener
 }
@@ -64,7 +68,8 @@
 func instanceID(place, start int) string { return fmt.Sprintf("i-%d-%d", place, start) }
 
 func newPlace(w *world, number int, runs Place) (*place, error) {
-	// A port that the system gives out could be taken by a connection while nothing runs here.
+	// A port assigned by the kernel could be taken by another connection while no instance is
+	// listening.
 	l, err := net.Listen("tcp", fmt.Sprintf("%s.%d:%d", w.subnet, instancesHost, instancesPort+number))
 	if err != nil {
 		return nil, err
@@ -83,26 +88,26 @@
 	go func() { _ = s.Serve(l) }() // ends when the place is closed
 }
 
-// start begins the life of a new instance.
+// start creates a new instance and registers it.
 func (p *place) start() {
 	p.mu.Lock()
 	p.starts++
 	e := fleetengine.New(instanceID(p.number, p.starts), p.Stage)
-	e.Work, e.RoleChange, e.OrderDelay = workTime, roleChange, lateOrder
+	e.Work, e.RoleChange, e.OrderDelay = workTime, roleChangeTime, lateOrderDelay
 	if p.Service == serviceModels {
 		e.Events, e.Gap = streamEvents, eventGap
 	}
-	e.Changed = func(stage string) { p.write(e, stage) }
-	p.now, p.draining, p.gone = e, false, false
+	e.Changed = func(stage string) { p.register(e, stage) }
+	p.current, p.draining, p.deregistered = e, false, false
 	p.mu.Unlock()
-	p.write(e, p.Stage)
+	p.register(e, p.Stage)
 }
 
-// write writes the registration of an instance if it is still the one that runs here.
-func (p *place) write(e *fleetengine.Engine, stage string) {
+// register writes the registration of an instance if it is still the current one.
+func (p *place) register(e *fleetengine.Engine, stage string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.now != e || p.gone {
+	if p.current != e || p.deregistered {
 		return
 	}
 	p.w.store.Register(e.ID, fleetstore.Registration{
@@ -110,63 +115,63 @@
 	})
 }
 
-// drain states that the instance will leave. It goes on serving.
+// drain announces that the instance drains. It continues to serve requests.
 func (p *place) drain() {
 	p.mu.Lock()
-	e := p.now
+	e := p.current
 	p.draining = true
 	p.mu.Unlock()
-	p.write(e, e.Stage())
-	p.left(e.ID)
+	p.register(e, e.Stage())
+	p.recordWithdrawal(e.ID)
 }
 
-// remove takes the registration away. The instance goes on serving for a while, as
-// instances do that never state that they drain.
+// remove deletes the registration. The instance continues to serve for a while, like instances that
+// never announce that they drain.
 func (p *place) remove() {
 	p.mu.Lock()
-	e := p.now
-	p.gone = true
+	e := p.current
+	p.deregistered = true
 	p.w.store.Deregister(e.ID)
 	p.mu.Unlock()
-	p.left(e.ID)
+	p.recordWithdrawal(e.ID)
 }
 
-func (p *place) left(id string) {
-	p.w.facts.note(func() { p.w.facts.Leavings = append(p.w.facts.Leavings, Leaving{id, time.Now()}) })
+func (p *place) recordWithdrawal(id string) {
+	p.w.observed.record(func() { p.w.observed.Withdrawals = append(p.w.observed.Withdrawals, Withdrawal{id, time.Now()}) })
 }
 
-// crash breaks all connections off, and has a new instance begin under another id. The
-// registration of the old one lapses later.
+// crash aborts all connections and starts a new instance with another ID. The registration of the
+// old one expires after the given time.
 func (p *place) crash(lapse time.Duration) {
-	if p.down(lapse) {
-		p.up(p.address)
+	if p.terminate(lapse) {
+		p.startAt(p.address)
 	}
 }
 
-// down ends the instance. It reports false if none runs here.
-func (p *place) down(lapse time.Duration) bool {
+// terminate ends the current instance. It returns false if none is running.
+func (p *place) terminate(lapse time.Duration) bool {
 	p.mu.Lock()
-	old, server, listener := p.now, p.server, p.listener
+	old, server, listener := p.current, p.server, p.listener
 	p.server = nil
 	p.mu.Unlock()
 	if server == nil {
 		return false
 	}
-	p.w.facts.note(func() { p.w.broke(old.ID) }) // before the requests in hand end
-	_ = listener.Close()                         // the next instance listens here
-	_ = server.Close()                           // what it breaks off is meant
-	p.w.later(lapse, func() {
+	p.w.observed.record(func() { p.w.markAborted(old.ID) }) // before the in-flight requests end
+	_ = listener.Close()                                    // the next instance listens here
+	_ = server.Close()                                      // aborts the open connections on purpose
+	p.w.runAfter(lapse, func() {
 		p.w.store.Deregister(old.ID)
-		p.left(old.ID)
+		p.recordWithdrawal(old.ID)
 	})
 	return true
 }
 
-// up begins a new instance at an address.
-func (p *place) up(address string) {
+// startAt starts a new instance at an address.
+func (p *place) startAt(address string) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		p.w.fail(fmt.Errorf("place %d cannot listen: %w", p.number, err))
+		p.w.recordFailure(fmt.Errorf("cannot listen at place %d: %w", p.number, err))
 		return
 	}
 	p.mu.Lock()
@@ -176,28 +181,28 @@
 	p.serve(l)
 }
 
-// exchange ends two instances and begins new ones, each at the address of the other, after
-// the time for which the platform gives addresses to nobody.
-func (p *place) exchange(other *place) {
-	if p == other || !p.down(lapseTime) {
+// swapAddresses ends two instances and starts new ones, each at the address of the other, after the
+// time for which the platform does not reassign addresses.
+func (p *place) swapAddresses(other *place) {
+	if p == other || !p.terminate(registrationExpiry) {
 		return
 	}
-	if !other.down(lapseTime) {
-		p.up(p.address)
+	if !other.terminate(registrationExpiry) {
+		p.startAt(p.address)
 		return
 	}
 	mine, its := p.address, other.address
-	p.w.later(reuseAfter, func() {
-		p.up(its)
-		other.up(mine)
+	p.w.runAfter(addressReuseDelay, func() {
+		p.startAt(its)
+		other.startAt(mine)
 	})
 }
 
-// instance returns the one that runs here.
-func (p *place) instance() *fleetengine.Engine {
+// currentInstance returns the instance that was started last.
+func (p *place) currentInstance() *fleetengine.Engine {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.now
+	return p.current
 }
 
 func (p *place) close() {
@@ -208,45 +213,45 @@
 	}
 }
 
-// ServeHTTP implements http.Handler. It notes what arrives and how it ends.
+// ServeHTTP implements http.Handler. It records each arrival and how it ends.
 func (p *place) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	e := p.instance()
+	e := p.currentInstance()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // the request did not arrive whole
+		return // the request body was incomplete
 	}
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	if fleetengine.IsOrder(r) {
-		p.order(e, w, r, body)
+		p.serveOrder(e, w, r, body)
 		return
 	}
 	a := fleetengine.ReadArrival(r, body)
 	if a.ID == "" {
-		e.ServeHTTP(w, r) // no caller's request
+		e.ServeHTTP(w, r) // not a client's request
 		return
 	}
-	p.request(e, w, r, a)
+	p.serveRequest(e, w, r, a)
 }
 
-func (p *place) order(e *fleetengine.Engine, w http.ResponseWriter, r *http.Request, body []byte) {
+func (p *place) serveOrder(e *fleetengine.Engine, w http.ResponseWriter, r *http.Request, body []byte) {
 	in, err := fleetengine.ReadOrder(body)
 	if err != nil {
 		in.Holder = "unreadable"
 	}
 	o := &Order{To: e.ID, From: p.w.sender(r.RemoteAddr), Holder: in.Holder, Token: in.Token, At: time.Now()}
-	p.w.facts.note(func() { p.w.facts.Orders = append(p.w.facts.Orders, o) })
+	p.w.observed.record(func() { p.w.observed.Orders = append(p.w.observed.Orders, o) })
 	e.ServeHTTP(w, r)
 }
 
-func (p *place) request(e *fleetengine.Engine, w http.ResponseWriter, r *http.Request, in fleetengine.Arrival) {
-	rec := &recorder{ResponseWriter: w, status: http.StatusOK}
+func (p *place) serveRequest(e *fleetengine.Engine, w http.ResponseWriter, r *http.Request, in fleetengine.Arrival) {
+	rec := &responseRecorder{ResponseWriter: w, status: http.StatusOK}
 	a := &Arrival{Arrival: in, Instance: e.ID, Service: p.Service, At: time.Now()}
-	p.w.facts.note(func() { p.w.facts.Arrivals = append(p.w.facts.Arrivals, a) })
+	p.w.observed.record(func() { p.w.observed.Arrivals = append(p.w.observed.Arrivals, a) })
 	done := false
 	defer func() {
-		p.w.facts.note(func() {
-			a.Ended, a.Status, a.Broke = time.Now(), rec.status, a.Broke || !done
-			a.Headed, a.Limited = rec.headed, fleetengine.NamesLimit(rec.Header())
+		p.w.observed.record(func() {
+			a.Ended, a.Status, a.Aborted = time.Now(), rec.status, a.Aborted || !done
+			a.ResponseStart, a.RateLimited = rec.responseStart, fleetengine.NamesLimit(rec.Header())
 			a.Ran = !a.Read && !fleetengine.NotRun(rec.status, rec.Header())
 		})
 	}()
@@ -254,32 +259,32 @@
 	done = true
 }
 
-// recorder notes the status of an answer, and when it began.
-type recorder struct {
+// responseRecorder records the status of a response and when it began.
+type responseRecorder struct {
 	http.ResponseWriter
 	status int
-	// headed is when the answer began.
-	headed time.Time
+	// responseStart is when the response began.
+	responseStart time.Time
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (r *recorder) WriteHeader(status int) {
+func (r *responseRecorder) WriteHeader(status int) {
 	r.status = status
-	r.begin()
+	r.recordStart()
 	r.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
-func (r *recorder) Write(b []byte) (int, error) {
-	r.begin()
+func (r *responseRecorder) Write(b []byte) (int, error) {
+	r.recordStart()
 	return r.ResponseWriter.Write(b)
 }
 
-func (r *recorder) begin() {
-	if r.headed.IsZero() {
-		r.headed = time.Now()
+func (r *responseRecorder) recordStart() {
+	if r.responseStart.IsZero() {
+		r.responseStart = time.Now()
 	}
 }
 
-// Unwrap lets http.ResponseController find what the server offers.
-func (r *recorder) Unwrap() http.ResponseWriter { return r.ResponseWriter }
+// Unwrap gives http.ResponseController access to the underlying writer.
+func (r *responseRecorder) Unwrap() http.ResponseWriter { return r.ResponseWriter }
--- a/internal/lab/soak/instances_test.go
+++ b/internal/lab/soak/instances_test.go
@@ -14,8 +14,8 @@
 	"github.com/rockdoor/rockdoor/internal/standin/fleetcaller"
 )
 
-// TestInstancesCrashJustAfterTheirStart has instances follow each other at one address as
-// quickly as they can, and exchange addresses.
+// TestInstancesCrashJustAfterTheirStart replaces instances at one address as quickly as possible,
+// and swaps the addresses of two.
 func TestInstancesCrashJustAfterTheirStart(t *testing.T) {
 	w, err := newWorld(context.Background(), Options{Dir: t.TempDir()})
 	require.NoError(t, err)
@@ -24,17 +24,17 @@
 		w.places[0].crash(0)
 	}
 	before := []string{w.places[0].address, w.places[1].address}
-	w.places[0].exchange(w.places[1])
+	w.places[0].swapAddresses(w.places[1])
 	w.places[0].crash(0)
-	require.Eventually(t, func() bool { return w.pending.Load() == 0 }, 10*time.Second, poll)
-	require.NoError(t, w.failed())
+	require.Eventually(t, func() bool { return w.pending.Load() == 0 }, 10*time.Second, pollInterval)
+	require.NoError(t, w.recordedFailure())
 	require.Equal(t, before, []string{w.places[1].address, w.places[0].address})
-	require.NotEmpty(t, w.facts.Leavings)
+	require.NotEmpty(t, w.observed.Withdrawals)
 }
 
-// TestCrashBreaksOff checks that a request that an instance had in hand when it crashed is
-// noted as broken off by it.
-func TestCrashBreaksOff(t *testing.T) {
+// TestCrashAbortsRequests checks that a request which an instance was running when it crashed is
+// recorded as aborted by it.
+func TestCrashAbortsRequests(t *testing.T) {
 	w, err := newWorld(context.Background(), Options{Dir: t.TempDir()})
 	require.NoError(t, err)
 	defer w.close()
@@ -46,23 +46,23 @@
 		_, err = io.WriteString(conn, request.String())
 		require.NoError(t, err)
 		reader := bufio.NewReader(conn)
-		_, err = reader.Peek(1) // the answer has begun
+		_, err = reader.Peek(1) // the response has begun
 		require.NoError(t, err)
 		p.crash(0)
-		answer, err := fleetcaller.ReadAnswer(reader)
+		response, err := fleetcaller.ReadAnswer(reader)
 		require.Error(t, err)
-		require.Equal(t, http.StatusOK, answer.Status)
+		require.Equal(t, http.StatusOK, response.Status)
 		require.NoError(t, conn.Close())
 	}
-	broke := func() (n int) {
-		w.facts.note(func() {
-			for _, a := range w.facts.Arrivals {
-				if a.Broke {
+	aborted := func() (n int) {
+		w.observed.record(func() {
+			for _, a := range w.observed.Arrivals {
+				if a.Aborted {
 					n++
 				}
 			}
 		})
 		return n
 	}
-	require.Eventually(t, func() bool { return broke() == 20 }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return aborted() == 20 }, time.Second, time.Millisecond)
 }
--- a/internal/lab/soak/layout.go
+++ b/internal/lab/soak/layout.go
@@ -9,39 +9,40 @@
 	"github.com/rockdoor/rockdoor/internal/standin/fleetengine"
 )
 
-// Layout is what a deployment consists of: hosts and instances by their failure domains.
+// Layout describes a deployment: its hosts, its instances, and the failure domain of each.
 type Layout struct {
-	// Hosts are those of the processes. There may be more processes than hosts: they begin
-	// with the first one again.
+	// Hosts are where the gateway processes run. If there are more processes than hosts, they are
+	// assigned round robin.
 	Hosts  []Host
 	Places []Place
 }
 
-// Host is where one process runs.
+// Host is a host of a gateway process.
 type Host struct {
 	Domain string
-	// Weight is how much work the process can take on for others, in shares of a core.
+	// Weight is the capacity that the process has for work on behalf of others, in CPU cores.
 	Weight float64
 }
 
-// Place is where one instance after the other of a service runs.
+// Place is a position in the layout at which a service always has one instance. When the instance
+// ends, another one with a new ID takes its place.
 type Place struct {
 	Service string
-	// Stage is that of an engine at its start, empty for plain services.
+	// Stage is the initial stage of an engine; empty for plain services.
 	Stage  string
 	Domain string
 }
 
-// engineStages are the stages of engines at their start, in turn.
+// engineStages are the initial stages of engines, assigned round robin.
 var engineStages = []string{
 	fleetengine.StagePrefill, fleetengine.StagePrefill,
 	fleetengine.StageDecode, fleetengine.StageDecode, fleetengine.StageDecode, fleetengine.StageDecode,
 }
 
-// DefaultLayout is that of a small deployment: three domains, 13 instances.
+// DefaultLayout is a small deployment with three failure domains and 13 instances.
 var DefaultLayout = defaultLayout()
 
-// plainInstances is how many instances the plain service has in the default layout.
+// plainInstances is the number of instances of the plain service in the default layout.
 const plainInstances = 3
 
 func defaultLayout() *Layout {
@@ -53,19 +54,20 @@
 	for _, stage := range engineStages {
 		l.Places = append(l.Places, Place{Service: serviceModels, Stage: stage})
 	}
-	l.spread()
+	l.assignDomains()
 	return l
 }
 
-// addMarks adds the services that show which version of the configuration is in force.
+// addMarks adds the mark services. Which of them receives a request shows the configuration version
+// in force.
 func (l *Layout) addMarks() {
-	for n := range markServices {
+	for n := range markServiceCount {
 		l.Places = append(l.Places, Place{Service: markService(n)})
 	}
 }
 
-// spread puts places without a domain into all domains in turn.
-func (l *Layout) spread() {
+// assignDomains assigns places without a failure domain to the domains of the hosts, round robin.
+func (l *Layout) assignDomains() {
 	for n := range l.Places {
 		if l.Places[n].Domain == "" {
 			l.Places[n].Domain = l.Hosts[n%len(l.Hosts)].Domain
@@ -73,10 +75,10 @@
 	}
 }
 
-// host returns that of the process with a number.
+// host returns the host of a process, by its number.
 func (l *Layout) host(process int) Host { return l.Hosts[process%len(l.Hosts)] }
 
-// serviceOf returns the service of an instance, empty if there is none with the id.
+// serviceOf returns the service of an instance ID, or an empty string if the ID is unknown.
 func (l *Layout) serviceOf(id string) string {
 	var place, start int
 	if _, err := fmt.Sscanf(id, "i-%d-%d", &place, &start); err != nil || place >= len(l.Places) {
@@ -85,10 +87,10 @@
 	return l.Places[place].Service
 }
 
-// grown reports whether this is another layout than the default one.
-func (l *Layout) grown() bool { return l != DefaultLayout }
+// isCustom reports whether this is not the default layout.
+func (l *Layout) isCustom() bool { return l != DefaultLayout }
 
-// siteFile is what is read of a file that describes a deployment of the users' platform.
+// siteFile holds the fields that ReadSite uses from a deployment file of the users' platform.
 type siteFile struct {
 	Machines []struct {
 		Class    string  `toml:"class"`
@@ -113,16 +115,16 @@
 	} `toml:"bounds"`
 }
 
-// hostClass is the class of the hosts on which gateways run.
+// hostClass is the class of the hosts that run gateways.
 const hostClass = "front"
 
-// ReadSite reads the layout and the bounds of a deployment from a file in the format of the
-// users' platform. What the file does not say is as in the defaults.
+// ReadSite reads the layout and the bounds of a deployment from a file in the format of the users'
+// platform. Bounds that the file does not set keep their default values.
 func ReadSite(file string) (*Layout, Bounds, error) {
 	var site siteFile
 	b := DefaultBounds
 	if _, err := toml.DecodeFile(file, &site); err != nil {
-		return nil, b, fmt.Errorf("site file %s cannot be read: %w", file, err)
+		return nil, b, fmt.Errorf("cannot read site file %s: %w", file, err)
 	}
 	l := &Layout{}
 	for _, m := range site.Machines {
@@ -134,7 +136,7 @@
 		}
 	}
 	if len(l.Hosts) == 0 {
-		return nil, b, fmt.Errorf("site file %s names no machines of class %q", file, hostClass)
+		return nil, b, fmt.Errorf("site file %s has no machines of class %q", file, hostClass)
 	}
 	for _, s := range site.Services {
 		for _, at := range s.Servers {
@@ -144,7 +146,7 @@
 		}
 	}
 	l.addMarks()
-	l.spread()
+	l.assignDomains()
 	site.setBounds(&b)
 	return l, b, nil
 }
@@ -164,7 +166,7 @@
 	}{
 		{&b.Drain, s.Bounds.DrainMs, time.Millisecond},
 		{&b.Apply, s.Bounds.ConfigMs, time.Millisecond},
-		{&b.Contact, s.Bounds.ContactMs, time.Millisecond},
+		{&b.ContactTime, s.Bounds.ContactMs, time.Millisecond},
 		{&b.Grace, s.Bounds.GraceS, time.Second},
 		{&b.Recovery, s.Bounds.RecoverS, time.Second},
 	} {
--- a/internal/lab/soak/leases_test.go
+++ b/internal/lab/soak/leases_test.go
@@ -19,13 +19,13 @@
 	"github.com/rockdoor/rockdoor/platform"
 )
 
-// A short soak failed of "no order without the lease": 26 of 26 orders of one process, under
-// token 1, came "237 ms to 3.7 s after another took the lease", and no other promise was broken.
-// Of 60 starts of two candidates at the same moment, 3 wrote roles=g-3/1 duties=g-3/1 roles=g-1/2:
-// the candidate that then lost the duties had taken the lease of former versions under a higher
-// token first. The check took any lease for that of the duties, and the loser's token 2 for one
-// that had followed the holder's 1.
-func TestTheLoserOfTheDutiesTakesNothingOver(t *testing.T) {
+// A short soak violated "no order without the lease": 26 of 26 orders of one process under token 1
+// came "237 ms to 3.7 s after another took the lease", with no other violation. In 3 of 60
+// simultaneous starts of two candidates, the store received roles=g-3/1 duties=g-3/1 roles=g-1/2:
+// the candidate that then lost the duties had first taken the lease of former versions ("roles"),
+// under a higher token. The check treated every lease as that of the duties, and the loser's token
+// 2 as the successor of the holder's token 1.
+func TestLosingCandidateIsNotCountedAsHolder(t *testing.T) {
 	w, err := newWorld(context.Background(), Options{Dir: t.TempDir(), Bounds: DefaultBounds, Processes: 2})
 	require.NoError(t, err)
 	defer w.close()
@@ -40,23 +40,23 @@
 		}
 		w.store.ServeHTTP(rw, r)
 	})
-	<-looked // and found that nobody has the duties
+	<-looked // the candidate has found that nobody holds the duties
 	holder := startCandidate(t, "gateway-1", w.store.ServeHTTP)
-	require.Eventually(t, func() bool { g, ok := holder.Grant(); return ok && g.Token == 1 }, 10*time.Second, poll)
+	require.Eventually(t, func() bool { g, ok := holder.Grant(); return ok && g.Token == 1 }, 10*time.Second, pollInterval)
 	ordered := time.Now()
 	close(held)
-	require.Eventually(t, func() bool { return formerHolder(t, w) == "gateway-0" }, 10*time.Second, poll)
+	require.Eventually(t, func() bool { return formerHolder(t, w) == "gateway-0" }, 10*time.Second, pollInterval)
 	_, ok := loser.Grant()
 	require.False(t, ok)
-	w.facts.Starts[0], w.facts.Starts[1] = []time.Time{ordered.Add(-time.Minute)}, []time.Time{ordered.Add(-time.Minute)}
+	w.observed.Starts[0], w.observed.Starts[1] = []time.Time{ordered.Add(-time.Minute)}, []time.Time{ordered.Add(-time.Minute)}
 	for n := range 4 {
 		o := &Order{To: partyAPI, From: "gateway-1", Holder: "gateway-1", Token: 1, At: ordered.Add(time.Duration(n) * time.Second)}
-		w.facts.Orders = append(w.facts.Orders, o)
+		w.observed.Orders = append(w.observed.Orders, o)
 	}
-	require.Empty(t, newChecker(w.o, w.facts, time.Now()).authority().Breaches)
+	require.Empty(t, newChecker(w.o, w.observed, time.Now()).ordersUnderLease().Violations)
 }
 
-// formerHolder returns who holds the lease of former versions.
+// formerHolder returns the holder of the lease that former versions used.
 func formerHolder(t *testing.T, w *world) string {
 	server := httptest.NewServer(w.store)
 	defer server.Close()
@@ -69,7 +69,7 @@
 	return rec.Holder
 }
 
-// startCandidate starts a process's authority on a store.
+// startCandidate starts the duty authority of a process on a store.
 func startCandidate(t *testing.T, name string, store http.HandlerFunc) *duty.Authority {
 	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
--- a/internal/lab/soak/limits.go
+++ b/internal/lab/soak/limits.go
@@ -7,115 +7,121 @@
 	"time"
 )
 
-// FaultLimit has an instance name a rate limit in its answers for a time.
+// FaultLimit has an instance announce a rate limit in its responses for a time.
 const FaultLimit Fault = "instance-limits-rate"
 
 const (
-	// limitEvery is the mean time between two instances that begin to limit their rate, limitLeast and
-	// limitMost for how long each does: longer than processes must be undisturbed for bounds to hold.
-	limitEvery = 2 * time.Second
-	limitLeast = 5 * time.Second
-	limitMost  = 12 * time.Second
-	// leastLimit and mostLimit bound the rates, in requests a second: most are below what comes.
-	leastLimit, mostLimit = 0.5, 10.0
-	// limitWindow is the time in which an instance gets at most limitUse times its rate and limitSlack
-	// requests, by the users' rules.
+	// meanLimitInterval is the mean time between two instances that start to announce a limit. Each
+	// does so for minLimitDuration to maxLimitDuration, which exceeds the time for which processes
+	// must be undisturbed before bounds apply.
+	meanLimitInterval = 2 * time.Second
+	minLimitDuration  = 5 * time.Second
+	maxLimitDuration  = 12 * time.Second
+	// minLimitRate and maxLimitRate bound the announced rates, in requests per second. Most of them
+	// are below the rate of incoming requests.
+	minLimitRate, maxLimitRate = 0.5, 10.0
+	// Within limitWindow, an instance may get at most limitFactor times the requests that its rate
+	// allows plus limitSlack, by the users' rules.
 	limitWindow = 4 * time.Second
-	limitUse    = 1.5
+	limitFactor = 1.5
 	limitSlack  = 5
-	// limitTold is how long after it has passed on an answer with the limit a process is held to it.
-	limitTold = 500 * time.Millisecond
+	// limitNoticeTime is the time after which a process that got a response with the limit must
+	// keep it.
+	limitNoticeTime = 500 * time.Millisecond
 )
 
-// limitSeed keeps the draws of limits apart from those of the other faults, which a seed has drawn
-// since before there were limits.
+// limitSeed selects a separate random sequence for rate limits, so that the schedules of the other
+// faults stay the same as before rate limits were added.
 const limitSeed = 1
 
-// limits returns instances that limit their rates for a time.
-func limits(seed uint64, layout *Layout, length time.Duration) []Action {
-	s := &scheduler{rng: rand.New(rand.NewPCG(seed, limitSeed)), layout: layout}
-	return s.often(limitEvery, length, func() Action {
-		a := instanceFault(FaultLimit, 1, leaves)(s)
-		a.For = limitLeast + s.upTo(limitMost-limitLeast)
-		a.Rate = leastLimit + (mostLimit-leastLimit)*s.rng.Float64()
+// rateLimitActions returns the actions by which instances announce rate limits.
+func rateLimitActions(seed uint64, layout *Layout, length time.Duration) []Action {
+	s := &scheduleBuilder{rng: rand.New(rand.NewPCG(seed, limitSeed)), layout: layout}
+	return s.atRandomIntervals(meanLimitInterval, length, func() Action {
+		a := instanceFault(FaultLimit, 1, hasSeveralInstances)(s)
+		a.Duration = minLimitDuration + s.randomDuration(maxLimitDuration-minLimitDuration)
+		a.Rate = minLimitRate + (maxLimitRate-minLimitRate)*s.rng.Float64()
 		return a
 	})
 }
 
-// Limit is a time in which an instance named a rate limit.
+// Limit is a period in which an instance announced a rate limit.
 type Limit struct {
 	Instance string
-	// Rate is in requests a second.
+	// Rate is in requests per second.
 	Rate     float64
 	From, To time.Time
 }
 
-// limit has the present instance name a rate limit for a time, if it names none.
-func (p *place) limit(rate float64, d time.Duration) {
-	e := p.instance()
+// announceRateLimit has the current instance announce a rate limit for a time, unless it has
+// announced one before.
+func (p *place) announceRateLimit(rate float64, d time.Duration) {
+	e := p.currentInstance()
 	l := &Limit{Instance: e.ID, Rate: rate, From: time.Now(), To: time.Now().Add(d)}
 	known := false
-	p.w.facts.note(func() {
-		known = slices.ContainsFunc(p.w.facts.Limits, func(l *Limit) bool { return l.Instance == e.ID })
+	p.w.observed.record(func() {
+		known = slices.ContainsFunc(p.w.observed.Limits, func(l *Limit) bool { return l.Instance == e.ID })
 		if !known {
-			p.w.facts.Limits = append(p.w.facts.Limits, l)
+			p.w.observed.Limits = append(p.w.observed.Limits, l)
 		}
 	})
 	if known {
 		return
 	}
 	e.SetRateLimit(strconv.FormatFloat(rate, 'f', -1, 64))
-	p.w.later(d, func() {
-		p.w.facts.note(func() { l.To = time.Now() })
+	p.w.runAfter(d, func() {
+		p.w.observed.record(func() { l.To = time.Now() })
 		e.SetRateLimit("")
 	})
 }
 
-// rateLimits: all processes together send an instance no more than the rate that it names.
-func (c *checker) rateLimits() Promise {
-	p := Promise{Name: "all processes together keep the rate that an instance names"}
+// rateLimits checks that all processes together send an instance no more than the rate that it
+// announces.
+func (c *checker) rateLimits() Guarantee {
+	p := Guarantee{Name: "all processes together keep the rate limit that an instance announces"}
 	judged := 0
-	for _, l := range c.f.Limits {
-		counted := c.limited(l)
+	for _, l := range c.observed.Limits {
+		counted := c.judgedArrivals(l)
 		judged += len(counted)
-		if l.To.Sub(l.From) > c.o.Bounds.Contact && len(counted) > 0 {
+		if l.To.Sub(l.From) > c.o.Bounds.ContactTime && len(counted) > 0 {
 			p.Cases++
 		}
-		c.limitOf(&p, l, counted)
+		c.checkRateLimit(&p, l, counted)
 	}
 	p.Closest = " (" + strconv.Itoa(judged) + " arrivals judged)"
 	return p
 }
 
-// limited returns the arrivals at an instance that count against its limit, in order: those from
-// undisturbed processes that had passed on an answer with it for a while.
-func (c *checker) limited(l *Limit) []*Arrival {
+// judgedArrivals returns the arrivals at an instance that count towards its limit, in order: those
+// from undisturbed processes that passed on a response with the limit at least limitNoticeTime
+// before.
+func (c *checker) judgedArrivals(l *Limit) []*Arrival {
 	var out []*Arrival
-	told := map[int]time.Time{}
-	for _, a := range c.f.Arrivals {
+	noticedAt := map[int]time.Time{}
+	for _, a := range c.observed.Arrivals {
 		call := c.calls[a.ID]
 		if a.Instance != l.Instance || call == nil || a.At.Before(l.From) || a.At.After(l.To) {
 			continue
 		}
-		if at, ok := told[call.Gateway]; ok && a.At.Sub(at) >= limitTold && c.inTouch(call.Gateway, a.At) {
+		if at, ok := noticedAt[call.Gateway]; ok && a.At.Sub(at) >= limitNoticeTime && c.undisturbed(call.Gateway, a.At) {
 			out = append(out, a)
 		}
-		if at, ok := told[call.Gateway]; a.Limited && (!ok || a.Headed.Before(at)) {
-			told[call.Gateway] = a.Headed
+		if at, ok := noticedAt[call.Gateway]; a.RateLimited && (!ok || a.ResponseStart.Before(at)) {
+			noticedAt[call.Gateway] = a.ResponseStart
 		}
 	}
 	return out
 }
 
-// limitOf looks at each window that ends with an arrival.
-func (c *checker) limitOf(p *Promise, l *Limit, counted []*Arrival) {
-	most := limitUse*l.Rate*limitWindow.Seconds() + limitSlack
+// checkRateLimit checks each window that ends with an arrival.
+func (c *checker) checkRateLimit(p *Guarantee, l *Limit, counted []*Arrival) {
+	most := limitFactor*l.Rate*limitWindow.Seconds() + limitSlack
 	for n, first := 0, 0; n < len(counted); n++ {
 		for counted[n].At.Sub(counted[first].At) >= limitWindow {
 			first++
 		}
-		if got := n - first + 1; float64(got) > most && counted[n].At.Sub(l.From) >= c.o.Bounds.Contact {
-			p.breach(counted[n].ID, "%s: %s named %.1f requests a second and got %d in %s", counted[n].ID, l.Instance, l.Rate, got, limitWindow).signs("instance=" + l.Instance)
+		if got := n - first + 1; float64(got) > most && counted[n].At.Sub(l.From) >= c.o.Bounds.ContactTime {
+			p.addViolation(counted[n].ID, "%s: %s announced a limit of %.1f requests per second and got %d in %s", counted[n].ID, l.Instance, l.Rate, got, limitWindow).addLogPatterns("instance=" + l.Instance)
 			return
 		}
 	}
--- a/internal/lab/soak/link.go
+++ b/internal/lab/soak/link.go
@@ -11,27 +11,28 @@
 )
 
 const (
-	// linkBuffer is how many bytes a link takes up at once, about what a small window holds.
+	// linkBuffer is the number of bytes that a link buffers per direction, about the size of a
+	// small TCP window.
 	linkBuffer = 16 << 10
-	// retransmit is how much later a lost piece arrives: the least timeout after which TCP
-	// sends again on Linux.
-	retransmit = 200 * time.Millisecond
-	// linkDialTimeout bounds the connection to what a link leads to, on the same machine.
+	// retransmitDelay is how much later a lost chunk arrives. It equals the minimum retransmission
+	// timeout of TCP on Linux.
+	retransmitDelay = 200 * time.Millisecond
+	// linkDialTimeout limits the connection to the target, which is on the same machine.
 	linkDialTimeout = 5 * time.Second
 )
 
-// Conditions are the state of a link.
+// Conditions are the network conditions of a link.
 type Conditions struct {
-	// Delay is added to each piece, each way.
+	// Delay is added to each chunk, in each direction.
 	Delay time.Duration
-	// Loss is the share of pieces that are sent again after a timeout.
+	// Loss is the share of chunks that are delivered only after a retransmission.
 	Loss float64
-	// CutThere and CutBack hold up all bytes of one way.
-	CutThere, CutBack bool
+	// BlockForward and BlockBackward hold back all bytes of one direction.
+	BlockForward, BlockBackward bool
 }
 
-// Link is a loopback proxy from one party to another. Bytes that it holds up arrive, in order,
-// when the cut is over, as they do after a partition of a network.
+// Link is a loopback proxy from one party to another. Bytes that it holds back are delivered, in
+// order, when the block ends, as after a network partition.
 type Link struct {
 	// From and To are the names of the parties.
 	From, To string
@@ -43,15 +44,15 @@
 	opened   func(local string)
 
 	mu sync.Mutex
-	// faults are the conditions that were put on and not taken off again.
-	faults  map[*Conditions]bool
+	// active is the set of conditions that were added and not removed again.
+	active  map[*Conditions]bool
 	changed chan struct{}
 	conns   map[net.Conn]bool
 	closed  bool
 }
 
-// NewLink returns a link to the target address, which passes connections on at once. opened
-// is told of the address from which the link connects to its target; it may be nil.
+// NewLink returns a link to the target address, without any conditions. For each connection, opened
+// is called with the local address from which the link connects to its target. It may be nil.
 func NewLink(from, to, target string, opened func(local string)) (*Link, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,32 +60,32 @@
 	}
 	k := &Link{
 		From: from, To: to, Address: l.Addr().String(), target: target, listener: l, opened: opened,
-		faults: map[*Conditions]bool{}, changed: make(chan struct{}), conns: map[net.Conn]bool{},
+		active: map[*Conditions]bool{}, changed: make(chan struct{}), conns: map[net.Conn]bool{},
 	}
 	go k.accept()
 	return k, nil
 }
 
-// Put adds conditions to those that the link has, until off is called.
-func (k *Link) Put(c Conditions) (off func()) {
+// AddConditions applies further conditions to the link until off is called.
+func (k *Link) AddConditions(c Conditions) (off func()) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.faults[&c] = true
-	k.wake()
+	k.active[&c] = true
+	k.notifyPumps()
 	return func() {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		delete(k.faults, &c)
-		k.wake()
+		delete(k.active, &c)
+		k.notifyPumps()
 	}
 }
 
-// conditions returns the worst of all that was put on. The caller holds the lock.
+// conditions returns the worst value of each of the active conditions. Callers hold the lock.
 func (k *Link) conditions() Conditions {
 	var out Conditions
-	for c := range k.faults {
+	for c := range k.active {
 		out.Delay, out.Loss = max(out.Delay, c.Delay), max(out.Loss, c.Loss)
-		out.CutThere, out.CutBack = out.CutThere || c.CutThere, out.CutBack || c.CutBack
+		out.BlockForward, out.BlockBackward = out.BlockForward || c.BlockForward, out.BlockBackward || c.BlockBackward
 	}
 	return out
 }
@@ -94,14 +95,14 @@
 	k.mu.Lock()
 	conns := k.conns
 	k.conns = map[net.Conn]bool{}
-	k.wake()
+	k.notifyPumps()
 	k.mu.Unlock()
 	for c := range conns {
 		abort(c)
 	}
 }
 
-// Close resets all connections and takes no more.
+// Close resets all connections and accepts no more.
 func (k *Link) Close() {
 	k.mu.Lock()
 	k.closed = true
@@ -110,8 +111,8 @@
 	k.Reset()
 }
 
-// wake tells the pumps to look at the conditions again. The caller holds the lock.
-func (k *Link) wake() {
+// notifyPumps makes the pumps evaluate the conditions again. Callers hold the lock.
+func (k *Link) notifyPumps() {
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
@@ -129,13 +130,13 @@
 func (k *Link) serve(in net.Conn) {
 	out, err := net.DialTimeout("tcp", k.target, linkDialTimeout)
 	if err != nil {
-		abort(in) // as a port that nobody listens on
+		abort(in) // like a port with no listener
 		return
 	}
 	if k.opened != nil {
 		k.opened(out.LocalAddr().String())
 	}
-	if !k.keep(in, out) {
+	if !k.track(in, out) {
 		abort(in)
 		abort(out)
 		return
@@ -145,10 +146,10 @@
 	go func() { defer both.Done(); k.pump(out, in, true) }()
 	go func() { defer both.Done(); k.pump(in, out, false) }()
 	both.Wait()
-	k.forget(in, out)
+	k.untrack(in, out)
 }
 
-func (k *Link) keep(conns ...net.Conn) bool {
+func (k *Link) track(conns ...net.Conn) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, c := range conns {
@@ -157,23 +158,23 @@
 	return !k.closed
 }
 
-func (k *Link) forget(conns ...net.Conn) {
+func (k *Link) untrack(conns ...net.Conn) {
 	k.mu.Lock()
 	for _, c := range conns {
 		delete(k.conns, c)
 	}
 	k.mu.Unlock()
 	for _, c := range conns {
-		_ = c.Close() // both ways have ended
+		_ = c.Close() // both directions have ended
 	}
 }
 
-// pump passes one way on until its end.
-func (k *Link) pump(dst, src net.Conn, there bool) {
+// pump forwards one direction of a connection until it ends.
+func (k *Link) pump(dst, src net.Conn, forward bool) {
 	buf := make([]byte, linkBuffer)
 	for {
 		n, err := src.Read(buf)
-		if !k.pass(src, there) {
+		if !k.waitForDelivery(src, forward) {
 			return
 		}
 		if n > 0 {
@@ -194,8 +195,9 @@
 	}
 }
 
-// pass waits until a piece arrives. It reports false if its connection was reset meanwhile.
-func (k *Link) pass(src net.Conn, there bool) bool {
+// waitForDelivery waits until a chunk may be delivered. It returns false if the connection was
+// reset meanwhile.
+func (k *Link) waitForDelivery(src net.Conn, forward bool) bool {
 	for {
 		k.mu.Lock()
 		now, changed, alive := k.conditions(), k.changed, k.conns[src]
@@ -203,13 +205,13 @@
 		if !alive {
 			return false
 		}
-		if there && now.CutThere || !there && now.CutBack {
+		if forward && now.BlockForward || !forward && now.BlockBackward {
 			<-changed
 			continue
 		}
 		wait := now.Delay
 		if now.Loss > 0 && rand.Float64() < now.Loss {
-			wait += retransmit
+			wait += retransmitDelay
 		}
 		if wait > 0 {
 			time.Sleep(wait)
@@ -221,7 +223,7 @@
 // abort resets a connection.
 func abort(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0) // a connection that is gone is reset already
+		_ = t.SetLinger(0) // fails only if the connection is already closed
 	}
 	_ = c.Close()
 }
--- a/internal/lab/soak/link_test.go
+++ b/internal/lab/soak/link_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pair returns both ends of a connection through a link.
-func pair(t *testing.T) (l *Link, near, far net.Conn) {
+// connectedPair returns both ends of a connection through a link.
+func connectedPair(t *testing.T) (l *Link, near, far net.Conn) {
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { target.Close() })
@@ -32,7 +32,7 @@
 	require.NoError(t, err)
 }
 
-func receive(t *testing.T, c net.Conn, want string) {
+func requireReceived(t *testing.T, c net.Conn, want string) {
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(5*time.Second)))
 	got := make([]byte, len(want))
 	_, err := io.ReadFull(c, got)
@@ -40,7 +40,7 @@
 	require.Equal(t, want, string(got))
 }
 
-func silent(t *testing.T, c net.Conn) {
+func requireNoData(t *testing.T, c net.Conn) {
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(150*time.Millisecond)))
 	_, err := c.Read(make([]byte, 1))
 	var timeout net.Error
@@ -48,33 +48,33 @@
 	require.True(t, timeout.Timeout())
 }
 
-// TestCutsHoldUpOneWay checks that a cut of one way leaves the other alone, that two cuts that
-// overlap end with the last one, and that what was held up arrives.
-func TestCutsHoldUpOneWay(t *testing.T) {
-	l, near, far := pair(t)
-	first, second := l.Put(Conditions{CutThere: true}), l.Put(Conditions{CutThere: true})
+// TestBlockedDirection checks that blocking one direction does not affect the other, that two
+// overlapping blocks end with the last one, and that the bytes held back are delivered.
+func TestBlockedDirection(t *testing.T) {
+	l, near, far := connectedPair(t)
+	first, second := l.AddConditions(Conditions{BlockForward: true}), l.AddConditions(Conditions{BlockForward: true})
 	send(t, near, "there")
 	send(t, far, "back")
-	receive(t, near, "back")
-	silent(t, far)
+	requireReceived(t, near, "back")
+	requireNoData(t, far)
 	first()
-	silent(t, far)
+	requireNoData(t, far)
 	second()
-	receive(t, far, "there")
+	requireReceived(t, far, "there")
 }
 
-// TestEndsArePassedOn checks that an end in order and a reset are told apart.
-func TestEndsArePassedOn(t *testing.T) {
-	_, near, far := pair(t)
+// TestCloseAndResetAreForwarded checks that an orderly close and a reset are forwarded as such.
+func TestCloseAndResetAreForwarded(t *testing.T) {
+	_, near, far := connectedPair(t)
 	send(t, far, "last")
 	require.NoError(t, far.Close())
-	receive(t, near, "last")
+	requireReceived(t, near, "last")
 	_, err := near.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
 
-	l, near, far := pair(t)
+	l, near, far := connectedPair(t)
 	send(t, near, "x")
-	receive(t, far, "x") // the link knows the connections now: it had none to reset on a busy machine
+	requireReceived(t, far, "x") // wait until the link tracks the connections; on a busy machine, it had none to reset
 	l.Reset()
 	for _, c := range []net.Conn{near, far} {
 		_, err := c.Read(make([]byte, 1))
@@ -82,15 +82,15 @@
 	}
 }
 
-// TestDelayAndLossAreLate checks that pieces arrive later.
-func TestDelayAndLossAreLate(t *testing.T) {
-	l, near, far := pair(t)
-	for _, c := range []Conditions{{Delay: retransmit}, {Loss: 1}} {
-		off := l.Put(c)
+// TestDelayAndLoss checks that chunks arrive later.
+func TestDelayAndLoss(t *testing.T) {
+	l, near, far := connectedPair(t)
+	for _, c := range []Conditions{{Delay: retransmitDelay}, {Loss: 1}} {
+		off := l.AddConditions(c)
 		begun := time.Now()
 		send(t, near, "x")
-		receive(t, far, "x")
-		require.GreaterOrEqual(t, time.Since(begun), retransmit)
+		requireReceived(t, far, "x")
+		require.GreaterOrEqual(t, time.Since(begun), retransmitDelay)
 		off()
 	}
 }
--- a/internal/lab/soak/memory_test.go
+++ b/internal/lab/soak/memory_test.go
@@ -19,58 +19,60 @@
 )
 
 const (
-	// hostMemory is what the smallest host of the users has, in MB.
+	// hostMemory is the memory of the users' smallest host, in MB.
 	hostMemory = 144
-	// bigAnswer is the size of an answer, slowBuffer what the kernel takes of it for a caller that reads nothing.
-	bigAnswer  = 2 << 20
-	slowBuffer = 4 << 10
-	// slowTime is for how long callers read nothing: until all answers are there, and within their deadline.
-	slowTime = callTimeout - 300*time.Millisecond
+	// largeResponse is the size of a response, slowBuffer the kernel's receive buffer of a client
+	// that reads nothing.
+	largeResponse = 2 << 20
+	slowBuffer    = 4 << 10
+	// slowReadTime is how long clients read nothing: long enough for all responses to arrive, and
+	// within their deadline.
+	slowReadTime = callTimeout - 300*time.Millisecond
 )
 
-// TestMemoryOfSlowCallers has callers ask for large answers and read nothing, and looks from outside at what the
-// process takes at its peak: it stays within its host's memory.
-func TestMemoryOfSlowCallers(t *testing.T) {
-	binary := filepath.Join(t.TempDir(), "rockdoor") // without the race detector, which takes memory itself
+// TestMemoryOfSlowClients has clients request large responses and read nothing, and checks that the
+// peak memory of the process stays within the memory of its host.
+func TestMemoryOfSlowClients(t *testing.T) {
+	binary := filepath.Join(t.TempDir(), "rockdoor") // without the race detector, which needs memory itself
 	out, err := exec.Command("go", "build", "-o", binary, "github.com/rockdoor/rockdoor/cmd/rockdoor").CombinedOutput()
 	require.NoError(t, err, "%s", out)
-	for _, callers := range []int{0, 100, 400} {
-		peak := peakMemory(t, binary, callers)
-		t.Logf("%d slow callers: %.0f MB at the peak", callers, peak)
-		require.Less(t, peak, float64(hostMemory), "%d callers", callers)
+	for _, clients := range []int{0, 100, 400} {
+		peak := peakMemory(t, binary, clients)
+		t.Logf("%d slow clients: %.0f MB at the peak", clients, peak)
+		require.Less(t, peak, float64(hostMemory), "%d clients", clients)
 	}
 }
 
-// peakMemory returns the most memory, in MB, that one process took beside a number of slow callers.
-func peakMemory(t *testing.T, binary string, callers int) float64 {
+// peakMemory returns the peak memory, in MB, of one process with a number of slow clients.
+func peakMemory(t *testing.T, binary string, clients int) float64 {
 	t.Helper()
 	w, err := newWorld(context.Background(), Options{
 		Seed: 1, Processes: 1, Layout: DefaultLayout, Dir: t.TempDir(), Command: []string{binary}, Bounds: DefaultBounds, MemoryMB: hostMemory,
 	})
 	require.NoError(t, err)
 	defer w.close()
-	require.NoError(t, w.connect())
-	(&operator{w: w}).change()
+	require.NoError(t, w.createLinks())
+	(&operator{w: w}).writeNext()
 	for _, p := range w.places {
-		p.now.Padding = bigAnswer
+		p.current.Padding = largeResponse
 	}
 	require.NoError(t, w.startAll())
-	for n := range callers {
-		c := slowCaller(t, w.gates[0], n)
+	for n := range clients {
+		c := slowClient(t, w.gateways[0], n)
 		defer c.Close()
 	}
-	time.Sleep(slowTime)
-	pid, running := w.gates[0].pid()
-	require.True(t, running, "it ended")
-	peak := memoryPeak(t, pid)
+	time.Sleep(slowReadTime)
+	pid, running := w.gateways[0].pid()
+	require.True(t, running, "the process has exited")
+	peak := readPeakMemory(t, pid)
 	w.stopAll()
 	return peak
 }
 
-// slowCaller sends a request and reads nothing of its answer.
-func slowCaller(t *testing.T, g *gateway, number int) net.Conn {
+// slowClient sends a request and does not read the response.
+func slowClient(t *testing.T, g *gateway, number int) net.Conn {
 	t.Helper()
-	conn, err := net.Dial("tcp", g.address(portCallers))
+	conn, err := net.Dial("tcp", g.address(portClients))
 	require.NoError(t, err)
 	require.NoError(t, conn.(*net.TCPConn).SetReadBuffer(slowBuffer))
 	r := fleetcaller.Request{ID: fmt.Sprint("slow-", number), Path: fmt.Sprintf("/%s/%d", Repeat, number), Host: hostName, Key: workspaceKey, Wait: callTimeout}
@@ -79,8 +81,8 @@
 	return conn
 }
 
-// memoryPeak returns the largest resident memory of a process so far, in MB.
-func memoryPeak(t *testing.T, pid int) float64 {
+// readPeakMemory returns the peak resident memory of a process, in MB.
+func readPeakMemory(t *testing.T, pid int) float64 {
 	t.Helper()
 	f, err := os.Open(fmt.Sprintf("/proc/%d/status", pid))
 	require.NoError(t, err)
@@ -93,6 +95,6 @@
 			return kb / 1024
 		}
 	}
-	t.Fatal("no peak in the status")
+	t.Fatal("VmHWM is missing in the process status")
 	return 0
 }
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -10,17 +10,18 @@
 
 const (
 	hostName = "shop.example"
-	// workspaceKey is the key that callers send.
+	// workspaceKey is the API key that clients send.
 	workspaceKey = "soak-key"
 	modelName    = "m"
-	// onlyVersions is for how many versions of the configuration a route of kind Only is there.
+	// onlyVersions is the number of consecutive configuration versions that have a given route of
+	// kind Only.
 	onlyVersions = 2
-	// Timeouts of routes, which callers state as their patience too.
+	// Timeouts of routes. Clients state the same timeouts.
 	callTimeout   = 1500 * time.Millisecond
 	streamTimeout = 4 * time.Second
 )
 
-// operator writes the configuration.
+// operator writes the configurations.
 type operator struct {
 	w *world
 
@@ -28,34 +29,35 @@
 	index int
 }
 
-// versionOf returns the version number of the n-th configuration: numbers rise in uneven steps.
+// versionOf returns the version number of the n-th configuration. The numbers rise in uneven steps.
 func versionOf(index int) int { return index*3 + index%2 }
 
 func onlyPath(index int) string { return fmt.Sprintf("/%s-%d/", Only, index) }
 
-// newest returns the number of the newest configuration that was written.
-func (o *operator) newest() int {
+// newestIndex returns the index of the newest configuration that was written.
+func (o *operator) newestIndex() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.index
 }
 
-// change writes the next configuration.
-func (o *operator) change() {
+// writeNext writes the next configuration.
+func (o *operator) writeNext() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.index++
-	a := Applied{Index: o.index, Sent: time.Now()}
+	a := ConfigWrite{Index: o.index, Sent: time.Now()}
 	o.w.store.Configure(configuration(o.index))
 	a.Done = time.Now()
-	o.w.facts.note(func() { o.w.facts.Applied = append(o.w.facts.Applied, a) })
+	o.w.observed.record(func() { o.w.observed.ConfigWrites = append(o.w.observed.ConfigWrites, a) })
 }
 
 const (
-	// routeLatency and routeGap are targets of routes, by which gateways order requests.
+	// routeLatency and routeGap are the latency targets of routes, by which gateways prioritize
+	// requests.
 	routeLatency = 200 * time.Millisecond
 	routeGap     = 150 * time.Millisecond
-	// Connections to an instance. Those to engines are for streams, which last longer.
+	// Maximum connections to an instance. Engines get more, because streams last longer.
 	plainConnections  = 200
 	engineConnections = 400
 )
@@ -73,8 +75,9 @@
 	return r
 }
 
-// configuration returns the n-th configuration. One service follows another behind the route
-// of marks, and routes come and go, so that what runs shows which version is in force.
+// configuration returns the n-th configuration. The mark route leads to another service in each
+// version, and routes of kind Only exist in a few versions, so that a response shows which version
+// is in force.
 func configuration(index int) fleetstore.Configuration {
 	routes := []fleetstore.Route{
 		plainRoute(string(Once), fleetstore.Unsafe, serviceApp, 2),
@@ -88,9 +91,9 @@
 	}
 	services := []fleetstore.Service{
 		{Name: serviceApp, Connections: plainConnections},
-		{Name: serviceModels, Connections: engineConnections, RoleChange: roleChange},
+		{Name: serviceModels, Connections: engineConnections, RoleChange: roleChangeTime},
 	}
-	for n := range markServices {
+	for n := range markServiceCount {
 		services = append(services, fleetstore.Service{Name: markService(n), Connections: plainConnections})
 	}
 	return fleetstore.Configuration{
--- a/internal/lab/soak/options.go
+++ b/internal/lab/soak/options.go
@@ -1,6 +1,6 @@
-// Package soak runs gateways as real processes between callers and stand-ins of the users'
-// platform, strikes them with faults from outside by a schedule that a seed fixes, and checks
-// what callers, instances and the store saw against what the gateways promise.
+// Package soak runs gateways as real processes between clients and stand-ins for the users'
+// platform. It injects faults on a schedule that is determined by a seed, and checks what clients,
+// instances and the store observed against the guarantees of the gateways.
 package soak
 
 import (
@@ -8,89 +8,96 @@
 	"time"
 )
 
-// Options of a run.
+// Options configure a run.
 type Options struct {
 	Seed      uint64
 	Processes int
-	// Layout is what the deployment consists of; DefaultLayout if it is nil.
+	// Layout is the layout of the deployment; nil selects DefaultLayout.
 	Layout *Layout
-	// Length is how long faults are put in. The start and the end are not part of it.
+	// Length is the time during which faults are injected, without startup and recovery.
 	Length time.Duration
-	// Dir takes the settings and logs of the processes.
+	// Dir is the directory for the settings and logs of the processes.
 	Dir string
-	// Command starts a gateway when "gateway serve --settings FILE" is added; Env is added to
-	// its environment.
+	// Command, followed by "gateway serve --settings FILE", starts a gateway. Env is added to its
+	// environment.
 	Command []string
 	Env     []string
-	// Progress takes a line every few seconds. It may be nil.
+	// Progress receives a line every few seconds. It may be nil.
 	Progress io.Writer
-	// CallersEach is how many callers each process has.
-	CallersEach int
-	// Think is the mean time between an answer and a caller's next request; thinkTime if it is 0.
-	Think time.Duration
-	// MemoryMB is what a host has for its process, 0 for no bound.
+	// ClientsPerProcess is the number of clients for each gateway process.
+	ClientsPerProcess int
+	// ThinkTime is the mean time between a response and the client's next request; 0 selects the
+	// default thinkTime.
+	ThinkTime time.Duration
+	// MemoryMB is the memory that a host has for its process; 0 means unlimited.
 	MemoryMB float64
-	// Bounds are what the deployment demands of the processes.
+	// Bounds are the limits that the deployment requires the processes to keep.
 	Bounds Bounds
-	// Slack is by how much longer than the bounds say a thing may take, for machines that are
-	// busy with other work. What must never happen is not changed by it. 0 is 1.
-	Slack float64
+	// BoundsFactor multiplies the time bounds in which a process must react, for machines that are
+	// busy with other work. Guarantees without a time bound are not affected. 0 means 1.
+	BoundsFactor float64
 }
 
-// complete puts in what was left out.
-func (o *Options) complete() {
+// setDefaults fills in the fields that were left empty.
+func (o *Options) setDefaults() {
 	if o.Layout == nil {
 		o.Layout = DefaultLayout
 	}
-	if o.Think == 0 {
-		o.Think = thinkTime
+	if o.ThinkTime == 0 {
+		o.ThinkTime = thinkTime
 	}
 }
 
-// checked returns the bounds by which a run is judged.
-func (o *Options) checked() Bounds {
+// relaxedBounds returns the bounds that a run is checked against: the time bounds multiplied by
+// BoundsFactor.
+func (o *Options) relaxedBounds() Bounds {
 	b := o.Bounds
-	if o.Slack <= 1 {
+	if o.BoundsFactor <= 1 {
 		return b
 	}
-	for _, d := range []*time.Duration{&b.Apply, &b.Back, &b.BackSlow, &b.Drain, &b.Thaw, &b.Gone, &b.Loss, &b.Late} {
-		*d = time.Duration(o.Slack * float64(*d))
+	for _, d := range []*time.Duration{&b.Apply, &b.StaleConfig, &b.StaleConfigDisturbed, &b.Drain, &b.DelayedDelivery, &b.WorkAfterCancel, &b.UnansweredRead, &b.LateResponse} {
+		*d = time.Duration(o.BoundsFactor * float64(*d))
 	}
 	return b
 }
 
-// Bounds are what a deployment demands, by the users' rules.
+// Bounds are the limits that a deployment requires, from the users' rules.
 type Bounds struct {
-	// Contact is how long a process must have been undisturbed for bounds of time to hold.
-	Contact time.Duration
-	// Apply is in what time a configuration is in force, Back for how long after an effect of
-	// a version was seen an older one may still be met, BackSlow where a process was disturbed.
-	Apply, Back, BackSlow time.Duration
-	// Drain is in what time an instance that leaves gets nothing new.
+	// ContactTime is how long a process must have been undisturbed before time bounds apply to it.
+	ContactTime time.Duration
+	// Apply is the time within which a new configuration must be in force. After an effect of a
+	// version was observed, requests may still meet an older version for StaleConfig, or for
+	// StaleConfigDisturbed at a process that was disturbed.
+	Apply, StaleConfig, StaleConfigDisturbed time.Duration
+	// Drain is the time after which an instance that was withdrawn must get no new work.
 	Drain time.Duration
-	// Grace is the time between SIGTERM and SIGKILL, Notice that in which the balancer notices.
+	// Grace is the time between SIGTERM and SIGKILL. Notice is the part of it in which the balancer
+	// must notice that the process is stopping.
 	Grace, Notice time.Duration
-	// Lease must pass between orders of two holders, Thaw is for how long after a freeze or a
-	// cut what was held up may arrive.
-	Lease, Thaw time.Duration
-	// RetryRatio, RetrySlack and RetryWindow bound the arrivals beyond the first.
+	// Lease is the time that must pass between orders of two different holders. DelayedDelivery is
+	// how long after the end of a freeze or a network partition delayed messages may still arrive.
+	Lease, DelayedDelivery time.Duration
+	// RetryRatio, RetrySlack and RetryWindow define the retry budget: the arrivals of a request
+	// beyond its first.
 	RetryRatio, RetrySlack float64
 	RetryWindow            time.Duration
-	// Gone is how long after a caller has left work for it may still begin or go on.
-	Gone time.Duration
-	// Loss is how long a request may have been read before its connection ends unanswered.
-	Loss time.Duration
-	// Recovery is in what time after the last fault requests are served again.
+	// WorkAfterCancel is how long work for a client may start or continue after the client has
+	// disconnected.
+	WorkAfterCancel time.Duration
+	// UnansweredRead is how long a request may have been read when its connection is closed without
+	// a response at a planned stop.
+	UnansweredRead time.Duration
+	// Recovery is the time after the last fault within which requests must be served again.
 	Recovery time.Duration
-	// Late is how long after its timeout a request may wait for its final answer.
-	Late time.Duration
+	// LateResponse is how long after its timeout a request may wait for its final response.
+	LateResponse time.Duration
 }
 
-// DefaultBounds are those of the users' first deployments, with a retry budget that fits the
+// DefaultBounds are the bounds of the users' first deployments, with a retry budget that fits the
 // load of a soak.
 var DefaultBounds = Bounds{
-	Contact: 3 * time.Second, Apply: 2 * time.Second, Back: 250 * time.Millisecond, BackSlow: 2 * time.Second, Drain: 2 * time.Second,
-	Grace: 8 * time.Second, Notice: 2500 * time.Millisecond, Lease: 3 * time.Second, Thaw: 300 * time.Millisecond,
-	RetryRatio: 0.1, RetrySlack: 20, RetryWindow: 5 * time.Second, Gone: 500 * time.Millisecond, Loss: 200 * time.Millisecond,
-	Recovery: 12 * time.Second, Late: 500 * time.Millisecond,
+	ContactTime: 3 * time.Second, Apply: 2 * time.Second, StaleConfig: 250 * time.Millisecond, StaleConfigDisturbed: 2 * time.Second, Drain: 2 * time.Second,
+	Grace: 8 * time.Second, Notice: 2500 * time.Millisecond, Lease: 3 * time.Second, DelayedDelivery: 300 * time.Millisecond,
+	RetryRatio: 0.1, RetrySlack: 20, RetryWindow: 5 * time.Second, WorkAfterCancel: 500 * time.Millisecond, UnansweredRead: 200 * time.Millisecond,
+	Recovery: 12 * time.Second, LateResponse: 500 * time.Millisecond,
 }
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -13,15 +13,15 @@
 	"github.com/rockdoor/rockdoor/wallclock"
 )
 
-// Ports of a gateway, each of which has an IP number of its own.
+// Ports of a gateway. Each gateway has its own IP address.
 const (
-	portCallers   = 8080
+	portClients   = 8080
 	portReadiness = 8081
 	portMetrics   = 9464
 	portPeers     = 7660
 )
 
-// gateway is a gateway process and those that take its place.
+// gateway is a gateway process. When the process ends, a new one replaces it under the same name.
 type gateway struct {
 	w      *world
 	number int
@@ -29,23 +29,25 @@
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
-	// life counts the starts, ended is closed when the process of this life has ended.
-	life  int
-	ended chan struct{}
-	// why is the signal that ends this life, overdue that it outlived the grace period.
-	why     string
-	overdue bool
-	asked   time.Time
-	// frozen counts the freezes that have not ended.
-	frozen int
-	slack  float64
+	// incarnation counts the starts. ended is closed when the process of this incarnation has
+	// exited.
+	incarnation int
+	ended       chan struct{}
+	// sentSignal is the signal that was sent to end this incarnation. exceededGrace is true if it
+	// had to be killed after the grace period.
+	sentSignal      string
+	exceededGrace   bool
+	stopRequestedAt time.Time
+	// activeFreezes counts the freezes that have not ended.
+	activeFreezes int
+	retrySlack    float64
 }
 
 func newGateway(w *world, number int) *gateway {
 	ended := make(chan struct{})
 	close(ended)
 	return &gateway{
-		w: w, number: number, ip: fmt.Sprintf("%s.%d", w.subnet, number+1), ended: ended, slack: w.o.Bounds.RetrySlack,
+		w: w, number: number, ip: fmt.Sprintf("%s.%d", w.subnet, number+1), ended: ended, retrySlack: w.o.Bounds.RetrySlack,
 	}
 }
 
@@ -56,14 +58,14 @@
 func (g *gateway) clockFile() string       { return filepath.Join(g.w.o.Dir, g.name()+".clock") }
 func gatewayName(number int) string        { return fmt.Sprintf("gateway-%d", number) }
 
-// setClock has the clock of the process, and of those that take its place, be wrong.
+// setClock sets the clock error of the process and of those that replace it.
 func (g *gateway) setClock(by time.Duration) error {
 	next := g.clockFile() + ".next"
 	if err := os.WriteFile(next, []byte(by.String()), 0o600); err != nil {
-		return fmt.Errorf("clock of %s: %w", g.name(), err)
+		return fmt.Errorf("cannot set clock of %s: %w", g.name(), err)
 	}
 	if err := os.Rename(next, g.clockFile()); err != nil {
-		return fmt.Errorf("clock of %s: %w", g.name(), err)
+		return fmt.Errorf("cannot set clock of %s: %w", g.name(), err)
 	}
 	return nil
 }
@@ -79,15 +81,15 @@
   "duties": {"address": %q, "kinds": "metering", "usageWindow": "1s", "usageDue": "4s"},
 }
 `, g.name(), host.Domain, g.w.storeLink(g).Address,
-		g.address(portCallers), g.address(portReadiness), g.address(portMetrics), g.address(portPeers), host.Weight, g.w.o.MemoryMB,
-		b.Apply, b.Contact, b.Drain, b.Grace, b.Notice, b.Lease, b.RetryRatio, g.slack, b.RetryWindow, g.w.apiLink(g).Address)
+		g.address(portClients), g.address(portReadiness), g.address(portMetrics), g.address(portPeers), host.Weight, g.w.o.MemoryMB,
+		b.Apply, b.ContactTime, b.Drain, b.Grace, b.Notice, b.Lease, b.RetryRatio, g.retrySlack, b.RetryWindow, g.w.apiLink(g).Address)
 	if err := os.WriteFile(g.settingsFile(), []byte(text), 0o600); err != nil {
-		return fmt.Errorf("settings of %s: %w", g.name(), err)
+		return fmt.Errorf("cannot write settings of %s: %w", g.name(), err)
 	}
 	return nil
 }
 
-// start begins a new life if the one before has ended.
+// start starts a new incarnation if the previous one has exited.
 func (g *gateway) start() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -96,7 +98,7 @@
 	}
 	log, err := os.OpenFile(g.logFile(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return fmt.Errorf("log of %s: %w", g.name(), err)
+		return fmt.Errorf("cannot open log of %s: %w", g.name(), err)
 	}
 	defer log.Close()
 	args := append(append([]string{}, g.w.o.Command[1:]...), "gateway", "serve", "--settings", g.settingsFile())
@@ -104,18 +106,18 @@
 	cmd.Env = append(append(os.Environ(), g.w.o.Env...), wallclock.FileVariable+"="+g.clockFile())
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("%s does not start: %w", g.name(), err)
+		return fmt.Errorf("cannot start %s: %w", g.name(), err)
 	}
-	g.cmd, g.life, g.ended, g.why, g.overdue, g.frozen = cmd, g.life+1, make(chan struct{}), "", false, 0
-	life := g.life
-	g.w.facts.note(func() { g.w.facts.Starts[g.number] = append(g.w.facts.Starts[g.number], time.Now()) })
-	go g.await(cmd, life, g.ended)
+	g.cmd, g.incarnation, g.ended, g.sentSignal, g.exceededGrace, g.activeFreezes = cmd, g.incarnation+1, make(chan struct{}), "", false, 0
+	incarnation := g.incarnation
+	g.w.observed.record(func() { g.w.observed.Starts[g.number] = append(g.w.observed.Starts[g.number], time.Now()) })
+	go g.waitForExit(cmd, incarnation, g.ended)
 	return nil
 }
 
-func (g *gateway) await(cmd *exec.Cmd, life int, ended chan struct{}) {
+func (g *gateway) waitForExit(cmd *exec.Cmd, incarnation int, ended chan struct{}) {
 	err := cmd.Wait()
-	e := Exit{Gateway: g.number, Life: life, At: time.Now()}
+	e := Exit{Gateway: g.number, Incarnation: incarnation, At: time.Now()}
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
 		e.Code = exit.ExitCode()
@@ -124,20 +126,20 @@
 		}
 	}
 	g.mu.Lock()
-	e.Why, e.Overdue, e.Asked = g.why, g.overdue, g.asked
+	e.SentSignal, e.ExceededGrace, e.StopRequestedAt = g.sentSignal, g.exceededGrace, g.stopRequestedAt
 	close(ended)
 	g.mu.Unlock()
-	g.w.facts.note(func() { g.w.facts.Exits = append(g.w.facts.Exits, e) })
-	if e.Why == "" {
-		g.w.event("%s ended by itself with code %d %s", g.name(), e.Code, e.Signal)
-		g.w.later(startAgain, func() { g.w.fail(g.start()) })
+	g.w.observed.record(func() { g.w.observed.Exits = append(g.w.observed.Exits, e) })
+	if e.SentSignal == "" {
+		g.w.logEvent("%s exited on its own with code %d %s", g.name(), e.Code, e.Signal)
+		g.w.runAfter(restartDelay, func() { g.w.recordFailure(g.start()) })
 	}
 }
 
-// startAgain is how long after its end a process is started again that nobody told to end.
-const startAgain = 500 * time.Millisecond
+// restartDelay is the time after which a process that exited on its own is started again.
+const restartDelay = 500 * time.Millisecond
 
-// running reports whether the process of this life has not ended. The caller holds the lock.
+// running reports whether the process of this incarnation is running. Callers hold the lock.
 func (g *gateway) running() bool {
 	select {
 	case <-g.ended:
@@ -147,14 +149,14 @@
 	}
 }
 
-// state returns the number of the life, and whether it is running and has not been told to end.
-func (g *gateway) state() (life int, serving bool) {
+// state returns the number of the incarnation, and whether it is running and was not told to end.
+func (g *gateway) state() (incarnation int, serving bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.life, g.running() && g.why == ""
+	return g.incarnation, g.running() && g.sentSignal == ""
 }
 
-// pid returns the id of the process of this life.
+// pid returns the process ID of this incarnation.
 func (g *gateway) pid() (pid int, running bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -164,76 +166,77 @@
 	return g.cmd.Process.Pid, true
 }
 
-// done returns what is closed when the present life has ended.
+// done returns a channel that is closed when the current incarnation has exited.
 func (g *gateway) done() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.ended
 }
 
-// signal sends a signal to the process of this life, by its id.
+// signal sends a signal to the process of this incarnation. Callers hold the lock.
 func (g *gateway) signal(s syscall.Signal) {
 	if !g.running() {
 		return
 	}
 	if err := g.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		g.w.fail(fmt.Errorf("signal %s to %s: %w", s, g.name(), err))
+		g.w.recordFailure(fmt.Errorf("signal %s to %s: %w", s, g.name(), err))
 	}
 }
 
-// kill ends the process at once.
+// kill ends the process with SIGKILL.
 func (g *gateway) kill() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.running() {
-		g.why = "SIGKILL"
+		g.sentSignal = "SIGKILL"
 	}
 	g.signal(syscall.SIGKILL)
 }
 
-// stop asks the process to end, and ends it after the grace period.
+// stop ends the process with SIGTERM, and with SIGKILL after the grace period.
 func (g *gateway) stop() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.running() || g.why != "" {
+	if !g.running() || g.sentSignal != "" {
 		return
 	}
-	g.why, g.asked = "SIGTERM", time.Now()
+	g.sentSignal, g.stopRequestedAt = "SIGTERM", time.Now()
 	g.signal(syscall.SIGTERM)
 	ended := g.ended
-	g.w.later(g.w.o.Bounds.Grace, func() {
+	g.w.runAfter(g.w.o.Bounds.Grace, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if g.ended == ended && g.running() {
-			g.overdue = true
+			g.exceededGrace = true
 			g.signal(syscall.SIGKILL)
 		}
 	})
 }
 
-// freeze stops the process for a time. Freezes that overlap end with the last one.
+// freeze suspends the process for a time. Overlapping freezes end with the last one.
 func (g *gateway) freeze(length time.Duration, d *Disturbance) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.frozen++
-	life := g.life
+	g.activeFreezes++
+	incarnation := g.incarnation
 	g.signal(syscall.SIGSTOP)
-	g.w.until(length, d, func() {
+	g.w.endAfter(length, d, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if g.life != life {
+		if g.incarnation != incarnation {
 			return
 		}
-		if g.frozen--; g.frozen == 0 {
+		if g.activeFreezes--; g.activeFreezes == 0 {
 			g.signal(syscall.SIGCONT)
 		}
 	})
 }
 
-// reload has the process read settings with another slack that is no larger than the bound.
+// reload writes settings with another retry slack, which is at most the one in the bounds, and has
+// the process read them.
 func (g *gateway) reload(slack float64) error {
 	g.mu.Lock()
-	g.slack = slack
+	g.retrySlack = slack
 	g.mu.Unlock()
 	if err := g.writeSettings(); err != nil {
 		return err
--- a/internal/lab/soak/report.go
+++ b/internal/lab/soak/report.go
@@ -11,59 +11,60 @@
 	"time"
 )
 
-// mostShown is how many breaches of a promise are shown.
-const mostShown = 5
+// maxShownViolations is the number of violations shown for a guarantee.
+const maxShownViolations = 5
 
-// Breach is one case in which a promise was not kept.
-type Breach struct {
-	// Request is the id of a request for rockdoor trace, empty if it concerns none.
+// Violation is one case in which a guarantee was not kept.
+type Violation struct {
+	// Request is the ID of the request, for rockdoor trace; empty if the violation is not about a
+	// request.
 	Request string
 	What    string
-	// Signs are what the lines of the processes' logs hold that tell of it, besides the request.
-	Signs []string
+	// LogPatterns are substrings of log lines that belong to the violation, besides the request ID.
+	LogPatterns []string
 }
 
-// Promise is what was checked, on how many cases, with those that broke it.
-type Promise struct {
-	Name     string
-	Cases    int
-	Breaches []Breach
-	// Least is how many cases there must be for the run to say something of the promise.
-	Least int
-	// Closest says how near the closest case came to its bound, where that can be said.
+// Guarantee is the result of one check: the number of cases examined and the violations found.
+type Guarantee struct {
+	Name       string
+	Cases      int
+	Violations []Violation
+	// MinCases is the number of cases needed for the result to be conclusive.
+	MinCases int
+	// Closest describes how close the worst case came to its bound, for checks that can tell.
 	Closest string
 }
 
-// Report tells what a run was and found.
+// Report summarizes a run and its results.
 type Report struct {
-	Seed      uint64
-	Processes int
-	Length    time.Duration
-	Dir       string
-	Calls     int
-	Answers   map[string]int
-	Arrivals  int
-	Faults    map[Fault]int
-	Promises  []Promise
-	// Served is the share of requests after the recovery that were answered whole.
-	Served float64
+	Seed       uint64
+	Processes  int
+	Length     time.Duration
+	Dir        string
+	Calls      int
+	Outcomes   map[string]int
+	Arrivals   int
+	Faults     map[Fault]int
+	Guarantees []Guarantee
+	// ServedShare is the share of requests after the recovery that got a complete response.
+	ServedShare float64
 }
 
-// Broken returns the promises that were not kept.
-func (r *Report) Broken() []Promise {
-	var out []Promise
-	for _, p := range r.Promises {
-		if len(p.Breaches) > 0 {
+// Broken returns the guarantees that were violated.
+func (r *Report) Broken() []Guarantee {
+	var out []Guarantee
+	for _, p := range r.Guarantees {
+		if len(p.Violations) > 0 {
 			out = append(out, p)
 		}
 	}
 	return out
 }
 
-// unproved returns how many promises had too few cases.
-func (r *Report) unproved() (n int) {
-	for _, p := range r.Promises {
-		if p.Cases < p.Least {
+// tooFewCases returns the number of guarantees with too few cases.
+func (r *Report) tooFewCases() (n int) {
+	for _, p := range r.Guarantees {
+		if p.Cases < p.MinCases {
 			n++
 		}
 	}
@@ -73,13 +74,13 @@
 // Write writes the report as text.
 func (r *Report) Write(w io.Writer) {
 	fmt.Fprintf(w, "seed %d: %d processes, faults for %s, %d requests, %d arrivals at instances\n", r.Seed, r.Processes, r.Length, r.Calls, r.Arrivals)
-	fmt.Fprintf(w, "answers: %s\n", counts(r.Answers))
+	fmt.Fprintf(w, "responses: %s\n", counts(r.Outcomes))
 	fmt.Fprintf(w, "faults: %s\n", counts(r.Faults))
-	for _, p := range r.Promises {
+	for _, p := range r.Guarantees {
 		fmt.Fprintf(w, "%-9s %8d cases  %s%s\n", verdict(p), p.Cases, p.Name, p.Closest)
-		for n, b := range p.Breaches {
-			if n == mostShown {
-				fmt.Fprintf(w, "          and %d more\n", len(p.Breaches)-n)
+		for n, b := range p.Violations {
+			if n == maxShownViolations {
+				fmt.Fprintf(w, "          and %d more\n", len(p.Violations)-n)
 				break
 			}
 			fmt.Fprintf(w, "          %s\n", b.What)
@@ -89,19 +90,19 @@
 			b.writeLog(w, r.Dir)
 		}
 	}
-	fmt.Fprintf(w, "after the last fault %.0f%% of the requests were answered whole\n", 100*r.Served)
+	fmt.Fprintf(w, "after the last fault %.0f%% of the requests got a complete response\n", 100*r.ServedShare)
 	if len(r.Broken()) == 0 {
-		fmt.Fprintf(w, "seed %d: all promises kept, %d of them with too few cases to prove anything\n", r.Seed, r.unproved())
+		fmt.Fprintf(w, "seed %d: all guarantees kept, %d of them with too few cases to be conclusive\n", r.Seed, r.tooFewCases())
 		return
 	}
 	fmt.Fprintf(w, "seed %d: BROKEN, logs are in %s\n", r.Seed, r.Dir)
 }
 
-func verdict(p Promise) string {
+func verdict(p Guarantee) string {
 	switch {
-	case len(p.Breaches) > 0:
+	case len(p.Violations) > 0:
 		return "BROKEN"
-	case p.Cases < p.Least:
+	case p.Cases < p.MinCases:
 		return "unproved"
 	}
 	return "kept"
@@ -116,38 +117,38 @@
 }
 
 const (
-	// mostLines is how many lines of the logs are shown of a breach, the last ones, and lineLength how
-	// much of each.
-	mostLines  = 12
-	lineLength = 400
+	// At most maxLogLines log lines are shown for a violation, the last ones, each cut off after
+	// maxLogLineLength bytes.
+	maxLogLines      = 12
+	maxLogLineLength = 400
 )
 
-// writeLog writes what the processes' logs say of a breach, since a machine that plays the soak
-// may not be kept.
-func (b *Breach) writeLog(w io.Writer, dir string) {
-	signs := b.Signs
+// writeLog writes the log lines of a violation into the report, because the machine that runs the
+// soak, and the log files on it, may not be kept.
+func (b *Violation) writeLog(w io.Writer, dir string) {
+	patterns := b.LogPatterns
 	if b.Request != "" {
-		signs = append(slices.Clone(signs), "request="+b.Request)
+		patterns = append(slices.Clone(patterns), "request="+b.Request)
 	}
 	files, err := filepath.Glob(filepath.Join(dir, "gateway-*.log"))
-	if err != nil || len(signs) == 0 {
+	if err != nil || len(patterns) == 0 {
 		return // the pattern is a constant
 	}
 	var lines []string
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
-			fmt.Fprintf(w, "          %s cannot be read: %s\n", file, err)
+			fmt.Fprintf(w, "          cannot read %s: %s\n", file, err)
 			continue
 		}
 		for line := range strings.Lines(string(text)) {
-			if slices.ContainsFunc(signs, func(sign string) bool { return strings.Contains(line, sign) }) {
-				lines = append(lines, strings.TrimSpace(line[:min(len(line), lineLength)]))
+			if slices.ContainsFunc(patterns, func(pattern string) bool { return strings.Contains(line, pattern) }) {
+				lines = append(lines, strings.TrimSpace(line[:min(len(line), maxLogLineLength)]))
 			}
 		}
 	}
-	slices.Sort(lines) // they begin with their times
-	for _, line := range lines[max(0, len(lines)-mostLines):] {
+	slices.Sort(lines) // each begins with its time
+	for _, line := range lines[max(0, len(lines)-maxLogLines):] {
 		fmt.Fprintf(w, "          | %s\n", line)
 	}
 }
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -10,24 +10,25 @@
 )
 
 const (
-	// startTimeout bounds the start of all processes: hundreds share a few cores.
+	// startTimeout limits the start of all processes; it allows for hundreds of them sharing a few
+	// cores.
 	startTimeout = 90 * time.Second
-	// warmUp is for how long requests pass before the first fault.
+	// warmUp is how long clients send requests before the first fault.
 	warmUp = 2 * time.Second
-	// calm is for how long requests pass after the recovery.
-	calm = 3 * time.Second
-	// settleTime is how long instances are watched after the last request: an engine may
-	// carry out late what it was sent.
+	// postRecoveryTime is how long clients send requests after the recovery time.
+	postRecoveryTime = 3 * time.Second
+	// settleTime is how long instances are observed after the last request, because an engine may
+	// carry out an order late.
 	settleTime = 2 * time.Second
-	// startGap spreads the starts of processes.
+	// startGap is the delay between the starts of two processes.
 	startGap = 10 * time.Millisecond
-	// progressEvery is how often progress is told.
-	progressEvery = 5 * time.Second
-	poll          = 50 * time.Millisecond
+	// progressInterval is the time between two progress lines.
+	progressInterval = 5 * time.Second
+	pollInterval     = 50 * time.Millisecond
 )
 
-// Run plays the schedule of a seed and checks what was seen. An error says that the soak
-// itself failed.
+// Run executes the schedule of a seed and checks the guarantees. An error means that the soak
+// itself failed, not that a guarantee was violated.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := clearDir(o.Dir); err != nil {
 		return nil, err
@@ -37,21 +38,21 @@
 		return nil, err
 	}
 	defer w.close()
-	if err := w.connect(); err != nil {
+	if err := w.createLinks(); err != nil {
 		return nil, err
 	}
 	op := &operator{w: w}
-	op.change()
+	op.writeNext()
 	if err := w.startAll(); err != nil {
 		return nil, err
 	}
 	w.watchStarvation()
-	stopProgress := w.tellProgress()
-	stopCallers := w.call(op)
+	stopProgress := w.printProgress()
+	stopCallers := w.startClients(op)
 	time.Sleep(warmUp)
 	actions := Schedule(o.Seed, o.Processes, w.o.Layout, o.Length)
-	w.play(op, actions)
-	healed, err := w.heal()
+	w.runSchedule(op, actions)
+	healed, err := w.waitForRecovery()
 	stopCallers()
 	stopProgress()
 	if err != nil {
@@ -59,29 +60,29 @@
 	}
 	time.Sleep(settleTime)
 	w.stopAll()
-	if err := w.failed(); err != nil {
+	if err := w.recordedFailure(); err != nil {
 		return nil, err
 	}
 	return check(w, healed), nil
 }
 
-// clearDir removes what an earlier run left in a directory.
+// clearDir removes the files of an earlier run from a directory.
 func clearDir(dir string) error {
 	old, err := filepath.Glob(filepath.Join(dir, "gateway-*"))
 	if err != nil {
-		return fmt.Errorf("directory %s cannot be listed: %w", dir, err)
+		return fmt.Errorf("cannot list directory %s: %w", dir, err)
 	}
 	for _, file := range old {
 		if err := os.Remove(file); err != nil {
-			return fmt.Errorf("file of an earlier run: %w", err)
+			return fmt.Errorf("cannot remove file of an earlier run: %w", err)
 		}
 	}
 	return nil
 }
 
-// startAll starts all processes and waits until the balancer has them all.
+// startAll starts all processes and waits until the balancer has marked all of them ready.
 func (w *world) startAll() error {
-	for _, g := range w.gates {
+	for _, g := range w.gateways {
 		if err := g.writeSettings(); err != nil {
 			return err
 		}
@@ -90,37 +91,37 @@
 		}
 		time.Sleep(startGap)
 	}
-	w.balance()
-	return w.await("all processes are ready", startTimeout, func() bool { return len(w.readyProcesses()) == len(w.gates) })
+	w.runBalancer()
+	return w.waitFor("all processes are ready", startTimeout, func() bool { return len(w.readyProcesses()) == len(w.gateways) })
 }
 
-func (w *world) await(what string, within time.Duration, cond func() bool) error {
+func (w *world) waitFor(what string, within time.Duration, cond func() bool) error {
 	deadline := time.Now().Add(within)
 	for !cond() {
 		if time.Now().After(deadline) || w.ctx.Err() != nil {
-			return fmt.Errorf("waited %s in vain until %s; the logs are in %s", within, what, w.o.Dir)
+			return fmt.Errorf("waited %s without success until %s; the logs are in %s", within, what, w.o.Dir)
 		}
-		time.Sleep(poll)
+		time.Sleep(pollInterval)
 	}
 	return nil
 }
 
-// call has callers send requests until the returned function is called.
-func (w *world) call(op *operator) (stop func()) {
+// startClients starts the clients, which send requests until the returned function is called.
+func (w *world) startClients(op *operator) (stop func()) {
 	ctx, cancel := context.WithCancel(w.ctx)
 	var all sync.WaitGroup
-	for n := range w.o.CallersEach * w.o.Processes {
+	for n := range w.o.ClientsPerProcess * w.o.Processes {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			newCaller(w, op, n, n%w.o.Processes).run(ctx)
+			newClient(w, op, n, n%w.o.Processes).run(ctx)
 		}()
 	}
 	return func() { cancel(); all.Wait() }
 }
 
-// play carries out the actions at their times.
-func (w *world) play(op *operator, actions []Action) {
+// runSchedule performs the actions at their times.
+func (w *world) runSchedule(op *operator, actions []Action) {
 	begun := time.Now()
 	for _, a := range actions {
 		select {
@@ -128,19 +129,20 @@
 			return
 		case <-time.After(time.Until(begun.Add(a.At))):
 		}
-		w.strike(op, a)
+		w.applyAction(op, a)
 	}
 	time.Sleep(time.Until(begun.Add(w.o.Length)))
 }
 
-// heal waits until all faults have ended, has every process run, and returns when that was so.
-// Requests pass for the time of recovery and a while longer.
-func (w *world) heal() (time.Time, error) {
-	err := w.await("all processes run again", w.o.Bounds.Grace+startTimeout, func() bool {
+// waitForRecovery waits until all faults have ended and every process is running, and returns the
+// time at which that was the case. Clients keep sending requests for the recovery time and
+// postRecoveryTime.
+func (w *world) waitForRecovery() (time.Time, error) {
+	err := w.waitFor("all processes run again", w.o.Bounds.Grace+startTimeout, func() bool {
 		if w.pending.Load() > 0 {
 			return false
 		}
-		for _, g := range w.gates {
+		for _, g := range w.gateways {
 			if _, serving := g.state(); !serving {
 				return false
 			}
@@ -151,22 +153,22 @@
 		return time.Time{}, err
 	}
 	healed := time.Now()
-	time.Sleep(w.o.Bounds.Recovery + calm)
+	time.Sleep(w.o.Bounds.Recovery + postRecoveryTime)
 	return healed, nil
 }
 
-// stopAll asks all processes to end, as at the end of a deployment.
+// stopAll stops all processes gracefully and waits until they have exited.
 func (w *world) stopAll() {
-	for _, g := range w.gates {
+	for _, g := range w.gateways {
 		g.stop()
 	}
-	for _, g := range w.gates {
+	for _, g := range w.gateways {
 		<-g.done()
 	}
 }
 
-// tellProgress prints a line now and then until the returned function is called.
-func (w *world) tellProgress() (stop func()) {
+// printProgress prints progress lines until the returned function is called.
+func (w *world) printProgress() (stop func()) {
 	if w.o.Progress == nil {
 		return func() {}
 	}
@@ -176,14 +178,14 @@
 			select {
 			case <-done:
 				return
-			case <-time.After(progressEvery):
+			case <-time.After(progressInterval):
 			}
-			w.facts.mu.Lock()
-			faults, exits := len(w.facts.Disturbances), len(w.facts.Exits)
-			calls, arrivals := len(w.facts.Calls), len(w.facts.Arrivals)
-			w.facts.mu.Unlock()
+			w.observed.mu.Lock()
+			faults, exits := len(w.observed.Disturbances), len(w.observed.Exits)
+			calls, arrivals := len(w.observed.Calls), len(w.observed.Arrivals)
+			w.observed.mu.Unlock()
 			fmt.Fprintf(w.o.Progress, "%4.0f s: %d faults and changes, %d processes ended, %d ready of %d, %d requests, %d arrivals at instances\n",
-				time.Since(begun).Seconds(), faults, exits, len(w.readyProcesses()), len(w.gates), calls, arrivals)
+				time.Since(begun).Seconds(), faults, exits, len(w.readyProcesses()), len(w.gateways), calls, arrivals)
 		}
 	}()
 	return func() { close(done) }
--- a/internal/lab/soak/schedule.go
+++ b/internal/lab/soak/schedule.go
@@ -8,39 +8,39 @@
 	"time"
 )
 
-// Fault is a kind of fault or change from outside.
+// Fault is a kind of fault, or of planned change, that the soak injects.
 type Fault string
 
-// Faults of processes.
+// Faults of gateway processes.
 const (
-	FaultFreeze Fault = "freeze"
-	FaultKill   Fault = "kill"
-	FaultStop   Fault = "stop"
-	FaultReload Fault = "reload"
-	FaultClock  Fault = "clock"
+	FaultFreeze Fault = "freeze" // SIGSTOP, and SIGCONT after the duration
+	FaultKill   Fault = "kill"   // SIGKILL
+	FaultStop   Fault = "stop"   // SIGTERM, as at a planned stop
+	FaultReload Fault = "reload" // new settings and SIGHUP
+	FaultClock  Fault = "clock"  // the clock is wrong by ClockOffset
 )
 
-// Faults of links.
+// Faults of network links.
 const (
 	FaultDelay   Fault = "link-delay"
 	FaultLoss    Fault = "link-loss"
-	FaultReset   Fault = "link-reset"
-	FaultOneWay  Fault = "link-one-way"
-	FaultSilence Fault = "link-silence"
+	FaultReset   Fault = "link-reset"   // all connections are reset once
+	FaultOneWay  Fault = "link-one-way" // one direction is blocked
+	FaultSilence Fault = "link-silence" // both directions are blocked
 )
 
 // Faults of the store.
 const (
-	FaultStoreDown   Fault = "store-down"
-	FaultStoreSilent Fault = "store-silent"
-	FaultStoreSlow   Fault = "store-slow"
-	FaultStoreLoses  Fault = "store-loses-answers"
-	FaultStoreLate   Fault = "store-late-writes"
-	FaultStoreDeaf   Fault = "store-deaf-watches"
-	FaultStoreForget Fault = "store-forgets"
-	FaultStoreSome   Fault = "store-turns-some-away"
-	FaultStoreStale  Fault = "store-stale"
-	// FaultStoreRestore has the store come back from an older copy.
+	FaultStoreDown        Fault = "store-down"   // every call gets an error
+	FaultStoreSilent      Fault = "store-silent" // no call gets a response
+	FaultStoreSlow        Fault = "store-slow"
+	FaultStoreLoses       Fault = "store-loses-answers"   // writes are carried out, but their responses are lost
+	FaultStoreLate        Fault = "store-late-writes"     // like FaultStoreLoses, and writes are carried out late
+	FaultStoreDeaf        Fault = "store-deaf-watches"    // watches stay open without reporting changes
+	FaultStoreForget      Fault = "store-forgets"         // the history is dropped, so that watches have to list again
+	FaultStoreRefusesSome Fault = "store-turns-some-away" // the store is down for some processes only
+	FaultStoreStale       Fault = "store-stale"           // reads that accept stale data get old data
+	// FaultStoreRestore restores the store from an older snapshot.
 	FaultStoreRestore Fault = "store-restored"
 )
 
@@ -49,25 +49,25 @@
 	FaultShed       Fault = "instance-sheds"
 	FaultError      Fault = "instance-errors"
 	FaultLoseAnswer Fault = "instance-loses-answers"
-	FaultCut        Fault = "instance-cuts"
-	FaultStray      Fault = "instance-strays"
-	FaultUnsealed   Fault = "instance-unsealed"
-	FaultHang       Fault = "instance-hangs"
-	FaultHangMid    Fault = "instance-hangs-mid-stream"
-	FaultLateOrders Fault = "instance-late-orders"
+	FaultCut        Fault = "instance-cuts"             // streams are truncated in the middle of an event
+	FaultStray      Fault = "instance-strays"           // a response to another request comes first
+	FaultUnsealed   Fault = "instance-unsealed"         // the response has no seal
+	FaultHang       Fault = "instance-hangs"            // requests run without a response
+	FaultHangMid    Fault = "instance-hangs-mid-stream" // streams stop after their first event
+	FaultLateOrders Fault = "instance-late-orders"      // orders get no response and are carried out late
 	FaultCrash      Fault = "instance-crash"
-	FaultDrain      Fault = "instance-drains"
-	FaultRemove     Fault = "instance-removed"
-	FaultReuse      Fault = "instance-address-reused"
+	FaultDrain      Fault = "instance-drains"         // announces that it drains, and ends later
+	FaultRemove     Fault = "instance-removed"        // is deregistered, and ends later
+	FaultReuse      Fault = "instance-address-reused" // two instances end and new ones swap their addresses
 	FaultShedAll    Fault = "service-sheds"
-	FaultShedSome   Fault = "service-sheds-some"
+	FaultShedSome   Fault = "service-sheds-some" // every n-th request of a service is rejected
 	FaultAPI        Fault = "api-loses-answers"
 )
 
-// FaultConfig is a change of the configuration.
+// FaultConfig is a configuration change.
 const FaultConfig Fault = "configuration"
 
-// Parties that the faults of links strike.
+// Parties at the far end of the links that a link fault affects.
 const (
 	partyAny       = ""
 	partyInstances = "instances"
@@ -78,37 +78,38 @@
 type Action struct {
 	At    time.Duration
 	Fault Fault
-	// Gateways are the processes that it strikes, Party is at the other end of a link. With
-	// Holder set, it strikes the process that holds the duties then, if there is one, and with
-	// Watcher one of those that watch the store for the others.
-	Gateways []int
-	Holder   bool
-	Watcher  bool
-	Party    string
-	// Place is that of the instance, Other that of a second one, Service that of all of a
-	// service.
-	Place   int
-	Other   int
-	Service string
-	// Count is how many requests an instance fails, or how many configurations follow each other.
+	// Gateways are the affected processes, Party the far end of the affected links. With
+	// TargetHolder set, the action affects the current duty holder instead of Gateways, if there is
+	// one; with TargetWatcher set, one of the processes that watch the store for the others.
+	Gateways      []int
+	TargetHolder  bool
+	TargetWatcher bool
+	Party         string
+	// Place is the index of the affected instance's place, OtherPlace that of a second one. Service
+	// is set if all instances of a service are affected.
+	Place      int
+	OtherPlace int
+	Service    string
+	// Count is the number of requests that an instance fails, or of configurations written in a
+	// row.
 	Count int
-	// For is how long the fault lasts.
-	For        time.Duration
+	// Duration is how long the fault lasts.
+	Duration   time.Duration
 	Conditions Conditions
-	// Rate is what an instance names as its limit, in requests a second.
+	// Rate is the rate limit that an instance announces, in requests per second.
 	Rate float64
-	// Clock is by how much the clock of a process is wrong.
-	Clock time.Duration
+	// ClockOffset is the error of a process's clock.
+	ClockOffset time.Duration
 }
 
-// String describes the action in a line.
+// String describes the action in one line.
 func (a Action) String() string {
-	text := fmt.Sprintf("%s for %s at %v", a.Fault, a.For, a.Gateways)
+	text := fmt.Sprintf("%s for %s at %v", a.Fault, a.Duration, a.Gateways)
 	if a.Party != "" {
 		text += " to " + a.Party
 	}
 	if len(a.Gateways) == 0 {
-		text = fmt.Sprintf("%s for %s", a.Fault, a.For)
+		text = fmt.Sprintf("%s for %s", a.Fault, a.Duration)
 	}
 	if strings.HasPrefix(string(a.Fault), "instance") {
 		text += fmt.Sprintf(" at place %d, %d times", a.Place, a.Count)
@@ -117,101 +118,103 @@
 }
 
 const (
-	// waveLength is the time in which the faults of a wave begin, pauseLength the most that
-	// passes before the next wave: long enough for processes to be undisturbed, and for
-	// bounds of time to hold, in some pauses.
-	waveLength  = 4 * time.Second
-	pauseLength = 5 * time.Second
-	// leastActions and mostActions are how many faults a wave has.
-	leastActions, mostActions = 5, 12
-	// longestFault is how long a fault lasts at the most.
-	longestFault = 4 * time.Second
-	// configEvery is the mean time between two configurations.
-	configEvery = 1500 * time.Millisecond
-	// stormShare is the share of changes that are a storm of stormSize configurations.
-	stormShare = 0.1
-	stormSize  = 6
-	// herdShare is the share of faults of processes that strike half of them at once.
-	herdShare = 0.1
-	// failures is how many requests an instance fails.
-	failures = 12
-	// holderShare is the share of faults that strike the holder of the duties, for longer:
-	// holderFault is longer than its lease and the pause before the next holder acts.
-	holderShare = 0.3
-	holderFault = 9 * time.Second
-	// seriesShare is the share of faults of a process after which up to seriesMost more strike
-	// the same one, each within seriesGap of the one before.
-	seriesShare = 0.3
-	seriesMost  = 3
-	seriesGap   = 700 * time.Millisecond
-	// worstClock is by how much the clock of a process is wrong at the worst, by the users' rules.
-	worstClock = 5 * time.Second
+	// All faults of a wave begin within waveLength. The pause before the next wave is at most
+	// maxPause: some pauses are then long enough for processes to be undisturbed, so that time
+	// bounds apply to them.
+	waveLength = 4 * time.Second
+	maxPause   = 5 * time.Second
+	// minActions and maxActions bound the number of faults in a wave.
+	minActions, maxActions = 5, 12
+	// maxFaultDuration is the longest duration of an ordinary fault.
+	maxFaultDuration = 4 * time.Second
+	// meanConfigInterval is the mean time between two configuration changes.
+	meanConfigInterval = 1500 * time.Millisecond
+	// configBurstShare is the share of changes that write configBurstSize configurations in a row.
+	configBurstShare = 0.1
+	configBurstSize  = 6
+	// groupFaultShare is the share of process faults that affect half of the processes at once.
+	groupFaultShare = 0.1
+	// maxFailedRequests is the largest number of requests that an instance fault makes fail.
+	maxFailedRequests = 12
+	// holderFaultShare is the share of process and link faults that affect the duty holder.
+	// maxHolderFault exceeds the sum of the lease duration and the handover delay before the next
+	// holder acts.
+	holderFaultShare = 0.3
+	maxHolderFault   = 9 * time.Second
+	// repeatShare is the share of process and link faults that are followed by up to maxRepeats
+	// more process faults at the same process, each at most maxRepeatGap after the one before.
+	repeatShare  = 0.3
+	maxRepeats   = 3
+	maxRepeatGap = 700 * time.Millisecond
+	// maxClockOffset is the largest clock error that the users' rules allow for.
+	maxClockOffset = 5 * time.Second
 )
 
-// weighted is a way to make an action, and how often it is used.
-type weighted struct {
+// weightedAction generates an action; weight is its relative frequency.
+type weightedAction struct {
 	weight int
-	make   func(*scheduler) Action
+	make   func(*scheduleBuilder) Action
 }
 
-// scheduler makes a schedule.
-type scheduler struct {
+// scheduleBuilder generates the schedule of a run.
+type scheduleBuilder struct {
 	rng       *rand.Rand
 	processes int
 	layout    *Layout
 }
 
-// Schedule returns the actions that a seed stands for, in order of their times.
+// Schedule returns the actions for a seed, ordered by time. The same arguments give the same
+// schedule.
 func Schedule(seed uint64, processes int, layout *Layout, length time.Duration) []Action {
-	s := &scheduler{rng: rand.New(rand.NewPCG(seed, 0)), processes: processes, layout: layout}
+	s := &scheduleBuilder{rng: rand.New(rand.NewPCG(seed, 0)), processes: processes, layout: layout}
 	var out []Action
-	for at := time.Duration(0); at < length; at += waveLength + s.upTo(pauseLength) {
-		for range leastActions + s.rng.IntN(mostActions-leastActions+1) {
-			a := s.pick()
-			a.At = at + s.upTo(waveLength)
-			out = append(append(out, a), s.series(a)...)
+	for at := time.Duration(0); at < length; at += waveLength + s.randomDuration(maxPause) {
+		for range minActions + s.rng.IntN(maxActions-minActions+1) {
+			a := s.randomAction()
+			a.At = at + s.randomDuration(waveLength)
+			out = append(append(out, a), s.repeatedFaults(a)...)
 		}
 	}
-	for at := s.upTo(configEvery); at < length; at += s.upTo(2 * configEvery) {
+	for at := s.randomDuration(meanConfigInterval); at < length; at += s.randomDuration(2 * meanConfigInterval) {
 		a := Action{At: at, Fault: FaultConfig, Count: 1}
-		if s.rng.Float64() < stormShare {
-			a.Count = stormSize
+		if s.rng.Float64() < configBurstShare {
+			a.Count = configBurstSize
 		}
 		out = append(out, a)
 	}
-	if layout.grown() {
-		out = slices.DeleteFunc(out, func(a Action) bool { return slices.Contains(storeWide, a.Fault) && a.At > storeWideUntil(length) })
-		out = slices.Concat(out, s.leaves(length), s.watcherFaults(length), s.restores(length), s.roll(length))
+	if layout.isCustom() {
+		out = slices.DeleteFunc(out, func(a Action) bool { return slices.Contains(storeWideFaults, a.Fault) && a.At > storeFaultsEnd(length) })
+		out = slices.Concat(out, s.withdrawals(length), s.watcherFaults(length), s.storeRestores(length), s.rollingRestart(length))
 	}
-	out = append(out, limits(seed, layout, length)...)
+	out = append(out, rateLimitActions(seed, layout, length)...)
 	out = slices.DeleteFunc(out, func(a Action) bool { return a.At >= length })
 	slices.SortStableFunc(out, func(a, b Action) int { return int(a.At - b.At) })
 	return out
 }
 
-// series returns faults that strike the same processes shortly after an action.
-func (s *scheduler) series(a Action) []Action {
+// repeatedFaults returns further faults of the same processes shortly after an action.
+func (s *scheduleBuilder) repeatedFaults(a Action) []Action {
 	var out []Action
-	if len(a.Gateways) == 0 || s.rng.Float64() >= seriesShare {
+	if len(a.Gateways) == 0 || s.rng.Float64() >= repeatShare {
 		return nil
 	}
 	at := a.At
-	for range 1 + s.rng.IntN(seriesMost) {
-		at += s.upTo(seriesGap)
-		next := s.pickFrom(processActions)
-		next.At, next.Gateways, next.Holder = at, a.Gateways, a.Holder
+	for range 1 + s.rng.IntN(maxRepeats) {
+		at += s.randomDuration(maxRepeatGap)
+		next := s.randomActionFrom(processActions)
+		next.At, next.Gateways, next.TargetHolder = at, a.Gateways, a.TargetHolder
 		out = append(out, next)
 	}
 	return out
 }
 
-func (s *scheduler) upTo(most time.Duration) time.Duration {
-	return time.Duration(s.rng.Int64N(int64(most)))
+func (s *scheduleBuilder) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(s.rng.Int64N(int64(limit)))
 }
 
-func (s *scheduler) pick() Action { return s.pickFrom(actions) }
+func (s *scheduleBuilder) randomAction() Action { return s.randomActionFrom(actions) }
 
-func (s *scheduler) pickFrom(from []weighted) Action {
+func (s *scheduleBuilder) randomActionFrom(from []weightedAction) Action {
 	total := 0
 	for _, w := range from {
 		total += w.weight
@@ -225,76 +228,78 @@
 	return Action{}
 }
 
-// some returns one process, seldom half of them.
-func (s *scheduler) some() []int {
+// randomProcesses returns one process, or occasionally half of them.
+func (s *scheduleBuilder) randomProcesses() []int {
 	n := 1
-	if s.rng.Float64() < herdShare {
+	if s.rng.Float64() < groupFaultShare {
 		n = max(1, s.processes/2)
 	}
 	return s.rng.Perm(s.processes)[:n]
 }
 
-// processFault strikes processes.
-func processFault(f Fault, least, most time.Duration) func(*scheduler) Action {
-	return func(s *scheduler) Action {
-		return s.perhapsHolder(Action{Fault: f, Gateways: s.some(), For: least + s.upTo(most-least)})
+// processFault returns a generator of faults of one or several processes.
+func processFault(f Fault, minDuration, maxDuration time.Duration) func(*scheduleBuilder) Action {
+	return func(s *scheduleBuilder) Action {
+		return s.maybeTargetHolder(Action{Fault: f, Gateways: s.randomProcesses(), Duration: minDuration + s.randomDuration(maxDuration-minDuration)})
 	}
 }
 
-// perhapsHolder has some actions strike the holder of the duties, for longer.
-func (s *scheduler) perhapsHolder(a Action) Action {
-	if s.rng.Float64() < holderShare {
-		a.Holder = true
+// maybeTargetHolder redirects a share of the actions to the duty holder, with a longer duration.
+func (s *scheduleBuilder) maybeTargetHolder(a Action) Action {
+	if s.rng.Float64() < holderFaultShare {
+		a.TargetHolder = true
 		if a.Fault != FaultKill && a.Fault != FaultStop {
-			a.For = s.upTo(holderFault)
+			a.Duration = s.randomDuration(maxHolderFault)
 		}
 	}
 	return a
 }
 
-// actions are all ways to make an action.
+// actions are the generators for the waves of faults.
 var actions = slices.Concat(processActions, linkActions, storeActions, instanceActions)
 
-var processActions = []weighted{
-	{6, processFault(FaultFreeze, 100*time.Millisecond, longestFault)},
+var processActions = []weightedAction{
+	{6, processFault(FaultFreeze, 100*time.Millisecond, maxFaultDuration)},
 	{4, processFault(FaultKill, 100*time.Millisecond, 2*time.Second)},
 	{6, processFault(FaultStop, 100*time.Millisecond, 2*time.Second)},
 	{4, processFault(FaultReload, time.Millisecond, time.Second)},
-	{3, func(s *scheduler) Action {
-		a := processFault(FaultClock, time.Millisecond, longestFault)(s)
-		a.Clock = s.upTo(2*worstClock) - worstClock
+	{3, func(s *scheduleBuilder) Action {
+		a := processFault(FaultClock, time.Millisecond, maxFaultDuration)(s)
+		a.ClockOffset = s.randomDuration(2*maxClockOffset) - maxClockOffset
 		return a
 	}},
 }
 
-func linkFault(f Fault, c func(s *scheduler) Conditions) func(*scheduler) Action {
-	return func(s *scheduler) Action {
-		parties := []string{partyAny, partyStore, partyInstances, partyPeers, partyCallers, partyAPI}
-		return s.perhapsHolder(Action{
-			Fault: f, Gateways: s.some(), Party: parties[s.rng.IntN(len(parties))],
-			For: 100*time.Millisecond + s.upTo(longestFault), Conditions: c(s),
+func linkFault(f Fault, c func(s *scheduleBuilder) Conditions) func(*scheduleBuilder) Action {
+	return func(s *scheduleBuilder) Action {
+		parties := []string{partyAny, partyStore, partyInstances, partyPeers, partyClients, partyAPI}
+		return s.maybeTargetHolder(Action{
+			Fault: f, Gateways: s.randomProcesses(), Party: parties[s.rng.IntN(len(parties))],
+			Duration: 100*time.Millisecond + s.randomDuration(maxFaultDuration), Conditions: c(s),
 		})
 	}
 }
 
-var linkActions = []weighted{
-	{2, linkFault(FaultDelay, func(s *scheduler) Conditions { return Conditions{Delay: s.upTo(150 * time.Millisecond)} })},
-	{2, linkFault(FaultLoss, func(s *scheduler) Conditions { return Conditions{Loss: 0.3 * s.rng.Float64()} })},
-	{3, linkFault(FaultReset, func(*scheduler) Conditions { return Conditions{} })},
-	{3, linkFault(FaultOneWay, func(s *scheduler) Conditions {
-		there := s.rng.IntN(2) == 0
-		return Conditions{CutThere: there, CutBack: !there}
+var linkActions = []weightedAction{
+	{2, linkFault(FaultDelay, func(s *scheduleBuilder) Conditions {
+		return Conditions{Delay: s.randomDuration(150 * time.Millisecond)}
 	})},
-	{3, linkFault(FaultSilence, func(*scheduler) Conditions { return Conditions{CutThere: true, CutBack: true} })},
+	{2, linkFault(FaultLoss, func(s *scheduleBuilder) Conditions { return Conditions{Loss: 0.3 * s.rng.Float64()} })},
+	{3, linkFault(FaultReset, func(*scheduleBuilder) Conditions { return Conditions{} })},
+	{3, linkFault(FaultOneWay, func(s *scheduleBuilder) Conditions {
+		forward := s.rng.IntN(2) == 0
+		return Conditions{BlockForward: forward, BlockBackward: !forward}
+	})},
+	{3, linkFault(FaultSilence, func(*scheduleBuilder) Conditions { return Conditions{BlockForward: true, BlockBackward: true} })},
 }
 
-func storeFault(f Fault) func(*scheduler) Action {
-	return func(s *scheduler) Action {
-		return Action{Fault: f, For: 200*time.Millisecond + s.upTo(longestFault)}
+func storeFault(f Fault) func(*scheduleBuilder) Action {
+	return func(s *scheduleBuilder) Action {
+		return Action{Fault: f, Duration: 200*time.Millisecond + s.randomDuration(maxFaultDuration)}
 	}
 }
 
-var storeActions = []weighted{
+var storeActions = []weightedAction{
 	{1, storeFault(FaultStoreDown)},
 	{1, storeFault(FaultStoreSilent)},
 	{1, storeFault(FaultStoreSlow)},
@@ -303,56 +308,56 @@
 	{1, storeFault(FaultStoreDeaf)},
 	{2, storeFault(FaultStoreForget)},
 	{2, storeFault(FaultStoreStale)},
-	{2, func(s *scheduler) Action {
-		a := storeFault(FaultStoreSome)(s)
-		a.Gateways = s.some()
+	{2, func(s *scheduleBuilder) Action {
+		a := storeFault(FaultStoreRefusesSome)(s)
+		a.Gateways = s.randomProcesses()
 		return a
 	}},
 }
 
 func anyService(string) bool { return true }
 
-func hasEvents(service string) bool { return service == serviceModels }
+func streamsResponses(service string) bool { return service == serviceModels }
 
-func hasNoEvents(service string) bool { return service != serviceModels }
+func respondsWhole(service string) bool { return service != serviceModels }
 
-// instanceFault strikes one instance of a service that suits.
-func instanceFault(f Fault, count int, suits func(service string) bool) func(*scheduler) Action {
-	return func(s *scheduler) Action {
+// instanceFault returns a generator of faults of one instance, whose service meets the condition.
+func instanceFault(f Fault, count int, suits func(service string) bool) func(*scheduleBuilder) Action {
+	return func(s *scheduleBuilder) Action {
 		places := s.layout.Places
 		place := s.rng.IntN(len(places))
 		for !suits(places[place].Service) {
 			place = s.rng.IntN(len(places))
 		}
-		return Action{Fault: f, Place: place, Other: s.rng.IntN(len(places)), Count: 1 + s.rng.IntN(count), For: 100*time.Millisecond + s.upTo(longestFault)}
+		return Action{Fault: f, Place: place, OtherPlace: s.rng.IntN(len(places)), Count: 1 + s.rng.IntN(count), Duration: 100*time.Millisecond + s.randomDuration(maxFaultDuration)}
 	}
 }
 
-// serviceFault strikes all instances of a service.
-func serviceFault(f Fault) func(*scheduler) Action {
-	return func(s *scheduler) Action {
+// serviceFault returns a generator of faults of all instances of a service.
+func serviceFault(f Fault) func(*scheduleBuilder) Action {
+	return func(s *scheduleBuilder) Action {
 		services := []string{serviceApp, serviceModels}
-		return Action{Fault: f, Service: services[s.rng.IntN(len(services))], For: time.Second + s.upTo(longestFault)}
+		return Action{Fault: f, Service: services[s.rng.IntN(len(services))], Duration: time.Second + s.randomDuration(maxFaultDuration)}
 	}
 }
 
-var instanceActions = []weighted{
-	{2, instanceFault(FaultShed, failures, anyService)},
-	{2, instanceFault(FaultError, failures, anyService)},
-	{2, instanceFault(FaultLoseAnswer, failures, anyService)},
-	{3, instanceFault(FaultCut, failures, hasEvents)},
-	{2, instanceFault(FaultStray, failures, hasNoEvents)},
-	{2, instanceFault(FaultUnsealed, failures, anyService)},
-	{2, instanceFault(FaultHang, failures, anyService)},
-	{2, instanceFault(FaultHangMid, failures, hasEvents)},
-	{2, instanceFault(FaultLateOrders, 1, hasEvents)},
+var instanceActions = []weightedAction{
+	{2, instanceFault(FaultShed, maxFailedRequests, anyService)},
+	{2, instanceFault(FaultError, maxFailedRequests, anyService)},
+	{2, instanceFault(FaultLoseAnswer, maxFailedRequests, anyService)},
+	{3, instanceFault(FaultCut, maxFailedRequests, streamsResponses)},
+	{2, instanceFault(FaultStray, maxFailedRequests, respondsWhole)},
+	{2, instanceFault(FaultUnsealed, maxFailedRequests, anyService)},
+	{2, instanceFault(FaultHang, maxFailedRequests, anyService)},
+	{2, instanceFault(FaultHangMid, maxFailedRequests, streamsResponses)},
+	{2, instanceFault(FaultLateOrders, 1, streamsResponses)},
 	{3, instanceFault(FaultCrash, 1, anyService)},
 	{4, instanceFault(FaultDrain, 1, anyService)},
 	{2, instanceFault(FaultRemove, 1, anyService)},
 	{2, instanceFault(FaultReuse, 1, anyService)},
 	{2, serviceFault(FaultShedAll)},
 	{4, serviceFault(FaultShedSome)},
-	{1, func(s *scheduler) Action {
-		return Action{Fault: FaultAPI, For: 200*time.Millisecond + s.upTo(longestFault)}
+	{1, func(s *scheduleBuilder) Action {
+		return Action{Fault: FaultAPI, Duration: 200*time.Millisecond + s.randomDuration(maxFaultDuration)}
 	}},
 }
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -12,7 +12,7 @@
 	"github.com/rockdoor/rockdoor/internal/cli"
 )
 
-// childVariable makes the test program become a gateway, so that gateways run under the race
+// childVariable makes the test binary run as a gateway, so that gateways run under the race
 // detector too.
 const childVariable = "ROCKDOOR_SOAK_CHILD"
 
@@ -24,14 +24,14 @@
 }
 
 const (
-	// shortLength and shortProcesses keep the run under a minute with the race detector on.
+	// shortLength and shortProcesses keep the run under a minute with the race detector.
 	shortLength    = 10 * time.Second
 	shortProcesses = 4
-	// shortSlack lets things take longer where several busy processes share the cores.
-	shortSlack = 4
+	// shortBoundsFactor extends the time bounds, because several busy processes share the cores.
+	shortBoundsFactor = 4
 )
 
-// TestSoak plays a short schedule and checks all promises.
+// TestSoak runs a short schedule and checks all guarantees.
 func TestSoak(t *testing.T) {
 	self, err := os.Executable()
 	require.NoError(t, err)
@@ -45,18 +45,18 @@
 		}
 	})
 	r, err := Run(context.Background(), Options{
-		Seed: 4, Processes: shortProcesses, CallersEach: 2, Length: shortLength, Dir: dir, Command: []string{self}, Env: []string{childVariable + "=1"},
-		Bounds: bounds, Slack: shortSlack,
+		Seed: 4, Processes: shortProcesses, ClientsPerProcess: 2, Length: shortLength, Dir: dir, Command: []string{self}, Env: []string{childVariable + "=1"},
+		Bounds: bounds, BoundsFactor: shortBoundsFactor,
 	})
 	require.NoError(t, err)
 	var text strings.Builder
 	r.Write(&text)
 	t.Log(text.String())
 	require.Empty(t, r.Broken())
-	require.NotZero(t, r.Answers["200"])
+	require.NotZero(t, r.Outcomes["200"])
 }
 
-// TestScheduleIsFixedBySeed checks that a seed can be played again.
+// TestScheduleIsFixedBySeed checks that a seed always gives the same schedule.
 func TestScheduleIsFixedBySeed(t *testing.T) {
 	a, b := Schedule(7, 8, DefaultLayout, time.Minute), Schedule(7, 8, DefaultLayout, time.Minute)
 	require.Equal(t, a, b)
--- a/internal/lab/soak/touch.go
+++ b/internal/lab/soak/touch.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// storeWide are the faults that strike the store for all processes.
-var storeWide = []Fault{FaultStoreDown, FaultStoreSilent, FaultStoreSlow, FaultStoreLoses, FaultStoreLate, FaultStoreDeaf, FaultStoreForget, FaultStoreStale, FaultStoreRestore}
+// storeWideFaults are the faults of the store that affect all processes.
+var storeWideFaults = []Fault{FaultStoreDown, FaultStoreSilent, FaultStoreSlow, FaultStoreLoses, FaultStoreLate, FaultStoreDeaf, FaultStoreForget, FaultStoreStale, FaultStoreRestore}
 
-// planned are changes that a process must bear without any grace.
-var planned = []Fault{FaultConfig, FaultReload}
+// plannedChanges do not disturb a process: time bounds apply during them.
+var plannedChanges = []Fault{FaultConfig, FaultReload}
 
-// disturbs reports whether a fault excuses a process from bounds of time.
-func (d *Disturbance) disturbs(gateway int) bool {
+// affects reports whether a fault excuses a process from time bounds.
+func (d *Disturbance) affects(gateway int) bool {
 	switch {
-	case slices.Contains(planned, d.Fault):
+	case slices.Contains(plannedChanges, d.Fault):
 		return false
-	case slices.Contains(storeWide, d.Fault):
+	case slices.Contains(storeWideFaults, d.Fault):
 		return true
 	}
 	return slices.Contains(d.Gateways, gateway)
 }
 
-// disturbed reports whether a process was disturbed at some time between two, by a fault that
-// counts.
-func (f *Facts) disturbed(gateway int, from, to time.Time, counts func(*Disturbance) bool) bool {
+// wasDisturbed reports whether a process was disturbed between two times by a fault for which
+// counts returns true.
+func (f *Observations) wasDisturbed(gateway int, from, to time.Time, counts func(*Disturbance) bool) bool {
 	return slices.ContainsFunc(f.Disturbances, func(d *Disturbance) bool {
-		return d.From.Before(to) && d.To.After(from) && d.disturbs(gateway) && counts(d)
+		return d.From.Before(to) && d.To.After(from) && d.affects(gateway) && counts(d)
 	})
 }
 
 func anyDisturbance(*Disturbance) bool { return true }
 
-// inTouch reports whether a process was undisturbed at a time and for the contact time before
-// it. Only then do bounds of time hold for it.
-func (c *checker) inTouch(gateway int, at time.Time) bool {
-	contact := c.o.Bounds.Contact
-	for _, started := range c.f.Starts[gateway] {
+// undisturbed reports whether a process was undisturbed at a time and during the contact time
+// before it. Time bounds apply to a process only then.
+func (c *checker) undisturbed(gateway int, at time.Time) bool {
+	contact := c.o.Bounds.ContactTime
+	for _, started := range c.observed.Starts[gateway] {
 		if started.Before(at) && started.After(at.Add(-contact)) {
 			return false
 		}
 	}
-	return !c.f.disturbed(gateway, at.Add(-contact), at, anyDisturbance)
+	return !c.observed.wasDisturbed(gateway, at.Add(-contact), at, anyDisturbance)
 }
--- a/internal/lab/soak/world.go
+++ b/internal/lab/soak/world.go
@@ -17,60 +17,59 @@
 )
 
 const (
-	// partyCallers and partyAPI are the names of parties at the ends of links, besides the
-	// processes and the places of instances.
-	partyCallers = "callers"
+	// Names of link parties other than gateway processes and instances.
+	partyClients = "callers"
 	partyAPI     = "api"
 	partyStore   = "store"
-	// balancerInterval is how often the balancer asks whether a process is ready, and
-	// balancerMisses after how many misses it takes it out.
+	// balancerInterval is the time between two readiness checks of a process by the balancer. After
+	// balancerMisses failed checks in a row, the balancer takes the process out of rotation.
 	balancerInterval = time.Second
 	balancerMisses   = 2
 )
 
-// world is everything around the processes, and the processes.
+// world holds the gateway processes and everything around them.
 type world struct {
-	o      Options
-	subnet string
-	facts  *Facts
-	store  *fleetstore.Server
-	api    *fleetapi.Server
-	fronts []*fleetstore.Front
-	places []*place
-	gates  []*gateway
+	o        Options
+	subnet   string
+	observed *Observations
+	store    *fleetstore.Server
+	api      *fleetapi.Server
+	fronts   []*fleetstore.Front
+	places   []*place
+	gateways []*gateway
 
 	ctx    context.Context
 	cancel context.CancelFunc
-	// pending counts what is still to come of the faults that were put in.
+	// pending counts the scheduled steps of injected faults that have not run yet.
 	pending atomic.Int64
 
-	mu      sync.Mutex
-	links   map[[2]string]*Link
-	senders map[string]string // by the address from which a link connects
-	in      []bool            // by number of process, what the balancer believes
-	failure error
-	servers []*http.Server
-	events  *os.File
-	// storeFault counts the faults of the store, so that one does not end a later one.
+	mu         sync.Mutex
+	links      map[[2]string]*Link
+	senders    map[string]string // sending party by the local address of the link's connection
+	inRotation []bool            // by process number: whether the balancer sends it new connections
+	failure    error
+	servers    []*http.Server
+	eventLog   *os.File
+	// storeFault counts the faults of the store, so that the end of one does not clear a later one.
 	storeFault int
 }
 
 func newWorld(ctx context.Context, o Options) (*world, error) {
-	o.complete()
+	o.setDefaults()
 	pid := os.Getpid()
 	w := &world{
-		o: o, subnet: fmt.Sprintf("127.%d.%d", 220+pid%30, pid/30%250), facts: newFacts(), store: fleetstore.New(), api: fleetapi.New(),
-		links: map[[2]string]*Link{}, senders: map[string]string{}, in: make([]bool, o.Processes),
+		o: o, subnet: fmt.Sprintf("127.%d.%d", 220+pid%30, pid/30%250), observed: newObservations(), store: fleetstore.New(), api: fleetapi.New(),
+		links: map[[2]string]*Link{}, senders: map[string]string{}, inRotation: make([]bool, o.Processes),
 	}
 	events, err := os.Create(filepath.Join(o.Dir, "soak.log"))
 	if err != nil {
 		return nil, err
 	}
-	w.events = events
+	w.eventLog = events
 	w.ctx, w.cancel = context.WithCancel(ctx)
-	w.store.Observe(w.storeChanged)
-	if o.Layout.grown() {
-		w.store.SetEra(1) // its schedule has the store come back from older copies
+	w.store.Observe(w.recordLease)
+	if o.Layout.isCustom() {
+		w.store.SetEra(1) // its schedule restores the store from older snapshots
 	}
 	for number, runs := range o.Layout.Places {
 		p, err := newPlace(w, number, runs)
@@ -81,14 +80,14 @@
 	}
 	for n := range o.Processes {
 		g := newGateway(w, n)
-		w.gates = append(w.gates, g)
-		w.fronts = append(w.fronts, w.store.Front(g.name(), w.addressesFor(g)))
+		w.gateways = append(w.gateways, g)
+		w.fronts = append(w.fronts, w.store.Front(g.name(), w.linkAddresses(g)))
 	}
 	return w, nil
 }
 
-// later runs f after a time unless the run has ended.
-func (w *world) later(d time.Duration, f func()) {
+// runAfter runs f after a delay unless the run ends before.
+func (w *world) runAfter(d time.Duration, f func()) {
 	w.pending.Add(1)
 	go func() {
 		defer w.pending.Add(-1)
@@ -100,18 +99,19 @@
 	}()
 }
 
-// event writes a line to the log of what was done from outside.
-func (w *world) event(format string, args ...any) {
+// logEvent writes a line to soak.log, the log of injected faults.
+func (w *world) logEvent(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	line := fmt.Sprintf("ts=%s msg=\"fault put in\" what=%q\n", time.Now().UTC().Format(time.RFC3339Nano), fmt.Sprintf(format, args...))
-	if _, err := w.events.WriteString(line); err != nil && w.failure == nil {
-		w.failure = fmt.Errorf("log of faults: %w", err)
+	line := fmt.Sprintf("ts=%s msg=\"fault injected\" what=%q\n", time.Now().UTC().Format(time.RFC3339Nano), fmt.Sprintf(format, args...))
+	if _, err := w.eventLog.WriteString(line); err != nil && w.failure == nil {
+		w.failure = fmt.Errorf("cannot write the log of faults: %w", err)
 	}
 }
 
-// fail notes a failure of the soak itself, the first one only. A nil error is none.
-func (w *world) fail(err error) {
+// recordFailure records a failure of the soak itself. Only the first failure is kept; nil is
+// ignored.
+func (w *world) recordFailure(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.failure == nil {
@@ -119,22 +119,23 @@
 	}
 }
 
-func (w *world) failed() error {
+func (w *world) recordedFailure() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.failure
 }
 
-// storeChanged notes who holds the duties.
-func (w *world) storeChanged(c fleetstore.Change) {
+// recordLease records a change of the duty holder.
+func (w *world) recordLease(c fleetstore.Change) {
 	holder, token, ok := c.Lease()
 	if !ok {
 		return
 	}
-	w.facts.note(func() { w.facts.Leases = append(w.facts.Leases, Lease{holder, token, time.Now()}) })
+	w.observed.record(func() { w.observed.Leases = append(w.observed.Leases, Lease{holder, token, time.Now()}) })
 }
 
-// link returns the link between two parties, which is made when it is asked for first.
+// link returns the link between two parties. The first call creates it, with the given target
+// address.
 func (w *world) link(from, to, target string) *Link {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -142,7 +143,7 @@
 	if l := w.links[key]; l != nil {
 		return l
 	}
-	l, err := NewLink(from, to, target, func(local string) { w.connected(local, from) })
+	l, err := NewLink(from, to, target, func(local string) { w.recordSender(local, from) })
 	if err != nil {
 		if w.failure == nil {
 			w.failure = fmt.Errorf("link from %s to %s: %w", from, to, err)
@@ -153,20 +154,20 @@
 	return l
 }
 
-func (w *world) connected(local, from string) {
+func (w *world) recordSender(local, from string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.senders[local] = from
 }
 
-// sender returns the party whose link connected from an address.
+// sender returns the party whose link connected from a local address.
 func (w *world) sender(address string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.senders[address]
 }
 
-// linksOf returns the links of a process.
+// linksOf returns all links that start or end at a process.
 func (w *world) linksOf(g *gateway) []*Link {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -179,7 +180,7 @@
 	return out
 }
 
-// serve has a stand-in listen and returns its address.
+// serve starts an HTTP server for a stand-in and returns its address.
 func (w *world) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -193,78 +194,78 @@
 	return l.Addr().String(), nil
 }
 
-// connect puts the store and the platform's API before each process.
-func (w *world) connect() error {
+// createLinks connects each process with the store, the platform's API and the clients.
+func (w *world) createLinks() error {
 	api, err := w.serve(http.HandlerFunc(w.serveAPI))
 	if err != nil {
 		return err
 	}
-	for _, g := range w.gates {
+	for _, g := range w.gateways {
 		address, err := w.serve(w.fronts[g.number])
 		if err != nil {
 			return err
 		}
 		w.link(g.name(), partyStore, address)
 		w.link(g.name(), partyAPI, api)
-		w.link(partyCallers, g.name(), g.address(portCallers))
+		w.link(partyClients, g.name(), g.address(portClients))
 	}
-	return w.failed()
+	return w.recordedFailure()
 }
 
-func (w *world) storeLink(g *gateway) *Link   { return w.link(g.name(), partyStore, "") }
-func (w *world) apiLink(g *gateway) *Link     { return w.link(g.name(), partyAPI, "") }
-func (w *world) callersLink(g *gateway) *Link { return w.link(partyCallers, g.name(), "") }
+func (w *world) storeLink(g *gateway) *Link  { return w.link(g.name(), partyStore, "") }
+func (w *world) apiLink(g *gateway) *Link    { return w.link(g.name(), partyAPI, "") }
+func (w *world) clientLink(g *gateway) *Link { return w.link(partyClients, g.name(), "") }
 
-// serveAPI notes the calls that only the holder of the duties makes.
+// serveAPI records the calls to the platform's API, which only the duty holder may make.
 func (w *world) serveAPI(rw http.ResponseWriter, r *http.Request) {
 	in, err := fleetapi.ReadCall(r)
 	o := &Order{To: partyAPI, From: w.sender(r.RemoteAddr), Holder: in.Holder, Token: in.Token, At: in.At}
 	if err != nil {
-		w.event("the API got a call without authority: %s", err) // its token was never granted
+		w.logEvent("the API received a call without authority: %s", err) // its token was never granted
 	}
-	w.facts.note(func() { w.facts.Orders = append(w.facts.Orders, o) })
+	w.observed.record(func() { w.observed.Orders = append(w.observed.Orders, o) })
 	w.api.ServeHTTP(rw, r)
 }
 
-// addressesFor puts the links of a process in the place of the addresses that it learns from
-// the store.
-func (w *world) addressesFor(g *gateway) fleetstore.Addresses {
+// linkAddresses returns the functions that replace the addresses a process reads from the store by
+// those of its links, so that all its traffic passes through them.
+func (w *world) linkAddresses(g *gateway) fleetstore.Addresses {
 	return fleetstore.Addresses{
-		Instance: func(address string) string { return w.instanceLink(g, address) },
+		Instance: func(address string) string { return w.instanceLinkAddress(g, address) },
 		Member:   func(name, address string) string { return w.link(g.name(), name, address).Address },
 	}
 }
 
-// instanceLink returns the address of the link of a process to an instance at an address.
-func (w *world) instanceLink(g *gateway, address string) string {
-	return w.link(g.name(), addressParty(address), address).Address
+// instanceLinkAddress returns the address of the process's link to the instance at an address.
+func (w *world) instanceLinkAddress(g *gateway, address string) string {
+	return w.link(g.name(), instanceParty(address), address).Address
 }
 
-// addressParty is the name of whatever instance runs at an address.
-func addressParty(address string) string { return partyInstances + "-" + address }
+// instanceParty returns the party name for whichever instance runs at an address.
+func instanceParty(address string) string { return partyInstances + "-" + address }
 
-// broke notes that an instance breaks off all that it works on. The caller holds the lock of
-// the facts.
-func (w *world) broke(instance string) {
-	for _, a := range w.facts.Arrivals {
+// markAborted marks all unfinished arrivals at an instance as aborted by it. Callers hold the lock
+// of the observations.
+func (w *world) markAborted(instance string) {
+	for _, a := range w.observed.Arrivals {
 		if a.Instance == instance && a.Ended.IsZero() {
-			a.Broke = true
+			a.Aborted = true
 		}
 	}
 }
 
-// balance asks every process whether it is ready until the run ends.
-func (w *world) balance() {
+// runBalancer checks the readiness of every process until the run ends.
+func (w *world) runBalancer() {
 	client := &http.Client{Timeout: balancerInterval / 2, Transport: &http.Transport{DisableKeepAlives: true}}
-	for _, g := range w.gates {
+	for _, g := range w.gateways {
 		go func() {
 			misses := 0
 			for w.ctx.Err() == nil {
-				if misses++; ready(client, g) {
+				if misses++; isReady(client, g) {
 					misses = 0
 				}
 				w.mu.Lock()
-				w.in[g.number] = misses == 0 || w.in[g.number] && misses < balancerMisses
+				w.inRotation[g.number] = misses == 0 || w.inRotation[g.number] && misses < balancerMisses
 				w.mu.Unlock()
 				time.Sleep(balancerInterval)
 			}
@@ -272,7 +273,7 @@
 	}
 }
 
-func ready(client *http.Client, g *gateway) bool {
+func isReady(client *http.Client, g *gateway) bool {
 	resp, err := client.Get("http://" + g.address(portReadiness) + "/readyz")
 	if err != nil {
 		return false
@@ -281,12 +282,12 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// readyProcesses returns the numbers of those that get new connections.
+// readyProcesses returns the numbers of the processes that get new connections from the balancer.
 func (w *world) readyProcesses() []int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []int
-	for n, in := range w.in {
+	for n, in := range w.inRotation {
 		if in {
 			out = append(out, n)
 		}
@@ -294,12 +295,12 @@
 	return out
 }
 
-// close ends all processes and stand-ins.
+// close kills all processes and shuts down the links and stand-ins.
 func (w *world) close() {
-	for _, g := range w.gates {
+	for _, g := range w.gateways {
 		g.kill()
 	}
-	for _, g := range w.gates {
+	for _, g := range w.gateways {
 		<-g.done()
 	}
 	w.cancel()
@@ -317,5 +318,5 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_ = w.events.Close() // every line has been written
+	_ = w.eventLog.Close() // every line has been written
 }
