--- a/cmd/rockdoor-lab/replay.go
+++ b/cmd/rockdoor-lab/replay.go
@@ -27,22 +27,22 @@
 			&cli.StringSliceFlag{Name: "scenario", Usage: "with --compare: only `SCENARIO`; may be repeated"},
 			&cli.IntFlag{Name: "parallel", Value: 4, Usage: "with --compare: courses to play at a time"},
 		},
-		Action: playLoad,
+		Action: runReplay,
 	}
 }
 
-// playLoad prints the shares of requests that were answered, and in time, by kind.
-func playLoad(c *cli.Context) error {
+// runReplay prints the shares of requests that were answered, and in time, by kind.
+func runReplay(c *cli.Context) error {
 	if c.Int("seeds") <= 0 || c.Int("parallel") <= 0 {
 		return cli.Exit("seeds and parallel must be positive", 2)
 	}
 	if c.Bool("compare") {
-		return compare(c)
+		return compareMechanisms(c)
 	}
 	o := replay.Options{
-		Load: replay.ReadingHeavy, Factor: c.Float64("factor"), Length: c.Duration("length"), Readers: c.Int("readers"), Placers: c.Int("placers"),
+		Load: replay.PrefillHeavy, Factor: c.Float64("factor"), Length: c.Duration("length"), PrefillEngines: c.Int("readers"), Placers: c.Int("placers"),
 	}
-	if o.Factor <= 0 || o.Readers <= 0 || o.Placers <= 0 {
+	if o.Factor <= 0 || o.PrefillEngines <= 0 || o.Placers <= 0 {
 		return cli.Exit("factor, readers and placers must be positive", 2)
 	}
 	sum := map[string]replay.Outcome{}
@@ -59,56 +59,56 @@
 	slices.Sort(names)
 	for _, name := range names {
 		s := sum[name]
-		fmt.Printf("%-8s asked %6d  in time %.3f  answered %.3f\n", name, s.Asked, float64(s.InTime)/float64(s.Asked), float64(s.Answered)/float64(s.Asked))
+		fmt.Printf("%-8s asked %6d  in time %.3f  answered %.3f\n", name, s.Requests, float64(s.InTime)/float64(s.Requests), float64(s.Answered)/float64(s.Requests))
 	}
 	return nil
 }
 
-// compare prints what each mechanism is worth on each scenario.
-func compare(c *cli.Context) error {
-	scenarios, err := chosen(replay.Scenarios(), c.StringSlice("scenario"), func(s replay.Scenario) string { return s.Name })
+// compareMechanisms prints what each mechanism is worth on each scenario.
+func compareMechanisms(c *cli.Context) error {
+	scenarios, err := selectByName(replay.Scenarios(), c.StringSlice("scenario"), func(s replay.Scenario) string { return s.Name })
 	if err != nil {
 		return err
 	}
-	switches, err := chosen(replay.Switches(), c.StringSlice("without"), func(s replay.Switch) string { return s.Name })
+	switches, err := selectByName(replay.Ablations(), c.StringSlice("without"), func(s replay.Ablation) string { return s.Name })
 	if err != nil {
 		return err
 	}
 	w := tabwriter.NewWriter(c.App.Writer, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "scenario\twithout\tworth with\tworth without\tdifference\tstandard error")
 	for _, s := range scenarios {
-		if err := compareOn(c, w, s, switches); err != nil {
+		if err := compareOnScenario(c, w, s, switches); err != nil {
 			return err
 		}
 	}
 	return w.Flush()
 }
 
-func compareOn(c *cli.Context, w io.Writer, s replay.Scenario, switches []replay.Switch) error {
+func compareOnScenario(c *cli.Context, w io.Writer, s replay.Scenario, switches []replay.Ablation) error {
 	seeds, parallel := c.Int("seeds"), c.Int("parallel")
-	with, err := replay.Worths(s.Options, seeds, parallel)
+	with, err := replay.WorthBySeed(s.Options, seeds, parallel)
 	if err != nil {
 		return err
 	}
 	for _, off := range switches {
 		o := s.Options
-		off.Off(&o)
-		without, err := replay.Worths(o, seeds, parallel)
+		off.Disable(&o)
+		without, err := replay.WorthBySeed(o, seeds, parallel)
 		if err != nil {
 			return err
 		}
 		d := replay.Compare(with, without)
-		if d.Same {
+		if d.Identical {
 			fmt.Fprintf(w, "%s\t%s\t%.4f\t%.4f\tthe same outcomes\t\n", s.Name, off.Name, d.With, d.Without)
 			continue
 		}
-		fmt.Fprintf(w, "%s\t%s\t%.4f\t%.4f\t%+.4f\t%.4f\n", s.Name, off.Name, d.With, d.Without, d.Difference, d.Error)
+		fmt.Fprintf(w, "%s\t%s\t%.4f\t%.4f\t%+.4f\t%.4f\n", s.Name, off.Name, d.With, d.Without, d.Difference, d.StandardError)
 	}
 	return nil
 }
 
-// chosen returns the items with the names, all if none is named.
-func chosen[T any](all []T, names []string, name func(T) string) ([]T, error) {
+// selectByName returns the items with the names, all if none is named.
+func selectByName[T any](all []T, names []string, name func(T) string) ([]T, error) {
 	if len(names) == 0 {
 		return all, nil
 	}
--- a/cmd/rockdoor-lab/replay_test.go
+++ b/cmd/rockdoor-lab/replay_test.go
@@ -26,7 +26,7 @@
 	require.Contains(t, lines[2], "the same outcomes")
 }
 
-func TestCompareCommandNamesWhatThereIs(t *testing.T) {
+func TestCompareCommandListsValidNames(t *testing.T) {
 	_, err := runLab("replay", "--compare", "--without", "luck")
 	require.ErrorContains(t, err, `there is no "luck", only apart, `)
 	_, err = runLab("replay", "--compare", "--scenario", "calm")
--- a/internal/lab/replay/compare.go
+++ b/internal/lab/replay/compare.go
@@ -9,40 +9,42 @@
 	"github.com/rockdoor/rockdoor/placement"
 )
 
-// Switch leaves out one mechanism.
-type Switch struct {
-	Name string
-	Off  func(*Options)
+// Ablation disables one mechanism.
+type Ablation struct {
+	Name    string
+	Disable func(*Options)
 }
 
-// calmExchange is how often gateways tell each other of their work if they do not do so
-// more often with prompts in hand.
-const calmExchange = 80 * time.Millisecond
+// idleExchangeInterval is the interval at which gateways exchange their loads when no prompts in
+// flight make them do so more often.
+const idleExchangeInterval = 80 * time.Millisecond
 
-// Switches returns one for each mechanism of placement and for some of what surrounds it.
-func Switches() []Switch {
-	var out []Switch
+// Ablations returns one ablation for each mechanism of placement, and for some of what surrounds
+// placement.
+func Ablations() []Ablation {
+	var out []Ablation
 	for _, m := range placement.Mechanisms() {
-		out = append(out, Switch{string(m), func(o *Options) { o.Policy = o.Policy.Without(m) }})
+		out = append(out, Ablation{string(m), func(o *Options) { o.Policy = o.Policy.Without(m) }})
 	}
 	return append(out,
-		Switch{"patience", func(o *Options) { o.IgnorePatience = true }},
-		Switch{"prompt-digests", func(o *Options) { o.Exchange = calmExchange }},
-		Switch{"cache-lists", func(o *Options) { o.Unknown = true }},
+		Ablation{"patience", func(o *Options) { o.UseStatedTimeout = true }},
+		Ablation{"prompt-digests", func(o *Options) { o.ExchangeInterval = idleExchangeInterval }},
+		Ablation{"cache-lists", func(o *Options) { o.UnknownCaches = true }},
 	)
 }
 
-// Comparison is what a mechanism is worth on a load.
+// Comparison is the effect of a mechanism under a load.
 type Comparison struct {
-	// With and Without are mean worths, Difference the mean over the seeds of the worth
-	// without less that with, Error its standard error.
-	With, Without, Difference, Error float64
-	// Same is true if all worths were the same: the load does not exercise the mechanism.
-	Same bool
+	// With and Without are the mean worths. Difference is the mean over all seeds of the worth
+	// without the mechanism minus that with it, StandardError its standard error.
+	With, Without, Difference, StandardError float64
+	// Identical is true if the worths are equal for each seed, so that the load does not exercise
+	// the mechanism.
+	Identical bool
 }
 
-// Worths plays a load with a number of seeds, some at a time.
-func Worths(o Options, seeds, parallel int) ([]float64, error) {
+// WorthBySeed runs a load with a number of seeds, up to parallel of them at a time.
+func WorthBySeed(o Options, seeds, parallel int) ([]float64, error) {
 	out := make([]float64, seeds)
 	var g errgroup.Group
 	g.SetLimit(parallel)
@@ -57,23 +59,23 @@
 	return out, g.Wait()
 }
 
-// Compare pairs worths by their seeds.
+// Compare compares worths pairwise by seed.
 func Compare(with, without []float64) Comparison {
 	n := float64(len(with))
-	c := Comparison{Same: true}
+	c := Comparison{Identical: true}
 	for i := range with {
 		c.With += with[i] / n
 		c.Without += without[i] / n
-		c.Same = c.Same && with[i] == without[i]
+		c.Identical = c.Identical && with[i] == without[i]
 	}
 	c.Difference = c.Without - c.With
 	squares := 0.0
 	for i := range with {
-		off := without[i] - with[i] - c.Difference
-		squares += off * off
+		deviation := without[i] - with[i] - c.Difference
+		squares += deviation * deviation
 	}
 	if n > 1 {
-		c.Error = math.Sqrt(squares / (n - 1) / n)
+		c.StandardError = math.Sqrt(squares / (n - 1) / n)
 	}
 	return c
 }
--- a/internal/lab/replay/compare_test.go
+++ b/internal/lab/replay/compare_test.go
@@ -9,90 +9,92 @@
 	"github.com/stretchr/testify/require"
 )
 
-// shortened returns a scenario's options with a few seconds of requests and one burst.
-func shortened(t *testing.T, name string) Options {
+// shortScenario returns a scenario's options, shortened to a few seconds of requests and one burst.
+func shortScenario(t *testing.T, name string) Options {
 	for _, s := range Scenarios() {
 		if s.Name == name {
 			s.Options.Length = 4 * time.Second
 			if len(s.Options.Bursts) > 0 {
-				s.Options.Bursts = []Burst{{At: time.Second, For: 2 * time.Second, Factor: s.Options.Bursts[0].Factor}}
+				s.Options.Bursts = []Burst{{At: time.Second, Duration: 2 * time.Second, Factor: s.Options.Bursts[0].Factor}}
 			}
 			return s.Options
 		}
 	}
-	t.Fatal("no scenario ", name)
+	t.Fatal("unknown scenario ", name)
 	return Options{}
 }
 
-func TestCompareGivesTheErrorOfPairedDifferences(t *testing.T) {
+func TestCompareStandardError(t *testing.T) {
 	c := Compare([]float64{0.5, 0.7, 0.9}, []float64{0.4, 0.7, 0.7})
 	require.InDelta(t, 0.7, c.With, 1e-9)
 	require.InDelta(t, 0.6, c.Without, 1e-9)
 	require.InDelta(t, -0.1, c.Difference, 1e-9)
-	require.InDelta(t, 0.0577, c.Error, 1e-4, "deviation of the differences 0.1, over the root of three")
-	require.False(t, c.Same)
-	require.True(t, Compare([]float64{0.5, 0.6}, []float64{0.5, 0.6}).Same)
+	require.InDelta(t, 0.0577, c.StandardError, 1e-4, "standard deviation 0.1 of the differences, divided by the square root of three")
+	require.False(t, c.Identical)
+	require.True(t, Compare([]float64{0.5, 0.6}, []float64{0.5, 0.6}).Identical)
 }
 
-// TestWhatComesDoesNotDependOnDecisions: else courses could not be paired.
-func TestWhatComesDoesNotDependOnDecisions(t *testing.T) {
+// TestArrivalsAreIndependentOfDecisions checks that decisions do not change which requests arrive.
+// Otherwise results could not be compared by seed.
+func TestArrivalsAreIndependentOfDecisions(t *testing.T) {
 	t.Parallel()
 	for _, s := range Scenarios() {
-		o := shortened(t, s.Name)
+		o := shortScenario(t, s.Name)
 		o.Length = 300 * time.Millisecond
 		with := Run(o)
-		require.Positive(t, with.Owed, s.Name)
-		for _, off := range Switches() {
+		require.Positive(t, with.MaxWorth, s.Name)
+		for _, ablation := range Ablations() {
 			one := o
-			off.Off(&one)
+			ablation.Disable(&one)
 			without := Run(one)
-			require.Equal(t, with.Owed, without.Owed, "%s without %s", s.Name, off.Name)
+			require.Equal(t, with.MaxWorth, without.MaxWorth, "%s without %s", s.Name, ablation.Name)
 			for kind := range with.Outcomes {
-				require.Equal(t, with.Outcomes[kind].Asked, without.Outcomes[kind].Asked, "%s without %s", s.Name, off.Name)
+				require.Equal(t, with.Outcomes[kind].Requests, without.Outcomes[kind].Requests, "%s without %s", s.Name, ablation.Name)
 			}
 		}
 	}
 }
 
-// TestSwitchesAreExercised names a load for each mechanism on which it changes the outcome.
-func TestSwitchesAreExercised(t *testing.T) {
+// TestAblationsChangeOutcomes checks that each mechanism changes the outcome under at least one
+// load.
+func TestAblationsChangeOutcomes(t *testing.T) {
 	t.Parallel()
-	load := map[string]string{
+	loads := map[string]string{
 		"breakers": "faults", "penalty": "faults", "slow-runners": "faults", "cache-lists": "restart", "late-in-order": "long-prompts",
 		"patience": "long-prompts", "refuse-hopeless": "long-prompts", "spare-runners": "many-subjects", "outliers": "long-prompts", "near-runner": "many-subjects", "starting-counts": "many-subjects",
 	}
 	played := map[string]Result{}
-	for _, off := range Switches() {
-		if off.Name == "queue-limit" {
-			continue // no load has so few slots
+	for _, ablation := range Ablations() {
+		if ablation.Name == "queue-limit" {
+			continue // no load has few enough slots
 		}
-		name := load[off.Name]
+		name := loads[ablation.Name]
 		if name == "" {
 			name = "long-answers"
 		}
-		o := shortened(t, name)
+		o := shortScenario(t, name)
 		o.Factor = 1.2
 		switch name {
 		case "long-prompts": // its queues take a while to grow
 		case "faults":
-			o.Length = 9 * time.Second // the second runner refuses from the eighth on
+			o.Length = 9 * time.Second // the second mixed engine rejects requests from the eighth second on
 		default:
 			o.Length = 2500 * time.Millisecond
 		}
-		require.True(t, differs(played, name, o, off), "%s without %s", name, off.Name)
+		require.True(t, changesOutcome(played, name, o, ablation), "%s without %s", name, ablation.Name)
 	}
 }
 
-// differs reports whether a switch changes the outcome of a scenario with one of a few seeds.
-// played keeps the outcomes without the switch.
-func differs(played map[string]Result, name string, o Options, off Switch) bool {
+// changesOutcome reports whether an ablation changes the outcome of a scenario with one of a few
+// seeds. played caches the outcomes without the ablation.
+func changesOutcome(played map[string]Result, name string, o Options, ablation Ablation) bool {
 	for o.Seed = range 4 {
 		key := fmt.Sprint(name, o.Seed)
 		if _, ok := played[key]; !ok {
 			played[key] = Run(o)
 		}
 		without := o
-		off.Off(&without)
+		ablation.Disable(&without)
 		if !reflect.DeepEqual(played[key], Run(without)) {
 			return true
 		}
@@ -100,59 +102,61 @@
 	return false
 }
 
-// TestWhatCarriesAShortBurst leaves out the mechanisms that a burst needs most.
-func TestWhatCarriesAShortBurst(t *testing.T) {
+// TestMechanismsNeededInBurst checks that the worth under a short burst is lower without the
+// mechanisms that matter most then.
+func TestMechanismsNeededInBurst(t *testing.T) {
 	t.Parallel()
-	o := shortened(t, "long-answers")
-	with, err := Worths(o, 4, 2)
+	o := shortScenario(t, "long-answers")
+	with, err := WorthBySeed(o, 4, 2)
 	require.NoError(t, err)
-	for _, off := range Switches() {
-		switch off.Name {
+	for _, ablation := range Ablations() {
+		switch ablation.Name {
 		case "late-last", "ranked-queue", "fetch", "apart":
 			without := o
-			off.Off(&without)
-			worths, err := Worths(without, 4, 2)
+			ablation.Disable(&without)
+			worths, err := WorthBySeed(without, 4, 2)
 			require.NoError(t, err)
 			c := Compare(with, worths)
-			t.Logf("%s: %+v", off.Name, c)
-			require.Less(t, c.Difference, -2*c.Error, off.Name)
+			t.Logf("%s: %+v", ablation.Name, c)
+			require.Less(t, c.Difference, -2*c.StandardError, ablation.Name)
 		}
 	}
 }
 
-func TestMemoryDropsTheLeastRecentlyUsed(t *testing.T) {
-	m := newMemory(100)
-	m.read("a", 40, 10)
-	m.read("b", 40, 0)
-	m.read("a", 40, 0)
-	require.True(t, m.keeps("a"))
-	require.True(t, m.keeps("b"))
-	m.read("c", 30, 0)
-	require.False(t, m.keeps("b"), "a was used later")
-	require.True(t, m.keeps("a"))
-	require.True(t, m.keeps("c"))
+func TestCacheEvictsLeastRecentlyUsed(t *testing.T) {
+	m := newPromptCache(100)
+	m.add("a", 40, 10)
+	m.add("b", 40, 0)
+	m.add("a", 40, 0)
+	require.True(t, m.contains("a"))
+	require.True(t, m.contains("b"))
+	m.add("c", 30, 0)
+	require.False(t, m.contains("b"), "a was used more recently")
+	require.True(t, m.contains("a"))
+	require.True(t, m.contains("c"))
 }
 
-// TestAnEngineThatRefusesIsPassedOver: one of two readers refuses all that it gets, and
-// hardly a request is lost to it.
-func TestAnEngineThatRefusesIsPassedOver(t *testing.T) {
-	o := Options{Load: ReadingHeavy, Factor: 0.2, Length: 6 * time.Second, Readers: 4, Placers: 2, Seed: 1}
-	o.Faults = []Fault{{Engine: 0, For: time.Hour}}
+// TestRejectingEngineIsAvoided checks that almost all requests are answered although one prefill
+// engine rejects everything.
+func TestRejectingEngineIsAvoided(t *testing.T) {
+	o := Options{Load: PrefillHeavy, Factor: 0.2, Length: 6 * time.Second, PrefillEngines: 4, Placers: 2, Seed: 1}
+	o.Faults = []Fault{{Engine: 0, Duration: time.Hour}}
 	got := Run(o)
 	for kind, outcome := range got.Outcomes {
-		require.Greater(t, share(outcome.Answered, outcome.Asked), 0.95, kind)
+		require.Greater(t, share(outcome.Answered, outcome.Requests), 0.95, kind)
 	}
 }
 
-// TestHoldingWhatIsNotServedCosts holds a request for a part of its caller's patience.
-func TestHoldingWhatIsNotServedCosts(t *testing.T) {
-	k := Kind{Target: 800 * time.Millisecond, Patience: 2 * time.Second}
+// TestHoldingUnservedRequestsIsCharged checks the penalty for holding a request, by the part of its
+// client timeout that has elapsed.
+func TestHoldingUnservedRequestsIsCharged(t *testing.T) {
+	k := Kind{TargetLatency: 800 * time.Millisecond, ClientTimeout: 2 * time.Second}
 	price := func(held time.Duration) float64 {
 		r := &replay{}
 		q := &request{kind: k, worth: 2, arrived: r.now}
 		r.now = r.now.Add(held)
-		r.held(q)
-		return r.result.Prices
+		r.chargeHolding(q)
+		return r.result.Penalties
 	}
 	require.Zero(t, price(100*time.Millisecond))
 	require.InDelta(t, 1, price(800*time.Millisecond), 1e-9, "half way from 0.1 s to 1.5 s")
--- a/internal/lab/replay/engine.go
+++ b/internal/lab/replay/engine.go
@@ -8,66 +8,71 @@
 	"github.com/rockdoor/rockdoor/placement"
 )
 
-// simEngine reads one prompt at a time and generates for as many requests as it has slots.
+// simEngine simulates an engine that prefills one prompt at a time and decodes as many requests as
+// it has slots.
 type simEngine struct {
 	*fleet.Instance
-	engines Engines
-	memory  *memory
+	profile EngineProfile
+	cache   *promptCache
 	faults  []Fault
-	// busy is true while it reads, waiting are the prompts that it has yet to read.
-	busy    bool
-	waiting []*request
-	// running is how many requests it generates for, queued are those without a slot.
-	running int
-	queued  []*request
+	// prefilling is true while the engine prefills a prompt. pendingPrefills are the prompts that
+	// it has not prefilled yet.
+	prefilling      bool
+	pendingPrefills []*request
+	// decoding is the number of requests that the engine decodes. queuedDecodes are the requests
+	// without a slot.
+	decoding      int
+	queuedDecodes []*request
 }
 
-// take drops the prompts that nobody waits for any more and returns the most urgent of the
-// others, of equal ones the first; nil if there is none. gone is told of what is dropped.
-func (e *simEngine) take(now time.Time, gone func(*request)) *request {
-	e.waiting = slices.DeleteFunc(e.waiting, func(q *request) bool {
-		left := now.After(q.until)
-		if left {
-			gone(q)
+// nextPrefill removes the prompts whose clients have timed out, calling drop for each, and takes
+// the most urgent of the others out of the queue; of equally urgent ones, the first. It returns nil
+// if there is none.
+func (e *simEngine) nextPrefill(now time.Time, drop func(*request)) *request {
+	e.pendingPrefills = slices.DeleteFunc(e.pendingPrefills, func(q *request) bool {
+		expired := now.After(q.deadline)
+		if expired {
+			drop(q)
 		}
-		return left
+		return expired
 	})
-	if len(e.waiting) == 0 {
+	if len(e.pendingPrefills) == 0 {
 		return nil
 	}
-	next := slices.MinFunc(e.waiting, func(a, b *request) int { return a.plan.Rank - b.plan.Rank })
-	e.waiting = slices.DeleteFunc(e.waiting, func(q *request) bool { return q == next })
+	next := slices.MinFunc(e.pendingPrefills, func(a, b *request) int { return a.plan.Rank - b.plan.Rank })
+	e.pendingPrefills = slices.DeleteFunc(e.pendingPrefills, func(q *request) bool { return q == next })
 	return next
 }
 
-// fault returns how many times longer the engine takes at a time after the start, and
-// whether it refuses what it gets.
-func (e *simEngine) fault(at time.Duration) (slow float64, refuses bool) {
-	slow = 1
+// faultAt returns the engine's slowdown factor at a time after the start, and whether it rejects
+// requests.
+func (e *simEngine) faultAt(at time.Duration) (slowdown float64, rejects bool) {
+	slowdown = 1
 	for _, f := range e.faults {
-		if at < f.At || at >= f.At+f.For {
+		if at < f.At || at >= f.At+f.Duration {
 			continue
 		}
-		slow *= max(f.Slow, 1)
-		refuses = refuses || f.Slow == 0
+		slowdown *= max(f.SlowdownFactor, 1)
+		rejects = rejects || f.SlowdownFactor == 0
 	}
-	return slow, refuses
+	return slowdown, rejects
 }
 
-// readTime returns how long an idle engine takes for work.
-func (e Engines) readTime(w placement.Work) time.Duration {
-	ms := float64(w.Tokens)/e.TokensPerMs + e.MsPerMPairs*float64(w.Pairs)/1e6
-	return e.Base + time.Duration(ms*float64(time.Millisecond))
+// prefillTime returns the time that an idle engine takes for prefill work.
+func (e EngineProfile) prefillTime(w placement.Work) time.Duration {
+	ms := float64(w.Tokens)/e.PrefillTokensPerMs + e.MsPerMPairs*float64(w.Pairs)/1e6
+	return e.PrefillBase + time.Duration(ms*float64(time.Millisecond))
 }
 
-// farMove is how many times longer the memory of a prompt takes to another failure domain.
-const farMove = 2
+// crossDomainTransferFactor is how many times longer the transfer of a KV cache takes to another
+// failure domain.
+const crossDomainTransferFactor = 2
 
-// moveTime returns how long tokens take from one engine to another.
-func (e Engines) moveTime(tokens int, from, to *fleet.Instance) time.Duration {
-	d := e.MoveBase + time.Duration(float64(tokens)/e.MovedPerMs*float64(time.Millisecond))
+// transferTime returns the time that the KV cache of tokens takes from one engine to another.
+func (e EngineProfile) transferTime(tokens int, from, to *fleet.Instance) time.Duration {
+	d := e.TransferBase + time.Duration(float64(tokens)/e.TransferTokensPerMs*float64(time.Millisecond))
 	if from.Domain != to.Domain {
-		d *= farMove
+		d *= crossDomainTransferFactor
 	}
 	return d
 }
--- a/internal/lab/replay/load.go
+++ b/internal/lab/replay/load.go
@@ -5,169 +5,173 @@
 	"time"
 )
 
-// Kind is a kind of requests.
+// Kind is a kind of request.
 type Kind struct {
 	Name string
-	// Rank is its urgency, 0 first.
+	// Rank is the urgency; 0 is the most urgent.
 	Rank int
-	// Target is the time within which an answer is in time, Patience how long callers
-	// wait for it to begin.
-	Target, Patience time.Duration
-	PerSecond        float64
-	// Subjects is how many shared parts there are, of Shared tokens each. Own is the mean
-	// of the tokens that belong to one request.
-	Subjects, Shared, Own int
-	// Events is how many an answer has, 0 for one, Gap the longest time between two with
-	// which it is in time, 0 for any.
-	Events int
-	Gap    time.Duration
-	// Worth is that of an answer in time, 0 for 1, LateWorth that of a later one.
+	// TargetLatency is the time within which a response must begin to be in time. ClientTimeout is
+	// how long clients wait for it to begin.
+	TargetLatency, ClientTimeout time.Duration
+	PerSecond                    float64
+	// Prefixes is the number of different prompt prefixes, of PrefixTokens each. OwnTokens is the
+	// mean number of tokens that belong to one request only.
+	Prefixes, PrefixTokens, OwnTokens int
+	// Events is the number of events of a response; 0 means one. TargetGap is the longest time
+	// between two events of a response that is in time; 0 means any.
+	Events    int
+	TargetGap time.Duration
+	// Worth is the value of a response in time; 0 means 1. LateWorth is the value of a late one.
 	Worth, LateWorth float64
-	// Deadline is what requests state in their header, 0 for Patience.
-	Deadline time.Duration
+	// StatedTimeout is the timeout that requests state in their header; 0 means ClientTimeout.
+	StatedTimeout time.Duration
 }
 
-// Burst multiplies the rate of a kind for a while, of all kinds if none is named.
+// Burst multiplies the request rate of a kind for a time; of all kinds if Kind is empty.
 type Burst struct {
-	Kind    string
-	At, For time.Duration
-	Factor  float64
+	Kind         string
+	At, Duration time.Duration
+	Factor       float64
 }
 
-// Fault is trouble with one engine for a while.
+// Fault is a fault of one engine for a time.
 type Fault struct {
-	// Engine is its number, those that read first.
-	Engine  int
-	At, For time.Duration
-	// Slow is how many times longer it takes; 0 means that it refuses all that it gets.
-	Slow float64
+	// Engine is the index of the engine; prefill engines come first.
+	Engine       int
+	At, Duration time.Duration
+	// SlowdownFactor is how many times longer the engine takes; 0 means that it rejects all
+	// requests.
+	SlowdownFactor float64
 }
 
-// Engines says how fast the engines are.
-type Engines struct {
-	// Base is the fixed part of the time to read a prompt, TokensPerMs how many tokens are
-	// read in a ms, and MsPerMPairs how long attention over a million pairs takes, in ms.
-	Base                     time.Duration
-	TokensPerMs, MsPerMPairs float64
-	// Memory is in tokens, Slots is how many requests run at once.
-	Memory, Slots int
-	// Event is the time between two events of an answer.
-	Event time.Duration
-	// MoveBase is the fixed part of the time to move memory, MovedPerMs the tokens that
-	// are moved in a ms.
-	MoveBase   time.Duration
-	MovedPerMs float64
+// EngineProfile is the performance of the simulated engines.
+type EngineProfile struct {
+	// PrefillBase is the fixed part of the prefill time, PrefillTokensPerMs the number of tokens
+	// prefilled per millisecond, and MsPerMPairs the time in milliseconds that attention takes for
+	// a million token pairs.
+	PrefillBase                     time.Duration
+	PrefillTokensPerMs, MsPerMPairs float64
+	// CacheTokens is the size of the KV cache, Slots the number of requests decoded at once.
+	CacheTokens, Slots int
+	// EventInterval is the time between two events of a response.
+	EventInterval time.Duration
+	// TransferBase is the fixed part of the time to transfer a KV cache, TransferTokensPerMs the
+	// number of tokens transferred per millisecond.
+	TransferBase        time.Duration
+	TransferTokensPerMs float64
 }
 
-// slowEngines are the slowest known so far, fastEngines almost the fastest, by their operators'
-// sheets.
+// slowEngines are the slowest engines known so far, fastEngines almost the fastest, according to
+// their operators' data sheets.
 var (
-	slowEngines = Engines{Base: 5 * time.Millisecond, TokensPerMs: 64, MsPerMPairs: 0.65, Memory: 470_000, Slots: 64, Event: 38 * time.Millisecond, MoveBase: 3 * time.Millisecond, MovedPerMs: 1200}
-	fastEngines = Engines{Base: 5 * time.Millisecond, TokensPerMs: 307, MsPerMPairs: 0.15, Memory: 305_000, Slots: 48, Event: 35 * time.Millisecond, MoveBase: time.Millisecond, MovedPerMs: 8400}
+	slowEngines = EngineProfile{PrefillBase: 5 * time.Millisecond, PrefillTokensPerMs: 64, MsPerMPairs: 0.65, CacheTokens: 470_000, Slots: 64, EventInterval: 38 * time.Millisecond, TransferBase: 3 * time.Millisecond, TransferTokensPerMs: 1200}
+	fastEngines = EngineProfile{PrefillBase: 5 * time.Millisecond, PrefillTokensPerMs: 307, MsPerMPairs: 0.15, CacheTokens: 305_000, Slots: 48, EventInterval: 35 * time.Millisecond, TransferBase: time.Millisecond, TransferTokensPerMs: 8400}
 )
 
-// ReadingHeavy is a load of mostly reading: few long prompts and many short urgent ones, as
-// a dispatch desk sends whose assistant reads long histories.
-var ReadingHeavy = []Kind{
-	{Name: "long", Rank: 2, Target: 600 * time.Millisecond, Patience: 2400 * time.Millisecond, PerSecond: 27, Subjects: 124, Shared: 13300, Own: 3720, Events: 13, Gap: 200 * time.Millisecond, Worth: 2.3, LateWorth: 0.68, Deadline: 6 * time.Second},
-	{Name: "middle", Rank: 1, Target: 500 * time.Millisecond, Patience: 2 * time.Second, PerSecond: 13, Subjects: 61, Shared: 6300, Own: 2890, Events: 6, Gap: 200 * time.Millisecond, Worth: 2.3, LateWorth: 0.68, Deadline: 4 * time.Second},
-	{Name: "short", Rank: 0, Target: 300 * time.Millisecond, Patience: 2 * time.Second, PerSecond: 53, Subjects: 161, Shared: 350, Own: 1110, Events: 19, Gap: 200 * time.Millisecond, Worth: 1, LateWorth: 0.31, Deadline: 6 * time.Second},
+// PrefillHeavy is a load that consists mostly of prefill: few long prompts and many short urgent
+// ones. A dispatch desk whose assistant reads long histories sends such a load.
+var PrefillHeavy = []Kind{
+	{Name: "long", Rank: 2, TargetLatency: 600 * time.Millisecond, ClientTimeout: 2400 * time.Millisecond, PerSecond: 27, Prefixes: 124, PrefixTokens: 13300, OwnTokens: 3720, Events: 13, TargetGap: 200 * time.Millisecond, Worth: 2.3, LateWorth: 0.68, StatedTimeout: 6 * time.Second},
+	{Name: "middle", Rank: 1, TargetLatency: 500 * time.Millisecond, ClientTimeout: 2 * time.Second, PerSecond: 13, Prefixes: 61, PrefixTokens: 6300, OwnTokens: 2890, Events: 6, TargetGap: 200 * time.Millisecond, Worth: 2.3, LateWorth: 0.68, StatedTimeout: 4 * time.Second},
+	{Name: "short", Rank: 0, TargetLatency: 300 * time.Millisecond, ClientTimeout: 2 * time.Second, PerSecond: 53, Prefixes: 161, PrefixTokens: 350, OwnTokens: 1110, Events: 19, TargetGap: 200 * time.Millisecond, Worth: 1, LateWorth: 0.31, StatedTimeout: 6 * time.Second},
 }
 
-// reviewsAndNotes is a load of long prompts with short answers beside short prompts with
-// long answers, at rates a second and with a number of subjects.
-func reviewsAndNotes(reviews, notes float64, subjects int) []Kind {
+// reviewsAndNotes is a load of long prompts with short responses beside short prompts with long
+// responses. reviews and notes are rates per second, prefixes is the number of prompt prefixes of
+// the reviews.
+func reviewsAndNotes(reviews, notes float64, prefixes int) []Kind {
 	return []Kind{
-		{Name: "review", Rank: 0, Target: 200 * time.Millisecond, Patience: 2 * time.Second, PerSecond: reviews, Subjects: subjects, Shared: 6300, Own: 2890, Events: 2, Gap: 150 * time.Millisecond, Worth: 2.5, LateWorth: 0.74},
-		{Name: "note", Rank: 1, Target: 250 * time.Millisecond, Patience: 2 * time.Second, PerSecond: notes, Subjects: 103, Shared: 79, Own: 141, Events: 89, Gap: 150 * time.Millisecond, Worth: 6.1, LateWorth: 1.8, Deadline: 15 * time.Second},
+		{Name: "review", Rank: 0, TargetLatency: 200 * time.Millisecond, ClientTimeout: 2 * time.Second, PerSecond: reviews, Prefixes: prefixes, PrefixTokens: 6300, OwnTokens: 2890, Events: 2, TargetGap: 150 * time.Millisecond, Worth: 2.5, LateWorth: 0.74},
+		{Name: "note", Rank: 1, TargetLatency: 250 * time.Millisecond, ClientTimeout: 2 * time.Second, PerSecond: notes, Prefixes: 103, PrefixTokens: 79, OwnTokens: 141, Events: 89, TargetGap: 150 * time.Millisecond, Worth: 6.1, LateWorth: 1.8, StatedTimeout: 15 * time.Second},
 	}
 }
 
-// Scenario is a load with what it meets.
+// Scenario is a load together with the engines, bursts and faults that it meets.
 type Scenario struct {
 	Name string
-	// About says what is special about it.
-	About   string
-	Options Options
+	// Description says what characterizes the scenario.
+	Description string
+	Options     Options
 }
 
-// playedFor is how long the requests of a scenario come: two bursts and a while after each.
-const playedFor = 14 * time.Second
+// scenarioLength is how long the requests of a scenario arrive: two bursts and some time after
+// each.
+const scenarioLength = 14 * time.Second
 
-// bursts make a load come in two waves that the engines cannot follow.
+// bursts returns two bursts that exceed the capacity of the engines.
 func bursts(factor float64) []Burst {
-	return []Burst{{At: 4 * time.Second, For: 3 * time.Second, Factor: factor}, {At: 10 * time.Second, For: 2 * time.Second, Factor: factor}}
+	return []Burst{{At: 4 * time.Second, Duration: 3 * time.Second, Factor: factor}, {At: 10 * time.Second, Duration: 2 * time.Second, Factor: factor}}
 }
 
-// Scenarios returns the loads on which decisions are compared, by the figures that an
-// operator has on a sheet.
+// Scenarios returns the scenarios for comparing placement decisions, based on figures from
+// operators' data sheets.
 func Scenarios() []Scenario {
 	long := Options{
-		Load: ReadingHeavy, Factor: 1, Length: playedFor, Engines: slowEngines, Readers: 10, Runners: 8, Placers: 9, Domains: 3,
-		Cross: 900 * time.Microsecond, Bursts: bursts(1.8),
+		Load: PrefillHeavy, Factor: 1, Length: scenarioLength, EngineProfile: slowEngines, PrefillEngines: 10, MixedEngines: 8, Placers: 9, Domains: 3,
+		CrossDomainDelay: 900 * time.Microsecond, Bursts: bursts(1.8),
 	}
 	mixed := Options{
-		Load: reviewsAndNotes(173, 23, 1176), Factor: 1, Length: playedFor, Engines: fastEngines, Readers: 8, Runners: 4, Placers: 8, Domains: 3,
-		Cross: 1400 * time.Microsecond, Bursts: bursts(1.7),
+		Load: reviewsAndNotes(173, 23, 1176), Factor: 1, Length: scenarioLength, EngineProfile: fastEngines, PrefillEngines: 8, MixedEngines: 4, Placers: 8, Domains: 3,
+		CrossDomainDelay: 1400 * time.Microsecond, Bursts: bursts(1.7),
 	}
 	large := mixed
 	large.Load = reviewsAndNotes(438, 47, 2206)
-	large.Load[0].Target = 250 * time.Millisecond
-	large.Engines.Slots = 16
-	large.Readers, large.Runners, large.Placers, large.RefusalCost = 24, 20, 6, 0.5
+	large.Load[0].TargetLatency = 250 * time.Millisecond
+	large.EngineProfile.Slots = 16
+	large.PrefillEngines, large.MixedEngines, large.Placers, large.RejectionCost = 24, 20, 6, 0.5
 	restart := long
-	restart.Warm = true
-	restart.Bursts = []Burst{{For: 4 * time.Second, Factor: 1.8}}
+	restart.WarmCaches = true
+	restart.Bursts = []Burst{{Duration: 4 * time.Second, Factor: 1.8}}
 	faults := mixed
 	faults.Bursts = nil
 	faults.Faults = []Fault{
-		{Engine: 0, At: time.Second, For: 5 * time.Second, Slow: 4},
-		{Engine: 1, At: 3 * time.Second, For: 4 * time.Second},
-		{Engine: 8, At: 2 * time.Second, For: 8 * time.Second, Slow: 5},
-		{Engine: 9, At: 8 * time.Second, For: 3 * time.Second},
+		{Engine: 0, At: time.Second, Duration: 5 * time.Second, SlowdownFactor: 4},
+		{Engine: 1, At: 3 * time.Second, Duration: 4 * time.Second},
+		{Engine: 8, At: 2 * time.Second, Duration: 8 * time.Second, SlowdownFactor: 5},
+		{Engine: 9, At: 8 * time.Second, Duration: 3 * time.Second},
 	}
 	return []Scenario{
-		{"long-prompts", "mostly reading, long prompts, slow engines", long},
-		{"long-answers", "long prompts beside long answers, little memory", mixed},
-		{"many-subjects", "more engines, more subjects than memory, refusals cost half", large},
-		{"restart", "long prompts, all processes lost, engines keep their memory", restart},
-		{"faults", "long prompts beside long answers, slow and refusing engines", faults},
+		{"long-prompts", "mostly prefill, long prompts, slow engines", long},
+		{"long-answers", "long prompts beside long responses, small KV caches", mixed},
+		{"many-subjects", "more engines, more prompt prefixes than the KV caches hold, rejections cost half", large},
+		{"restart", "long prompts, all gateways restart, engines keep their KV caches", restart},
+		{"faults", "long prompts beside long responses, slow and rejecting engines", faults},
 	}
 }
 
-// rate returns how many requests of a kind come in a second at a time after the start.
+// rate returns the request rate of a kind, per second, at a time after the start.
 func (o *Options) rate(k Kind, at time.Duration) float64 {
 	rate := k.PerSecond * o.Factor
 	for _, b := range o.Bursts {
-		if (b.Kind == "" || b.Kind == k.Name) && at >= b.At && at < b.At+b.For {
+		if (b.Kind == "" || b.Kind == k.Name) && at >= b.At && at < b.At+b.Duration {
 			rate *= b.Factor
 		}
 	}
 	return rate
 }
 
-// withDefaults fills in what is not stated: one failure domain, four engines that
-// generate, and the slowest engines known.
+// withDefaults sets the defaults for empty fields: one failure domain, four mixed engines, and the
+// slowest engines known.
 func (o Options) withDefaults() Options {
 	o.Domains = cmp.Or(o.Domains, 1)
-	o.Runners = cmp.Or(o.Runners, fewRunners)
-	o.Exchange = cmp.Or(o.Exchange, exchangeEvery)
-	if o.Engines == (Engines{}) {
-		o.Engines = slowEngines
+	o.MixedEngines = cmp.Or(o.MixedEngines, defaultMixedEngines)
+	o.ExchangeInterval = cmp.Or(o.ExchangeInterval, defaultExchangeInterval)
+	if o.EngineProfile == (EngineProfile{}) {
+		o.EngineProfile = slowEngines
 	}
 	return o
 }
 
-// Worth returns the share of what the load's requests are worth that was earned, less prices.
+// Worth returns the worth that was earned, less penalties, as a share of the maximum.
 func (r Result) Worth() float64 {
-	if r.Owed == 0 {
+	if r.MaxWorth == 0 {
 		return 0
 	}
-	return (r.Earned - r.Prices) / r.Owed
+	return (r.EarnedWorth - r.Penalties) / r.MaxWorth
 }
 
-// worthOf returns what an answer in time to a prompt is worth: more for a longer one.
+// worthOf returns the worth of a response in time to a prompt. Longer prompts are worth more.
 func (k Kind) worthOf(tokens int) float64 {
-	sizes := float64(tokens) / float64(k.Shared+k.Own)
-	return cmp.Or(k.Worth, 1) * min(fixedWorth+(1-fixedWorth)*sizes, mostSizes)
+	sizes := float64(tokens) / float64(k.PrefixTokens+k.OwnTokens)
+	return cmp.Or(k.Worth, 1) * min(fixedWorthShare+(1-fixedWorthShare)*sizes, maxSizeFactor)
 }
--- a/internal/lab/replay/memory.go
+++ b/internal/lab/replay/memory.go
@@ -2,29 +2,29 @@
 
 import "container/list"
 
-// memory is what an engine keeps: parts of prompts, the least recently used of which give
-// way. It is the truth, where placement.Placer has a belief.
-type memory struct {
+// promptCache is the actual KV cache of an engine: parts of prompts, with the least recently used
+// evicted first. A placement.Placer has only an estimate of it.
+type promptCache struct {
 	capacity, used int
-	// order holds parts, the newest first.
+	// order holds the parts, the most recently used first.
 	order *list.List
 	parts map[string]*list.Element
 }
 
 type part struct {
-	// id is empty for tokens that nobody shares.
+	// id is empty for tokens that no other prompt shares.
 	id     string
 	tokens int
 }
 
-func newMemory(capacity int) *memory {
-	return &memory{capacity: capacity, order: list.New(), parts: map[string]*list.Element{}}
+func newPromptCache(capacity int) *promptCache {
+	return &promptCache{capacity: capacity, order: list.New(), parts: map[string]*list.Element{}}
 }
 
-func (m *memory) keeps(id string) bool { return m.parts[id] != nil }
+func (m *promptCache) contains(id string) bool { return m.parts[id] != nil }
 
-// read takes in a prompt with a shared part and own tokens.
-func (m *memory) read(id string, shared, own int) {
+// add adds a prompt with a shared prefix and tokens of its own.
+func (m *promptCache) add(id string, shared, own int) {
 	m.push(part{tokens: own})
 	if e := m.parts[id]; e != nil {
 		m.order.MoveToFront(e)
@@ -32,16 +32,16 @@
 		m.parts[id] = m.push(part{id, shared})
 	}
 	for m.used > m.capacity {
-		m.dropOldest()
+		m.evictOldest()
 	}
 }
 
-func (m *memory) push(p part) *list.Element {
+func (m *promptCache) push(p part) *list.Element {
 	m.used += p.tokens
 	return m.order.PushFront(p)
 }
 
-func (m *memory) dropOldest() {
+func (m *promptCache) evictOldest() {
 	p, _ := m.order.Remove(m.order.Back()).(part)
 	m.used -= p.tokens
 	if p.id != "" {
--- a/internal/lab/replay/replay.go
+++ b/internal/lab/replay/replay.go
@@ -1,11 +1,11 @@
-// Package replay drives the placement of prompts with a load in virtual time, without
-// processes or a network: placers that hear of each other late, engines that read one
-// prompt at a time, keep what fits into their memory and generate in slots. The same seed
-// gives the same course, and what comes does not depend on what is decided, so that two
-// versions of a decision can be compared in seconds.
+// Package replay simulates the placement of prompts under a load in virtual time, without processes
+// or a network. Placers learn of each other's work with a delay. Engines prefill one prompt at a
+// time, cache as much as fits into their KV cache, and decode in slots. The same seed gives the
+// same result, and arrivals do not depend on decisions, so that two versions of a decision can be
+// compared in seconds.
 //
-// Roles do not change, engines neither come nor go, and reading does not delay what runs
-// beside it.
+// Roles do not change, no engines are added or removed, and prefill does not delay the requests
+// that the same engine decodes.
 package replay
 
 import (
@@ -21,90 +21,94 @@
 	"github.com/rockdoor/rockdoor/placement"
 )
 
-// Options of a replay.
+// Options configure a replay.
 type Options struct {
 	Load []Kind
-	// Factor multiplies the load's rates.
+	// Factor multiplies the rates of the load.
 	Factor float64
 	Bursts []Burst
-	// Length is how long requests come.
+	// Length is how long requests arrive.
 	Length time.Duration
-	// Readers is the number of engines that read, Runners of those that generate, 0 for
-	// fewRunners, Placers that of processes that decide.
-	Readers, Runners, Placers int
-	Engines                   Engines
-	Faults                    []Fault
-	// Domains is the number of failure domains, 0 for one, over which engines and placers
-	// are spread in turn. Cross is how long bytes take from one to another.
-	Domains int
-	Cross   time.Duration
-	// Exchange is how often placers tell each other of their work, 0 for exchangeEvery.
-	Exchange time.Duration
-	// Warm has each engine keep what it is home to from the start. Unknown is true if the
-	// placers are not told of it.
-	Warm, Unknown bool
-	// RefusalCost is the part of its worth that a refused request costs.
-	RefusalCost float64
-	// IgnorePatience has callers' headers taken for how long they wait.
-	IgnorePatience bool
-	// Workspace returns that of a kind's callers; nil if they have none.
+	// PrefillEngines is the number of prefill engines, MixedEngines that of mixed engines (0 means
+	// defaultMixedEngines), and Placers that of processes that decide on placement.
+	PrefillEngines, MixedEngines, Placers int
+	EngineProfile                         EngineProfile
+	Faults                                []Fault
+	// Domains is the number of failure domains, to which engines and placers are assigned round
+	// robin; 0 means one. CrossDomainDelay is the network delay between two of them.
+	Domains          int
+	CrossDomainDelay time.Duration
+	// ExchangeInterval is the interval at which placers exchange their loads; 0 means
+	// defaultExchangeInterval.
+	ExchangeInterval time.Duration
+	// WarmCaches has each engine start with the prompt prefixes cached for which it is the
+	// preferred engine. UnknownCaches is true if the placers are not told of them.
+	WarmCaches, UnknownCaches bool
+	// RejectionCost is the penalty for a rejected request, as a share of its worth.
+	RejectionCost float64
+	// UseStatedTimeout has placement use the stated timeout of requests instead of the actual
+	// client timeout.
+	UseStatedTimeout bool
+	// Workspace returns the workspace of a kind's clients; nil means no workspaces.
 	Workspace func(kind string) string
 	Policy    placement.Policy
-	// Ungrouped has each decision look at all engines.
+	// Ungrouped has each decision consider all engines.
 	Ungrouped bool
 	Seed      uint64
 }
 
 // Outcome counts the requests of one kind.
-type Outcome struct{ Asked, InTime, Answered int }
+type Outcome struct{ Requests, InTime, Answered int }
 
 // Add returns the sum of two outcomes.
 func (o Outcome) Add(p Outcome) Outcome {
-	return Outcome{o.Asked + p.Asked, o.InTime + p.InTime, o.Answered + p.Answered}
+	return Outcome{o.Requests + p.Requests, o.InTime + p.InTime, o.Answered + p.Answered}
 }
 
-// Result of a replay.
+// Result holds the outcomes of a replay.
 type Result struct {
-	// Outcomes are by the name of the kind.
+	// Outcomes is indexed by the name of the kind.
 	Outcomes map[string]Outcome
-	// EstimateError is by which share the placers' estimates for an idle engine are off in
-	// the mean over some prompts, at the end.
+	// EstimateError is the mean relative error of the placers' prefill estimates for an idle engine
+	// at the end of the replay, over some prompts.
 	EstimateError float64
-	// Owed is what answers in time to all requests are worth, Earned what was answered,
-	// Prices what refusals and holding what was not served cost.
-	Owed, Earned, Prices float64
+	// MaxWorth is the worth of in-time responses to all requests, EarnedWorth that of the actual
+	// responses, and Penalties the cost of rejecting requests and of holding requests that were not
+	// served.
+	MaxWorth, EarnedWorth, Penalties float64
 }
 
 const (
 	service = "model"
-	// exchangeEvery is how often placers tell each other of their work if nothing else is
-	// stated: between the two paces of the gateways' digests.
-	exchangeEvery = 40 * time.Millisecond
-	// sizeSpread is the deviation of the logarithm of own tokens, leastOwn the fewest.
-	sizeSpread = 0.8
-	leastOwn   = 64
-	fewRunners = 4
+	// defaultExchangeInterval is the default interval at which placers exchange their loads. It
+	// lies between the two intervals that gateways use.
+	defaultExchangeInterval = 40 * time.Millisecond
+	// sizeSpread is the standard deviation of the logarithm of a request's own tokens, minOwnTokens
+	// their minimum.
+	sizeSpread          = 0.8
+	minOwnTokens        = 64
+	defaultMixedEngines = 4
 )
 
-// replay is one course. All of it happens in one goroutine.
+// replay is the state of one simulation run. It is used by a single goroutine.
 type replay struct {
 	o       Options
 	rng     *rand.Rand
 	started time.Time
 	now     time.Time
-	queue   events
+	queue   eventQueue
 	placers []*placement.Placer
-	// heard is what each placer was last told of the others, told the number of the newest
-	// read that it has of each.
-	heard   []map[string]placement.Load
-	told    [][]uint64
-	fleet   []*fleet.Instance
-	pool    *fleet.Pool
-	engines map[string]*simEngine
-	result  Result
+	// knownLoads holds, for each placer, the loads that it last received from the others;
+	// lastPrefills the sequence number of the newest prefill that it has from each.
+	knownLoads   []map[string]placement.Load
+	lastPrefills [][]uint64
+	instances    []*fleet.Instance
+	pool         *fleet.Pool
+	engines      map[string]*simEngine
+	result       Result
 }
 
-// Run plays a load.
+// Run simulates a load.
 func Run(o Options) Result {
 	start := time.Unix(0, 0)
 	r := &replay{
@@ -113,14 +117,14 @@
 	}
 	r.buildEngines()
 	r.buildPlacers()
-	if o.Warm {
-		r.warm()
+	if o.WarmCaches {
+		r.warmCaches()
 	}
 	end := r.now.Add(o.Length)
 	for _, k := range o.Load {
-		r.arrivals(k, end)
+		r.scheduleArrivals(k, end)
 	}
-	r.exchanges(end)
+	r.exchangeLoads(end)
 	for len(r.queue) > 0 {
 		e, _ := heap.Pop(&r.queue).(event)
 		r.now = e.at
@@ -131,31 +135,31 @@
 }
 
 func (r *replay) buildEngines() {
-	for n := range r.o.Readers + r.o.Runners {
-		i := &fleet.Instance{ID: fmt.Sprintf("reader-%02d", n), Role: engine.RolePrefill, Domain: r.domain(n), Slots: r.o.Engines.Slots}
-		if n >= r.o.Readers {
+	for n := range r.o.PrefillEngines + r.o.MixedEngines {
+		i := &fleet.Instance{ID: fmt.Sprintf("reader-%02d", n), Role: engine.RolePrefill, Domain: r.domain(n), Slots: r.o.EngineProfile.Slots}
+		if n >= r.o.PrefillEngines {
 			i.ID, i.Role = fmt.Sprintf("runner-%02d", n), engine.RoleMixed
 		}
-		e := &simEngine{Instance: i, engines: r.o.Engines, memory: newMemory(r.o.Engines.Memory)}
+		e := &simEngine{Instance: i, profile: r.o.EngineProfile, cache: newPromptCache(r.o.EngineProfile.CacheTokens)}
 		for _, f := range r.o.Faults {
 			if f.Engine == n {
 				e.faults = append(e.faults, f)
 			}
 		}
-		r.fleet = append(r.fleet, i)
+		r.instances = append(r.instances, i)
 		r.engines[i.ID] = e
 	}
-	r.pool = &fleet.Pool{All: r.fleet}
+	r.pool = &fleet.Pool{All: r.instances}
 }
 
-// buildPlacers makes the processes that decide. Their ties are broken by numbers apart from
-// those of the load, which must not depend on decisions.
+// buildPlacers creates the placers. They break ties with their own random numbers, because those of
+// the load must not depend on decisions.
 func (r *replay) buildPlacers() {
 	ties := rand.New(rand.NewPCG(r.o.Seed, 1))
 	for n := range r.o.Placers {
-		r.heard = append(r.heard, map[string]placement.Load{})
-		r.told = append(r.told, make([]uint64, r.o.Placers))
-		p := placement.New(r.domain(n), func(id string) placement.Load { return r.heard[n][id] }, nil)
+		r.knownLoads = append(r.knownLoads, map[string]placement.Load{})
+		r.lastPrefills = append(r.lastPrefills, make([]uint64, r.o.Placers))
+		p := placement.New(r.domain(n), func(id string) placement.Load { return r.knownLoads[n][id] }, nil)
 		p.SetClock(func() time.Time { return r.now })
 		p.SetRandom(ties.Float64)
 		p.SetPolicy(r.o.Policy)
@@ -163,31 +167,32 @@
 	}
 }
 
-// domain returns the failure domain of an engine or placer by its number.
+// domain returns the failure domain of an engine or placer, by its index.
 func (r *replay) domain(n int) string { return string(rune('a' + n%r.o.Domains)) }
 
-// warm has each engine that reads keep the subjects that it is home to.
-func (r *replay) warm() {
-	kept := map[string][]engine.Part{}
+// warmCaches adds to each prefill engine's cache the prompt prefixes for which it is the preferred
+// engine.
+func (r *replay) warmCaches() {
+	cached := map[string][]engine.Part{}
 	for _, k := range r.o.Load {
-		for n := range k.Subjects {
-			id := subject(k, n)
-			home := placement.PreferredEngine(id, r.readersOf(id))
-			r.engines[home.ID].memory.read(id, k.Shared, 0)
-			kept[home.ID] = append(kept[home.ID], engine.Part{ID: id, Tokens: k.Shared})
+		for n := range k.Prefixes {
+			id := prefixID(k, n)
+			preferred := placement.PreferredEngine(id, r.prefillEnginesOf(id))
+			r.engines[preferred.ID].cache.add(id, k.PrefixTokens, 0)
+			cached[preferred.ID] = append(cached[preferred.ID], engine.Part{ID: id, Tokens: k.PrefixTokens})
 		}
 	}
-	if r.o.Unknown {
+	if r.o.UnknownCaches {
 		return
 	}
 	for _, p := range r.placers {
-		for id, parts := range kept {
-			p.RestoreCache(r.engines[id].Instance, r.o.Engines.Memory, parts)
+		for id, parts := range cached {
+			p.RestoreCache(r.engines[id].Instance, r.o.EngineProfile.CacheTokens, parts)
 		}
 	}
 }
 
-// groups divides the engines as the gateways do.
+// groups divides the engines into groups as the gateways do.
 func (r *replay) groups() [][]*fleet.Instance {
 	if r.o.Ungrouped {
 		return nil
@@ -195,39 +200,39 @@
 	return r.pool.Groups()
 }
 
-// readersOf returns the engines that read among those of a subject's group.
-func (r *replay) readersOf(subject string) []*fleet.Instance {
-	group := r.fleet
+// prefillEnginesOf returns the prefill engines in the group of a prompt prefix.
+func (r *replay) prefillEnginesOf(prefix string) []*fleet.Instance {
+	group := r.instances
 	if groups := r.groups(); len(groups) > 1 {
-		group = groups[fleet.GroupIndex(subject, len(groups))]
+		group = groups[fleet.GroupIndex(prefix, len(groups))]
 	}
 	return slices.DeleteFunc(slices.Clone(group), func(i *fleet.Instance) bool { return i.Role != engine.RolePrefill })
 }
 
-func subject(k Kind, n int) string { return fmt.Sprint(k.Name, n) }
+func prefixID(k Kind, n int) string { return fmt.Sprint(k.Name, n) }
 
-// arrivals makes requests of a kind, with exponential pauses.
-func (r *replay) arrivals(k Kind, end time.Time) {
+// scheduleArrivals creates requests of a kind as a Poisson process.
+func (r *replay) scheduleArrivals(k Kind, end time.Time) {
 	if r.now.After(end) {
 		return
 	}
-	r.request(k)
-	pause := r.rng.ExpFloat64() / r.o.rate(k, r.since())
-	r.after(time.Duration(pause*float64(time.Second)), func() { r.arrivals(k, end) })
+	r.createRequest(k)
+	pause := r.rng.ExpFloat64() / r.o.rate(k, r.elapsed())
+	r.schedule(time.Duration(pause*float64(time.Second)), func() { r.scheduleArrivals(k, end) })
 }
 
-// exchanges has the placers tell each other of their work.
-func (r *replay) exchanges(end time.Time) {
+// exchangeLoads has the placers exchange their loads periodically.
+func (r *replay) exchangeLoads(end time.Time) {
 	for n := range r.placers {
-		r.heard[n] = r.others(n)
+		r.knownLoads[n] = r.remoteLoads(n)
 	}
 	if r.now.Before(end) {
-		r.after(r.o.Exchange, func() { r.exchanges(end) })
+		r.schedule(r.o.ExchangeInterval, func() { r.exchangeLoads(end) })
 	}
 }
 
-// others returns what the other placers have in hand, and tells a placer of their reads.
-func (r *replay) others(n int) map[string]placement.Load {
+// remoteLoads returns the loads of a placer's peers and applies their prefills to the placer.
+func (r *replay) remoteLoads(n int) map[string]placement.Load {
 	sum := map[string]placement.Load{}
 	for m, other := range r.placers {
 		if m == n {
@@ -236,35 +241,35 @@
 		for id, l := range other.LocalLoads() {
 			sum[id] = sum[id].Add(l)
 		}
-		var reads []placement.Prefill
-		reads, r.told[n][m] = other.PrefillsAfter(r.told[n][m])
-		for _, read := range reads {
-			r.placers[n].ApplyRemotePrefill(read)
+		var prefills []placement.Prefill
+		prefills, r.lastPrefills[n][m] = other.PrefillsAfter(r.lastPrefills[n][m])
+		for _, prefill := range prefills {
+			r.placers[n].ApplyRemotePrefill(prefill)
 		}
 	}
 	return sum
 }
 
-// request makes a request of a kind.
-func (r *replay) request(k Kind) {
-	name := subject(k, r.rng.IntN(k.Subjects))
-	own := max(int(float64(k.Own)*math.Exp(r.rng.NormFloat64()*sizeSpread-sizeSpread*sizeSpread/2)), leastOwn)
+// createRequest creates a request of a kind and has it placed.
+func (r *replay) createRequest(k Kind) {
+	name := prefixID(k, r.rng.IntN(k.Prefixes))
+	own := max(int(float64(k.OwnTokens)*math.Exp(r.rng.NormFloat64()*sizeSpread-sizeSpread*sizeSpread/2)), minOwnTokens)
 	by := r.rng.IntN(len(r.placers))
 	q := &request{
-		kind: k, placer: r.placers[by], domain: r.domain(by), arrived: r.now, until: r.now.Add(k.Patience), subject: name,
-		worth: k.worthOf(k.Shared + own),
+		kind: k, placer: r.placers[by], domain: r.domain(by), arrived: r.now, deadline: r.now.Add(k.ClientTimeout), prefix: name,
+		worth: k.worthOf(k.PrefixTokens + own),
 		job: &placement.Job{
-			Route: &fleet.Route{Name: k.Name, LatencyTarget: k.Target, Rank: k.Rank}, Service: fleet.Service{Name: service, KVCapacity: r.o.Engines.Memory},
-			Call:      &engine.Call{PromptTokens: k.Shared + own, Parts: []engine.Part{{ID: name, Tokens: k.Shared}, {ID: "own", Tokens: own}}},
-			Permitted: r.fleet, Groups: r.groups, Avoid: map[string]bool{}, Workspace: r.workspace(k),
+			Route: &fleet.Route{Name: k.Name, LatencyTarget: k.TargetLatency, Rank: k.Rank}, Service: fleet.Service{Name: service, KVCapacity: r.o.EngineProfile.CacheTokens},
+			Call:      &engine.Call{PromptTokens: k.PrefixTokens + own, Parts: []engine.Part{{ID: name, Tokens: k.PrefixTokens}, {ID: "own", Tokens: own}}},
+			Permitted: r.instances, Groups: r.groups, Avoid: map[string]bool{}, Workspace: r.workspace(k),
 		},
 	}
-	r.result.Owed += q.worth
-	r.count(q, Outcome{Asked: 1})
+	r.result.MaxWorth += q.worth
+	r.count(q, Outcome{Requests: 1})
 	r.place(q)
 }
 
-// workspace returns that of a kind's callers.
+// workspace returns the workspace of a kind's clients.
 func (r *replay) workspace(k Kind) string {
 	if r.o.Workspace == nil {
 		return ""
@@ -278,14 +283,14 @@
 		for _, w := range []placement.Work{
 			placement.PrefillWork(1500, 1100), placement.PrefillWork(9000, 2900), placement.PrefillWork(17000, 3700), placement.PrefillWork(17000, 17000),
 		} {
-			sum += math.Abs(float64(p.EstimatePrefill(service, w))/float64(r.o.Engines.readTime(w)) - 1)
+			sum += math.Abs(float64(p.EstimatePrefill(service, w))/float64(r.o.EngineProfile.prefillTime(w)) - 1)
 			n++
 		}
 	}
 	return sum / n
 }
 
-// since returns how long the replay has run.
-func (r *replay) since() time.Duration { return r.now.Sub(r.started) }
+// elapsed returns the virtual time since the start.
+func (r *replay) elapsed() time.Duration { return r.now.Sub(r.started) }
 
-func (r *replay) after(d time.Duration, do func()) { heap.Push(&r.queue, event{r.now.Add(d), do}) }
+func (r *replay) schedule(d time.Duration, do func()) { heap.Push(&r.queue, event{r.now.Add(d), do}) }
--- a/internal/lab/replay/request.go
+++ b/internal/lab/replay/request.go
@@ -9,50 +9,50 @@
 	"github.com/rockdoor/rockdoor/placement"
 )
 
-// request is one on its way.
+// request is a request in flight.
 type request struct {
 	kind    Kind
 	placer  *placement.Placer
 	domain  string
 	arrived time.Time
-	// until is when its caller leaves if no answer has begun.
-	until   time.Time
-	subject string
-	job     *placement.Job
-	plan    placement.Plan
-	ticket  *placement.Ticket
-	// worth is that of an answer in time.
-	worth float64
-	tries int
+	// deadline is when the client disconnects if no response has begun.
+	deadline time.Time
+	prefix   string
+	job      *placement.Job
+	plan     placement.Plan
+	ticket   *placement.Ticket
+	// worth is the worth of a response in time.
+	worth    float64
+	attempts int
 }
 
 const (
-	// maxTries is how often a request is sent whose instance refuses it.
-	maxTries = 2
-	// freeHold is the part of the latency target for which an unserved request may be held
-	// at no price, fullHold that of its caller's patience from which it costs all of its
-	// worth. Between them the price grows evenly.
-	freeHold = 0.125
-	fullHold = 0.75
-	// fixedWorth is the part of a request's worth that does not grow with its size.
-	fixedWorth = 0.3
-	// mostSizes bounds by how many times the mean a large request is worth more.
-	mostSizes = 4.0
+	// maxAttempts is the number of times that a request is sent if engines reject it.
+	maxAttempts = 2
+	// freeHoldShare is the share of the target latency for which an unserved request may be held
+	// without penalty. From fullHoldShare of the client timeout on, the penalty is the full worth
+	// of the request. In between it grows linearly.
+	freeHoldShare = 0.125
+	fullHoldShare = 0.75
+	// fixedWorthShare is the share of a request's worth that does not depend on its size.
+	fixedWorthShare = 0.3
+	// maxSizeFactor limits the worth of a large request to this multiple of the mean.
+	maxSizeFactor = 4.0
 )
 
-// place has a request placed and sent.
+// place has a request placed and sends it, or rejects it.
 func (r *replay) place(q *request) {
-	q.tries++
-	left := cmp.Or(q.kind.Deadline, q.kind.Patience)
-	if !r.o.IgnorePatience {
-		left = q.kind.Patience
+	q.attempts++
+	timeout := cmp.Or(q.kind.StatedTimeout, q.kind.ClientTimeout)
+	if !r.o.UseStatedTimeout {
+		timeout = q.kind.ClientTimeout
 	}
 	q.job.Elapsed = r.now.Sub(q.arrived)
-	q.job.Remaining = left - q.job.Elapsed
+	q.job.Remaining = timeout - q.job.Elapsed
 	q.plan, q.ticket = q.placer.Place(q.job)
 	switch {
 	case q.ticket == nil:
-		r.refused(q)
+		r.rejected(q)
 	case q.plan.PrefillEngine == nil:
 		r.send(q, q.plan.Target)
 	default:
@@ -60,179 +60,181 @@
 	}
 }
 
-// send has a request arrive where its prompt is to be read.
+// send has a request arrive at the engine that prefills its prompt.
 func (r *replay) send(q *request, i *fleet.Instance) {
 	e := r.engines[i.ID]
-	r.after(r.way(q.domain, i.Domain), func() {
-		if _, refuses := e.fault(r.since()); refuses {
-			r.failed(q, i)
+	r.schedule(r.networkDelay(q.domain, i.Domain), func() {
+		if _, rejects := e.faultAt(r.elapsed()); rejects {
+			r.attemptFailed(q, i)
 			return
 		}
-		e.waiting = append(e.waiting, q)
-		r.readNext(e)
+		e.pendingPrefills = append(e.pendingPrefills, q)
+		r.prefillNext(e)
 	})
 }
 
-// failed ends a try that an instance refused; another one follows elsewhere.
-func (r *replay) failed(q *request, i *fleet.Instance) {
+// attemptFailed ends an attempt that an instance rejected, and retries elsewhere.
+func (r *replay) attemptFailed(q *request, i *fleet.Instance) {
 	if q.plan.PrefillEngine != nil {
 		q.ticket.PrefillEnded(false, placement.Failed)
 	}
 	q.ticket.RunEnded(placement.Failed)
 	q.ticket.Cancel()
-	if q.tries == maxTries {
-		return // it was offered to engines, which costs nothing but its worth
+	if q.attempts == maxAttempts {
+		return // it was sent to engines, so that only its worth is lost
 	}
 	q.job.Avoid[i.ID] = true
 	r.place(q)
 }
 
-// readNext has an idle engine read the most urgent prompt that is still wanted. It finishes
-// what it has begun.
-func (r *replay) readNext(e *simEngine) {
-	if e.busy {
+// prefillNext has an idle engine prefill the most urgent prompt whose client still waits. A prefill
+// that has begun is always completed.
+func (r *replay) prefillNext(e *simEngine) {
+	if e.prefilling {
 		return
 	}
-	q := e.take(r.now, r.gone)
+	q := e.nextPrefill(r.now, r.clientDisconnected)
 	if q == nil {
 		return
 	}
-	e.busy = true
-	r.after(r.reading(e, q), func() {
-		e.busy = false
-		e.memory.read(q.subject, q.kind.Shared, q.job.Call.PromptTokens-q.kind.Shared)
-		r.hasRead(q)
-		r.readNext(e)
+	e.prefilling = true
+	r.schedule(r.prefillDuration(e, q), func() {
+		e.prefilling = false
+		e.cache.add(q.prefix, q.kind.PrefixTokens, q.job.Call.PromptTokens-q.kind.PrefixTokens)
+		r.prefillEnded(q)
+		r.prefillNext(e)
 	})
 }
 
-// reading returns how long an engine takes to read a prompt.
-func (r *replay) reading(e *simEngine, q *request) time.Duration {
-	slow, _ := e.fault(r.since())
+// prefillDuration returns the time that an engine takes to prefill a prompt.
+func (r *replay) prefillDuration(e *simEngine, q *request) time.Duration {
+	slowdown, _ := e.faultAt(r.elapsed())
 	uncached := q.job.Call.PromptTokens
 	moved := time.Duration(0)
 	from := q.plan.FetchFrom
 	switch {
-	case e.memory.keeps(q.subject):
-		uncached -= q.kind.Shared
-	case from != nil && r.engines[from.ID].memory.keeps(q.subject):
-		uncached -= q.kind.Shared
-		moved = e.engines.moveTime(q.kind.Shared, from, e.Instance)
+	case e.cache.contains(q.prefix):
+		uncached -= q.kind.PrefixTokens
+	case from != nil && r.engines[from.ID].cache.contains(q.prefix):
+		uncached -= q.kind.PrefixTokens
+		moved = e.profile.transferTime(q.kind.PrefixTokens, from, e.Instance)
 	}
 	if e.Role != engine.RolePrefill {
-		slow *= sharedReading
+		slowdown *= mixedPrefillFactor
 	}
-	took := e.engines.readTime(placement.PrefillWork(q.job.Call.PromptTokens, uncached))
-	return moved + time.Duration(slow*float64(took))
+	prefill := e.profile.prefillTime(placement.PrefillWork(q.job.Call.PromptTokens, uncached))
+	return moved + time.Duration(slowdown*float64(prefill))
 }
 
-// sharedReading is how much longer an engine that generates takes to read: the pieces of a
-// prompt take turns with the steps of what it generates.
-const sharedReading = 2.0
+// mixedPrefillFactor is how much longer a prefill takes on a mixed engine, where the chunks of a
+// prompt alternate with decode steps.
+const mixedPrefillFactor = 2.0
 
-// hasRead has a request run whose prompt was read.
-func (r *replay) hasRead(q *request) {
+// prefillEnded continues a request whose prompt was prefilled: it is decoded on the same engine or
+// its KV cache is transferred to the target.
+func (r *replay) prefillEnded(q *request) {
 	if q.plan.PrefillEngine == nil {
-		r.arrive(q)
+		r.enqueueDecode(q)
 		return
 	}
 	q.ticket.PrefillEnded(true, placement.Succeeded)
 	if !q.placer.PlaceDecode(q.job, &q.plan, q.ticket) {
 		q.ticket.Cancel()
-		r.refused(q)
+		r.rejected(q)
 		return
 	}
-	move := r.o.Engines.moveTime(q.job.Call.PromptTokens, q.plan.PrefillEngine, q.plan.Target)
-	r.after(move, func() { r.arrive(q) })
+	move := r.o.EngineProfile.transferTime(q.job.Call.PromptTokens, q.plan.PrefillEngine, q.plan.Target)
+	r.schedule(move, func() { r.enqueueDecode(q) })
 }
 
-// arrive has a request begin to run, or wait for a slot.
-func (r *replay) arrive(q *request) {
+// enqueueDecode has a request arrive at its target, where it is decoded or waits for a slot.
+func (r *replay) enqueueDecode(q *request) {
 	e := r.engines[q.plan.Target.ID]
-	if _, refuses := e.fault(r.since()); refuses {
-		r.failed(q, q.plan.Target)
+	if _, rejects := e.faultAt(r.elapsed()); rejects {
+		r.attemptFailed(q, q.plan.Target)
 		return
 	}
-	e.queued = append(e.queued, q)
-	r.runNext(e)
+	e.queuedDecodes = append(e.queuedDecodes, q)
+	r.decodeNext(e)
 }
 
-// runNext fills the free slots of an engine.
-func (r *replay) runNext(e *simEngine) {
-	for len(e.queued) > 0 && e.running < e.engines.Slots {
-		q := e.queued[0]
-		e.queued = e.queued[1:]
-		if r.now.After(q.until) {
-			r.gone(q)
+// decodeNext fills the free slots of an engine.
+func (r *replay) decodeNext(e *simEngine) {
+	for len(e.queuedDecodes) > 0 && e.decoding < e.profile.Slots {
+		q := e.queuedDecodes[0]
+		e.queuedDecodes = e.queuedDecodes[1:]
+		if r.now.After(q.deadline) {
+			r.clientDisconnected(q)
 			continue
 		}
-		r.run(e, q)
+		r.startDecode(e, q)
 	}
 }
 
-// run begins an answer.
-func (r *replay) run(e *simEngine, q *request) {
-	e.running++
+// startDecode starts a response.
+func (r *replay) startDecode(e *simEngine, q *request) {
+	e.decoding++
 	q.ticket.FirstEvent()
-	slow, _ := e.fault(r.since())
-	gap := time.Duration(slow * float64(e.engines.Event))
-	r.begun(q, e, gap)
-	r.events(e, q, q.kind.Events, gap)
+	slowdown, _ := e.faultAt(r.elapsed())
+	gap := time.Duration(slowdown * float64(e.profile.EventInterval))
+	r.recordResponse(q, e, gap)
+	r.emitEvents(e, q, q.kind.Events, gap)
 }
 
-// events has the events of an answer that are left follow each other, and ends it.
-func (r *replay) events(e *simEngine, q *request, left int, gap time.Duration) {
+// emitEvents emits the remaining events of a response at regular intervals, and ends it.
+func (r *replay) emitEvents(e *simEngine, q *request, remaining int, gap time.Duration) {
 	q.ticket.Event()
-	if left > 1 {
-		r.after(gap, func() { r.events(e, q, left-1, gap) })
+	if remaining > 1 {
+		r.schedule(gap, func() { r.emitEvents(e, q, remaining-1, gap) })
 		return
 	}
-	e.running--
+	e.decoding--
 	q.ticket.RunEnded(placement.Succeeded)
-	r.runNext(e)
+	r.decodeNext(e)
 }
 
-// begun counts a request whose answer begins now at an engine, with a time between events.
-func (r *replay) begun(q *request, e *simEngine, gap time.Duration) {
-	took := r.now.Add(r.way(e.Domain, q.domain)).Sub(q.arrived)
+// recordResponse counts a request whose response begins now at an engine, with gap as the time
+// between events.
+func (r *replay) recordResponse(q *request, e *simEngine, gap time.Duration) {
+	latency := r.now.Add(r.networkDelay(e.Domain, q.domain)).Sub(q.arrived)
 	o := Outcome{Answered: 1}
 	earned := q.kind.LateWorth / cmp.Or(q.kind.Worth, 1) * q.worth
-	steady := q.kind.Gap == 0 || gap <= q.kind.Gap
-	if took <= q.kind.Target && steady {
+	steady := q.kind.TargetGap == 0 || gap <= q.kind.TargetGap
+	if latency <= q.kind.TargetLatency && steady {
 		o.InTime, earned = 1, q.worth
 	}
-	r.result.Earned += earned
+	r.result.EarnedWorth += earned
 	r.count(q, o)
 }
 
-// gone ends a request whose caller has left.
-func (r *replay) gone(q *request) {
+// clientDisconnected ends a request whose client has disconnected.
+func (r *replay) clientDisconnected(q *request) {
 	q.ticket.Cancel()
-	r.held(q)
+	r.chargeHolding(q)
 }
 
-// refused ends a request that was not run.
-func (r *replay) refused(q *request) {
-	r.result.Prices += r.o.RefusalCost * q.worth
-	r.held(q)
+// rejected ends a request that was not run.
+func (r *replay) rejected(q *request) {
+	r.result.Penalties += r.o.RejectionCost * q.worth
+	r.chargeHolding(q)
 }
 
-// held counts the price of a request that was held and not served.
-func (r *replay) held(q *request) {
-	free := freeHold * float64(q.kind.Target)
-	full := fullHold * float64(q.kind.Patience)
+// chargeHolding adds the penalty for holding a request that was not served.
+func (r *replay) chargeHolding(q *request) {
+	free := freeHoldShare * float64(q.kind.TargetLatency)
+	full := fullHoldShare * float64(q.kind.ClientTimeout)
 	share := (float64(r.now.Sub(q.arrived)) - free) / (full - free)
-	r.result.Prices += min(max(share, 0), 1) * q.worth
+	r.result.Penalties += min(max(share, 0), 1) * q.worth
 }
 
 func (r *replay) count(q *request, o Outcome) {
 	r.result.Outcomes[q.kind.Name] = r.result.Outcomes[q.kind.Name].Add(o)
 }
 
-// way returns how long bytes take between failure domains.
-func (r *replay) way(from, to string) time.Duration {
+// networkDelay returns the network delay between two failure domains.
+func (r *replay) networkDelay(from, to string) time.Duration {
 	if from == to {
 		return 0
 	}
-	return r.o.Cross
+	return r.o.CrossDomainDelay
 }
