--- a/cmd/rockdoor-lab/load.go
+++ b/cmd/rockdoor-lab/load.go
@@ -14,15 +14,15 @@
 )
 
 func loadCommand() *cli.Command {
-	usage := "send a named mix of requests and check the answers. Mixes:"
+	usage := "send a named mix of requests and check the responses. Mixes:"
 	for _, m := range load.Mixes {
 		usage += "\n   " + m.Name + ": " + m.Doc
 	}
 	return &cli.Command{
-		Name: "load", Usage: "send load and check the answers", Description: usage,
+		Name: "load", Usage: "send load and check the responses", Description: usage,
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "entry", Required: true, Usage: "`ADDRESS` of an entry host; may be repeated"},
-			&cli.StringFlag{Name: "config", Required: true, Usage: "the configuration `FILE` in force, for the check"},
+			&cli.StringFlag{Name: "config", Required: true, Usage: "`FILE` of the configuration in force, for the check"},
 			&cli.StringFlag{Name: "mix", Value: "demo"},
 			&cli.Uint64Flag{Name: "seed", Value: 1},
 			&cli.Float64Flag{Name: "scale", Value: 1, Usage: "multiply all rates by this"},
@@ -51,7 +51,7 @@
 		RunID: strconv.FormatInt(start.UnixNano(), 36),
 	})
 	took := time.Since(start)
-	runs, err := load.Records(c.Context, compiled)
+	runs, err := load.FetchRuns(c.Context, compiled)
 	if err != nil {
 		return err
 	}
@@ -71,7 +71,7 @@
 		}
 	}
 	if v.Any() {
-		return cli.Exit("a promise was broken", 1)
+		return cli.Exit("a guarantee was violated", 1)
 	}
 	return nil
 }
--- a/internal/lab/load/check.go
+++ b/internal/lab/load/check.go
@@ -12,13 +12,13 @@
 	"github.com/rockdoor/rockdoor/selector"
 )
 
-// TargetRun is a run as a stand-in recorded it.
+// TargetRun is a run that a stand-in recorded.
 type TargetRun struct {
 	LoadID string `json:"loadID"`
 	Engine string `json:"engine"`
 	Server string `json:"server"`
 	From   int    `json:"from"`
-	// Phase is prefill for a run that only read the prompt.
+	// Phase is "prefill" for a run that only prefilled the prompt; empty otherwise.
 	Phase string `json:"phase"`
 }
 
@@ -30,8 +30,8 @@
 	return t.Server
 }
 
-// Records reads the runs that all targets of a configuration recorded.
-func Records(ctx context.Context, c *config.Compiled) ([]TargetRun, error) {
+// FetchRuns reads the recorded runs from all targets of a configuration.
+func FetchRuns(ctx context.Context, c *config.Compiled) ([]TargetRun, error) {
 	var all []TargetRun
 	client := http.Client{Timeout: 10 * time.Second}
 	for _, t := range c.Targets {
@@ -41,7 +41,7 @@
 		}
 		resp, err := client.Do(req)
 		if err != nil {
-			return nil, fault.Wrap(err, fault.Unavailable, "stand-in "+t.Name+" gave no record", "check that it runs")
+			return nil, fault.Wrap(err, fault.Unavailable, "stand-in "+t.Name+" did not return its runs", "check that it is running")
 		}
 		var runs []TargetRun
 		err = json.NewDecoder(resp.Body).Decode(&runs)
@@ -54,27 +54,27 @@
 	return all, nil
 }
 
-// Violations counts broken promises.
+// Violations counts violated guarantees.
 type Violations struct {
-	// WrongPlace are runs where the rules did not permit them.
+	// WrongPlace counts runs at targets that the rules did not permit.
 	WrongPlace int `json:"wrongPlace"`
-	// Doubled are requests that must not be repeated and ran more than once.
+	// Doubled counts requests that must not be retried but ran more than once.
 	Doubled int `json:"doubled"`
-	// FalseNotRun are requests reported as not run that ran.
+	// FalseNotRun counts requests that ran although they were reported as not run.
 	FalseNotRun int `json:"falseNotRun"`
-	// WrongAnswer are complete answers that were not the request's.
+	// WrongAnswer counts complete responses that belonged to another request.
 	WrongAnswer int `json:"wrongAnswer"`
-	// Broken are requests that got no final answer.
+	// Broken counts requests that got no final response.
 	Broken int `json:"broken"`
-	// Missing are complete answers without any run.
+	// Missing counts complete responses without a recorded run.
 	Missing int `json:"missing"`
 }
 
-// Any reports whether any promise was broken. Broken connections count, since a
-// planned run kills no entry host.
+// Any reports whether there was any violation. Interrupted connections count, since a planned run
+// does not kill any entry host.
 func (v Violations) Any() bool { return v != Violations{} }
 
-// Check compares the callers' results with the targets' records.
+// Check compares the clients' results with the runs that the targets recorded.
 func Check(m Mix, c *config.Compiled, results []Result, runs []TargetRun) Violations {
 	var v Violations
 	byID := map[string][]TargetRun{}
@@ -83,34 +83,34 @@
 	}
 	for _, r := range results {
 		class := m.Class(r.Class)
-		rules, idempotent := rulesOf(c, class)
-		mine := byID[r.ID]
-		for _, run := range mine {
+		rules, idempotent := classRules(c, class)
+		recorded := byID[r.ID]
+		for _, run := range recorded {
 			t := c.Targets[run.Target()]
 			if _, rejected := rules.Rejects(t.Labels); rejected {
 				v.WrongPlace++
 			}
 		}
-		mine = slices.DeleteFunc(mine, func(r TargetRun) bool { return r.Phase != "" })
-		if !idempotent && len(mine) > 1 {
+		recorded = slices.DeleteFunc(recorded, func(r TargetRun) bool { return r.Phase != "" })
+		if !idempotent && len(recorded) > 1 {
 			v.Doubled++
 		}
 		switch {
-		case r.Outcome == NotRun && len(mine) > 0:
+		case r.Outcome == NotRun && len(recorded) > 0:
 			v.FalseNotRun++
 		case r.Outcome == Broken:
 			v.Broken++
 		case r.Outcome == Complete && r.Wrong:
 			v.WrongAnswer++
-		case r.Outcome == Complete && len(mine) == 0:
+		case r.Outcome == Complete && len(recorded) == 0:
 			v.Missing++
 		}
 	}
 	return v
 }
 
-// rulesOf returns the placement rules of a class and whether it may be repeated.
-func rulesOf(c *config.Compiled, class *Class) (selector.All, bool) {
+// classRules returns the placement rules of a class and whether its requests may be retried.
+func classRules(c *config.Compiled, class *Class) (selector.All, bool) {
 	var rules selector.All
 	idempotent := false
 	if class.Model != "" {
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -19,7 +19,7 @@
 	"github.com/rockdoor/rockdoor/internal/standin/serviced"
 )
 
-// LoadIDHeader carries the id of a request through to the stand-ins' records.
+// LoadIDHeader carries the ID of a request to the stand-ins, which record it.
 const LoadIDHeader = "X-Load-Id"
 
 const (
@@ -27,27 +27,27 @@
 	maxEventBytes  = 1 << 20
 )
 
-// Outcome is what became of a request, as its caller can tell.
+// Outcome is what became of a request, as far as its client can tell.
 type Outcome string
 
-// Outcomes. All but Broken are what rockdoor said.
+// Outcomes. All but Broken are reported by rockdoor.
 const (
 	Complete Outcome = "complete"
 	NotRun   Outcome = "not_run"
 	Unknown  Outcome = "unknown"
 	Failed   Outcome = "failed"
-	// Broken is a connection that ended without a final answer.
+	// Broken means that the connection ended without a final response.
 	Broken Outcome = "broken"
 )
 
-// Result is one request as its caller saw it.
+// Result is one request as its client observed it.
 type Result struct {
 	ID      string        `json:"id"`
 	Class   string        `json:"class"`
 	Entry   string        `json:"entry"`
 	Planned time.Duration `json:"planned"`
-	// First, Gap and Total are the time from the planned arrival to the first
-	// token, the 95th percentile between tokens, and the time to the end.
+	// First is the time from the planned arrival to the first token, Gap the 95th percentile of the
+	// time between tokens, and Total the time from the planned arrival to the end.
 	First   time.Duration `json:"first"`
 	Gap     time.Duration `json:"gap"`
 	Total   time.Duration `json:"total"`
@@ -55,11 +55,11 @@
 	Tokens  int           `json:"tokens"`
 	Outcome Outcome       `json:"outcome"`
 	Code    string        `json:"code"`
-	// RetryAfter is what a refusal said.
+	// RetryAfter is the delay that a rejection asked for.
 	RetryAfter time.Duration `json:"retryAfter"`
-	// Wrong is true if a complete answer was not this request's.
+	// Wrong is true if a complete response belonged to another request.
 	Wrong bool `json:"wrong"`
-	// Good is true if the answer was whole, right and within its bounds.
+	// Good is true if the response was complete, correct and within its time bounds.
 	Good bool `json:"good"`
 }
 
@@ -82,10 +82,10 @@
 	return head + strings.Repeat("flag ", max(0, tokens*4-len(head))/5)
 }
 
-// send runs one request and returns its result. due is the planned arrival.
+// send sends one request and returns its result. due is the planned arrival time.
 func (c *client) send(ctx context.Context, id string, a Arrival, due time.Time) Result {
-	r := Result{ID: id, Class: a.Class.Name, Planned: a.At, Prompt: a.Prompt, Entry: c.entries[rand.IntN(len(c.entries))]}
-	text := prompt(id, a.Prompt)
+	r := Result{ID: id, Class: a.Class.Name, Planned: a.At, Prompt: a.PromptTokens, Entry: c.entries[rand.IntN(len(c.entries))]}
+	text := prompt(id, a.PromptTokens)
 	req, err := c.request(ctx, r.Entry, id, text, a)
 	if err != nil {
 		r.Outcome, r.Code = Broken, err.Error()
@@ -99,18 +99,18 @@
 	defer resp.Body.Close()
 	switch {
 	case resp.StatusCode != http.StatusOK:
-		r.refused(resp)
+		r.readError(resp)
 	case a.Class.Stream:
-		r.readStream(resp, due, answer.Text(text, a.Output))
+		r.readStream(resp, due, answer.Text(text, a.OutputTokens))
 	default:
-		r.readWhole(resp, due, expected(a, text, req))
+		r.readBody(resp, due, expected(a, text, req))
 	}
 	r.Total = time.Since(due)
-	r.Good = r.Outcome == Complete && !r.Wrong && within(r.First, a.Class.FirstToken) && within(r.Gap, a.Class.BetweenTokens) && within(r.Total, a.Class.Whole)
+	r.Good = r.Outcome == Complete && !r.Wrong && withinBound(r.First, a.Class.FirstTokenBound) && withinBound(r.Gap, a.Class.TokenGapBound) && withinBound(r.Total, a.Class.TotalBound)
 	return r
 }
 
-func within(d, bound time.Duration) bool { return bound == 0 || d <= bound }
+func withinBound(d, bound time.Duration) bool { return bound == 0 || d <= bound }
 
 func (c *client) request(ctx context.Context, host, id, text string, a Arrival) (*http.Request, error) {
 	method, path, body := http.MethodGet, a.Class.Path, []byte(nil)
@@ -118,7 +118,7 @@
 		method, path = http.MethodPost, "/v1/chat/completions"
 		content, _ := json.Marshal(text)
 		body, _ = json.Marshal(openai.Request{
-			Model: a.Class.Model, Stream: a.Class.Stream, MaxTokens: a.Output,
+			Model: a.Class.Model, Stream: a.Class.Stream, MaxTokens: a.OutputTokens,
 			Messages: []openai.Message{{Role: "user", Content: content}},
 		})
 	}
@@ -130,7 +130,7 @@
 	h := req.Header
 	h.Set("Authorization", "Bearer key-"+a.Class.Workspace)
 	h.Set(LoadIDHeader, id)
-	if a.Class.Keyed {
+	if a.Class.WithIdempotencyKey {
 		h.Set(entry.HeaderKey, id)
 	}
 	if a.Class.Priority != "" {
@@ -144,13 +144,13 @@
 
 func expected(a Arrival, text string, req *http.Request) string {
 	if a.Class.Model != "" {
-		return answer.Text(text, a.Output)
+		return answer.Text(text, a.OutputTokens)
 	}
 	return serviced.Answer(req.Method, req.URL.Path, nil)
 }
 
-// refused reads an answer that is no success.
-func (r *Result) refused(resp *http.Response) {
+// readError reads an unsuccessful response.
+func (r *Result) readError(resp *http.Response) {
 	var e openai.ErrorBody
 	_ = json.NewDecoder(resp.Body).Decode(&e)
 	r.Code = e.Error.Code
@@ -163,7 +163,7 @@
 	}
 }
 
-func (r *Result) readWhole(resp *http.Response, due time.Time, want string) {
+func (r *Result) readBody(resp *http.Response, due time.Time, want string) {
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		r.Outcome, r.Code = Broken, "cut"
--- a/internal/lab/load/mix.go
+++ b/internal/lab/load/mix.go
@@ -1,6 +1,6 @@
-// Package load is an open-loop load generator for the completion API and plain
-// services, with a check of every answer against the stand-ins' own records.
-// Arrivals don't wait for answers, so a slow system cannot slow its load down.
+// Package load is an open-loop load generator for the completion API and plain services. It checks
+// every response against the stand-ins' own records. Arrivals do not wait for responses, so that a
+// slow system does not reduce its own load.
 package load
 
 import (
@@ -12,36 +12,36 @@
 	"github.com/rockdoor/rockdoor/fault"
 )
 
-// Class is one kind of request.
+// Class is a kind of request.
 type Class struct {
 	Name string
 	// Model is set for completions, Path for calls to a service.
 	Model string
 	Path  string
-	// Workspace is the name of the caller; its API key is "key-" and the name.
+	// Workspace is the workspace of the clients. Its API key is "key-" followed by the name.
 	Workspace string
-	// PromptTokens and OutputTokens are means; the sizes are log-normal.
+	// PromptTokens and OutputTokens are means of log-normal distributions.
 	PromptTokens int
 	OutputTokens int
 	// Spread is the standard deviation of the logarithm of the sizes.
 	Spread float64
 	Stream bool
-	// Keyed requests carry an Idempotency-Key.
-	Keyed    bool
-	Priority string
-	Selector string
-	// FirstToken and BetweenTokens are the bounds for a useful answer, 0 for none.
-	FirstToken    time.Duration
-	BetweenTokens time.Duration
-	// Whole is the bound on the whole answer, 0 for none.
-	Whole time.Duration
+	// WithIdempotencyKey has requests carry an Idempotency-Key header.
+	WithIdempotencyKey bool
+	Priority           string
+	Selector           string
+	// FirstTokenBound and TokenGapBound are the time bounds of a useful response; 0 means none.
+	FirstTokenBound time.Duration
+	TokenGapBound   time.Duration
+	// TotalBound is the time bound of the complete response; 0 means none.
+	TotalBound time.Duration
 }
 
-// Phase is a time with a constant rate for each class.
+// Phase is a period with a constant request rate for each class.
 type Phase struct {
 	Name     string
 	Duration time.Duration
-	// Rates are in requests a second, by class name.
+	// Rates are in requests per second, by class name.
 	Rates map[string]float64
 }
 
@@ -53,7 +53,7 @@
 	Phases  []Phase
 }
 
-// Duration returns the length of all phases.
+// Duration returns the total duration of all phases.
 func (m Mix) Duration() time.Duration {
 	var d time.Duration
 	for _, p := range m.Phases {
@@ -72,26 +72,26 @@
 	return nil
 }
 
-// Bounds of a useful answer, from the users' target.
+// Time bounds of a useful response, from the users' target.
 const (
-	firstTokenBound    = 810 * time.Millisecond
-	betweenTokensBound = 44 * time.Millisecond
-	flagBound          = 100 * time.Millisecond
+	firstTokenBound = 810 * time.Millisecond
+	tokenGapBound   = 44 * time.Millisecond
+	serviceBound    = 100 * time.Millisecond
 )
 
-// trinacria holds the classes of the feature-flag service.
+// trinacria holds the classes of Trinacria's feature-flag service.
 var trinacria = []Class{
-	{Name: "review", Model: "rule-review", Workspace: "palermo", PromptTokens: 2000, OutputTokens: 8, Spread: 0.5, Stream: true, Keyed: true, FirstToken: firstTokenBound, BetweenTokens: betweenTokensBound},
-	{Name: "notes", Model: "rollout-notes", Workspace: "releases", PromptTokens: 200, OutputTokens: 100, Spread: 0.4, Stream: true, FirstToken: firstTokenBound, BetweenTokens: betweenTokensBound},
-	{Name: "flag", Path: "/flags/checkout", Workspace: "palermo", Priority: "urgent", Whole: flagBound},
-	{Name: "kill", Path: "/kill-switch/checkout", Workspace: "palermo", Priority: "urgent", Whole: flagBound},
+	{Name: "review", Model: "rule-review", Workspace: "palermo", PromptTokens: 2000, OutputTokens: 8, Spread: 0.5, Stream: true, WithIdempotencyKey: true, FirstTokenBound: firstTokenBound, TokenGapBound: tokenGapBound},
+	{Name: "notes", Model: "rollout-notes", Workspace: "releases", PromptTokens: 200, OutputTokens: 100, Spread: 0.4, Stream: true, FirstTokenBound: firstTokenBound, TokenGapBound: tokenGapBound},
+	{Name: "flag", Path: "/flags/checkout", Workspace: "palermo", Priority: "urgent", TotalBound: serviceBound},
+	{Name: "kill", Path: "/kill-switch/checkout", Workspace: "palermo", Priority: "urgent", TotalBound: serviceBound},
 }
 
-// piimaring holds the classes of the collection rounds.
+// piimaring holds the classes of Piimaring's collection rounds.
 var piimaring = []Class{
-	{Name: "review", Model: "load-review", Workspace: "coop-tartu", PromptTokens: 3000, OutputTokens: 6, Spread: 0.6, Stream: true, Keyed: true, FirstToken: firstTokenBound, BetweenTokens: betweenTokensBound},
-	{Name: "notes", Model: "pickup-notes", Workspace: "coop-voru", PromptTokens: 150, OutputTokens: 80, Spread: 0.4, Stream: true, FirstToken: firstTokenBound, BetweenTokens: betweenTokensBound},
-	{Name: "round", Path: "/rounds/today", Workspace: "coop-tartu", Priority: "urgent", Whole: flagBound},
+	{Name: "review", Model: "load-review", Workspace: "coop-tartu", PromptTokens: 3000, OutputTokens: 6, Spread: 0.6, Stream: true, WithIdempotencyKey: true, FirstTokenBound: firstTokenBound, TokenGapBound: tokenGapBound},
+	{Name: "notes", Model: "pickup-notes", Workspace: "coop-voru", PromptTokens: 150, OutputTokens: 80, Spread: 0.4, Stream: true, FirstTokenBound: firstTokenBound, TokenGapBound: tokenGapBound},
+	{Name: "round", Path: "/rounds/today", Workspace: "coop-tartu", Priority: "urgent", TotalBound: serviceBound},
 }
 
 func rates(review, notes, urgent float64) map[string]float64 {
@@ -101,7 +101,7 @@
 // Mixes are the named loads.
 var Mixes = []Mix{
 	{
-		Name: "demo", Doc: "a short run of everything", Classes: trinacria,
+		Name: "demo", Doc: "a short run of all classes", Classes: trinacria,
 		Phases: []Phase{{Name: "all", Duration: 10 * time.Second, Rates: map[string]float64{"review": 6, "notes": 6, "flag": 40, "kill": 5}}},
 	},
 	{
@@ -129,7 +129,7 @@
 		Phases: []Phase{{Name: "all", Duration: 10 * time.Second, Rates: rates(0, 0, 100)}},
 	},
 	{
-		Name: "overload", Doc: "Trinacria, the model pool at about twice what it can do beside flag checks", Classes: trinacria,
+		Name: "overload", Doc: "Trinacria, about twice the capacity of the model pool beside flag checks", Classes: trinacria,
 		Phases: []Phase{{Name: "all", Duration: 10 * time.Second, Rates: rates(120, 150, 100)}},
 	},
 	{
@@ -152,16 +152,16 @@
 	return Mixes[i], nil
 }
 
-// Arrival is one request of a plan.
+// Arrival is one planned request.
 type Arrival struct {
-	At     time.Duration
-	Class  *Class
-	Prompt int // tokens
-	Output int // tokens
+	At           time.Duration
+	Class        *Class
+	PromptTokens int // tokens
+	OutputTokens int // tokens
 }
 
-// Plan draws the arrivals of a mix: a Poisson process for each class. Equal
-// seeds give equal plans.
+// Plan generates the arrivals of a mix as a Poisson process for each class. The same seed gives the
+// same plan.
 func Plan(m Mix, seed uint64, scale float64) []Arrival {
 	rng := rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15))
 	var plan []Arrival
@@ -174,7 +174,7 @@
 				continue
 			}
 			for at := exponential(rng, rate); at < p.Duration; at += exponential(rng, rate) {
-				plan = append(plan, Arrival{At: start + at, Class: c, Prompt: size(rng, c.PromptTokens, c.Spread), Output: size(rng, c.OutputTokens, c.Spread)})
+				plan = append(plan, Arrival{At: start + at, Class: c, PromptTokens: logNormalSize(rng, c.PromptTokens, c.Spread), OutputTokens: logNormalSize(rng, c.OutputTokens, c.Spread)})
 			}
 		}
 		start += p.Duration
@@ -187,8 +187,9 @@
 	return time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 }
 
-// size draws a log-normal size with the given mean.
-func size(rng *rand.Rand, mean int, spread float64) int {
+// logNormalSize draws from a log-normal distribution with the given mean. spread is the standard
+// deviation of the logarithm.
+func logNormalSize(rng *rand.Rand, mean int, spread float64) int {
 	if mean <= 0 {
 		return 0
 	}
--- a/internal/lab/load/report.go
+++ b/internal/lab/load/report.go
@@ -9,7 +9,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 )
 
-// Summary is one class of a run.
+// Summary summarizes the results of one class.
 type Summary struct {
 	Class    string
 	Requests int
@@ -71,24 +71,24 @@
 	t.Render()
 }
 
-// PrintViolations writes the broken promises.
+// PrintViolations writes the number of violations of each guarantee as a table.
 func PrintViolations(w io.Writer, v Violations) {
 	t := table.NewWriter()
 	t.SetOutputMirror(w)
 	t.SetStyle(table.StyleLight)
 	t.AppendHeader(table.Row{"promise", "broken"})
 	t.AppendRows([]table.Row{
-		{"runs at a wrong place", v.WrongPlace},
-		{"runs doubled", v.Doubled},
+		{"runs at a target not permitted", v.WrongPlace},
+		{"requests run more than once", v.Doubled},
 		{"false \"not run\"", v.FalseNotRun},
-		{"answers of another request", v.WrongAnswer},
-		{"requests without a final answer", v.Broken},
-		{"answers without a run", v.Missing},
+		{"responses of another request", v.WrongAnswer},
+		{"requests without a final response", v.Broken},
+		{"responses without a run", v.Missing},
 	})
 	t.Render()
 }
 
-// PrintCodes writes how often each code was given.
+// PrintCodes writes how often each combination of outcome and error code occurred.
 func PrintCodes(w io.Writer, results []Result) {
 	counts := map[string]int{}
 	for _, r := range results {
@@ -114,8 +114,8 @@
 	t.Render()
 }
 
-// PrintSummary writes one line with the share of requests whose answers were
-// useful, for all and for each class.
+// PrintSummary writes one line with the share of requests that got a useful response, in total and
+// for each class.
 func PrintSummary(w io.Writer, label string, sums []*Summary) {
 	good, all := 0, 0
 	for _, s := range sums {
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// Options of a run.
+// Options configure a run.
 type Options struct {
 	Mix     Mix
 	Seed    uint64
 	Scale   float64
 	Entries []string
-	// RunID makes the ids of requests unique between runs.
+	// RunID makes the IDs of requests unique between runs.
 	RunID string
 }
 
-// Run sends the planned arrivals and returns one result for each.
+// Run sends the planned requests and returns one result for each. If the context is canceled, it
+// stops early.
 func Run(ctx context.Context, o Options) []Result {
 	plan := Plan(o.Mix, o.Seed, o.Scale)
 	results := make([]Result, len(plan))
@@ -57,7 +58,7 @@
 	}
 }
 
-// Percentile returns the q-quantile of ds, 0 if there are none.
+// Percentile returns the q-quantile of ds, or 0 if ds is empty.
 func Percentile(ds []time.Duration, q float64) time.Duration {
 	if len(ds) == 0 {
 		return 0
