--- a/cmd/rockdoor-lab/fleet.go
+++ b/cmd/rockdoor-lab/fleet.go
@@ -17,17 +17,17 @@
 	fleetDomain     = "a"
 	fleetEvents     = 4
 	fleetSlots      = 16
-	// fleetRoleChange is shorter than a real engine's, for a short demonstration.
+	// fleetRoleChange is the time of a role change. It is shorter than a real engine's, for a short
+	// demonstration.
 	fleetRoleChange = 500 * time.Millisecond
 )
 
-// fleetStages are the stages of the engines that are started; the empty stage is
-// that of a backend server.
+// fleetStages are the initial stages of the engines; the empty stage is that of a backend server.
 var fleetStages = []string{"", "", fleetengine.StagePrefill, fleetengine.StageDecode, fleetengine.StageDecode, fleetengine.StageDecode}
 
 func fleetCommand() *cli.Command {
 	return &cli.Command{
-		Name: "fleet", Usage: "run stand-ins of the users' platform: its store, engines and backend servers, with a configuration",
+		Name: "fleet", Usage: "run stand-ins for the users' platform: its store, engines and backend servers, with a sample configuration",
 		Flags: []cli.Flag{&cli.StringFlag{Name: "ip", Usage: "loopback `IP` to listen on", Value: "127.0.7.1"}},
 		Action: func(c *cli.Context) error {
 			ip := c.String("ip")
@@ -46,7 +46,7 @@
 	}
 }
 
-// newEngine returns a stand-in that is registered at the store.
+// newEngine returns a stand-in for an engine or backend server and registers it in the store.
 func newEngine(n int, stage, address string, store *fleetstore.Server) *fleetengine.Engine {
 	e := fleetengine.New(fmt.Sprintf("i-%d", n+1), stage)
 	e.RoleChange = fleetRoleChange
--- a/cmd/rockdoor-lab/main.go
+++ b/cmd/rockdoor-lab/main.go
@@ -1,5 +1,5 @@
-// Command rockdoor-lab holds the stand-ins for the systems around rockdoor and
-// the load tool. It is for tests and trials and is not shipped.
+// Command rockdoor-lab runs stand-ins for the systems around rockdoor, load generators and fault
+// tests. It is for tests and trials and is not shipped.
 package main
 
 import (
@@ -24,7 +24,7 @@
 
 func main() {
 	app := &cli.App{
-		Name: "rockdoor-lab", Usage: "stand-ins and load for tests",
+		Name: "rockdoor-lab", Usage: "stand-ins and load generators for tests",
 		Commands: []*cli.Command{platformCommand(), engineCommand(), serviceCommand(), loadCommand(), scaleCommand(), fleetCommand(), replayCommand(), soakCommand()},
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -39,7 +39,7 @@
 	return &cli.StringFlag{Name: "listen", Required: true, Usage: "`ADDRESS` to serve on"}
 }
 
-// serve runs a handler until the context ends.
+// serve serves a handler until the context is canceled.
 func serve(ctx context.Context, address string, h http.Handler) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -68,10 +68,10 @@
 		Flags: []cli.Flag{
 			listenFlag(),
 			&cli.StringFlag{Name: "name", Required: true},
-			&cli.BoolFlag{Name: "fencing", Usage: "refuse old fencing tokens"},
+			&cli.BoolFlag{Name: "fencing", Usage: "reject outdated fencing tokens"},
 			&cli.StringFlag{Name: "role", Value: string(engine.RoleMixed)},
-			&cli.BoolFlag{Name: "instant", Usage: "answer at once"},
-			&cli.Float64Flag{Name: "speedup", Value: 1, Usage: "divide all times by this"},
+			&cli.BoolFlag{Name: "instant", Usage: "respond without any delay"},
+			&cli.Float64Flag{Name: "speedup", Value: 1, Usage: "divide all durations by this"},
 		},
 		Action: func(c *cli.Context) error {
 			t := engined.DefaultTiming
--- a/cmd/rockdoor-lab/replay.go
+++ b/cmd/rockdoor-lab/replay.go
@@ -15,23 +15,23 @@
 
 func replayCommand() *cli.Command {
 	return &cli.Command{
-		Name: "replay", Usage: "play a load against the placement of prompts, in virtual time",
+		Name: "replay", Usage: "simulate the placement of prompts under a load, in virtual time",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "readers", Value: 6, Usage: "engines that read"},
-			&cli.IntFlag{Name: "placers", Value: 9, Usage: "processes that decide"},
-			&cli.Float64Flag{Name: "factor", Value: 1, Usage: "multiplies the load"},
-			&cli.DurationFlag{Name: "length", Value: 10 * time.Second, Usage: "how long requests come"},
-			&cli.IntFlag{Name: "seeds", Value: 8, Usage: "courses to play"},
-			&cli.BoolFlag{Name: "compare", Usage: "play each scenario with and without each mechanism, on the same seeds, and print a table"},
-			&cli.StringSliceFlag{Name: "without", Usage: "with --compare: only `MECHANISM`; may be repeated"},
-			&cli.StringSliceFlag{Name: "scenario", Usage: "with --compare: only `SCENARIO`; may be repeated"},
-			&cli.IntFlag{Name: "parallel", Value: 4, Usage: "with --compare: courses to play at a time"},
+			&cli.IntFlag{Name: "readers", Value: 6, Usage: "number of prefill engines"},
+			&cli.IntFlag{Name: "placers", Value: 9, Usage: "number of processes that decide on placement"},
+			&cli.Float64Flag{Name: "factor", Value: 1, Usage: "multiply the request rates by this"},
+			&cli.DurationFlag{Name: "length", Value: 10 * time.Second, Usage: "how long requests arrive, in virtual time"},
+			&cli.IntFlag{Name: "seeds", Value: 8, Usage: "number of runs, each with its own seed"},
+			&cli.BoolFlag{Name: "compare", Usage: "run each scenario with and without each mechanism, with the same seeds, and print a table"},
+			&cli.StringSliceFlag{Name: "without", Usage: "with --compare: leave out only `MECHANISM`; may be repeated"},
+			&cli.StringSliceFlag{Name: "scenario", Usage: "with --compare: run only `SCENARIO`; may be repeated"},
+			&cli.IntFlag{Name: "parallel", Value: 4, Usage: "with --compare: number of runs at a time"},
 		},
 		Action: runReplay,
 	}
 }
 
-// runReplay prints the shares of requests that were answered, and in time, by kind.
+// runReplay prints, for each kind, the shares of requests that were answered and answered in time.
 func runReplay(c *cli.Context) error {
 	if c.Int("seeds") <= 0 || c.Int("parallel") <= 0 {
 		return cli.Exit("seeds and parallel must be positive", 2)
@@ -64,50 +64,50 @@
 	return nil
 }
 
-// compareMechanisms prints what each mechanism is worth on each scenario.
+// compareMechanisms prints the effect of each mechanism on the worth of each scenario.
 func compareMechanisms(c *cli.Context) error {
 	scenarios, err := selectByName(replay.Scenarios(), c.StringSlice("scenario"), func(s replay.Scenario) string { return s.Name })
 	if err != nil {
 		return err
 	}
-	switches, err := selectByName(replay.Ablations(), c.StringSlice("without"), func(s replay.Ablation) string { return s.Name })
+	ablations, err := selectByName(replay.Ablations(), c.StringSlice("without"), func(s replay.Ablation) string { return s.Name })
 	if err != nil {
 		return err
 	}
 	w := tabwriter.NewWriter(c.App.Writer, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "scenario\twithout\tworth with\tworth without\tdifference\tstandard error")
 	for _, s := range scenarios {
-		if err := compareOnScenario(c, w, s, switches); err != nil {
+		if err := compareOnScenario(c, w, s, ablations); err != nil {
 			return err
 		}
 	}
 	return w.Flush()
 }
 
-func compareOnScenario(c *cli.Context, w io.Writer, s replay.Scenario, switches []replay.Ablation) error {
+func compareOnScenario(c *cli.Context, w io.Writer, s replay.Scenario, ablations []replay.Ablation) error {
 	seeds, parallel := c.Int("seeds"), c.Int("parallel")
 	with, err := replay.WorthBySeed(s.Options, seeds, parallel)
 	if err != nil {
 		return err
 	}
-	for _, off := range switches {
+	for _, ablation := range ablations {
 		o := s.Options
-		off.Disable(&o)
+		ablation.Disable(&o)
 		without, err := replay.WorthBySeed(o, seeds, parallel)
 		if err != nil {
 			return err
 		}
 		d := replay.Compare(with, without)
 		if d.Identical {
-			fmt.Fprintf(w, "%s\t%s\t%.4f\t%.4f\tthe same outcomes\t\n", s.Name, off.Name, d.With, d.Without)
+			fmt.Fprintf(w, "%s\t%s\t%.4f\t%.4f\tthe same outcomes\t\n", s.Name, ablation.Name, d.With, d.Without)
 			continue
 		}
-		fmt.Fprintf(w, "%s\t%s\t%.4f\t%.4f\t%+.4f\t%.4f\n", s.Name, off.Name, d.With, d.Without, d.Difference, d.StandardError)
+		fmt.Fprintf(w, "%s\t%s\t%.4f\t%.4f\t%+.4f\t%.4f\n", s.Name, ablation.Name, d.With, d.Without, d.Difference, d.StandardError)
 	}
 	return nil
 }
 
-// selectByName returns the items with the names, all if none is named.
+// selectByName returns the items with the given names, or all items if no name is given.
 func selectByName[T any](all []T, names []string, name func(T) string) ([]T, error) {
 	if len(names) == 0 {
 		return all, nil
--- a/cmd/rockdoor-lab/scale.go
+++ b/cmd/rockdoor-lab/scale.go
@@ -19,13 +19,13 @@
 	"github.com/urfave/cli/v2"
 )
 
-// clockTicks is the unit of processor time in /proc, in ticks a second.
+// clockTicks is the number of ticks per second in which /proc states CPU time.
 const clockTicks = 100
 
 func scaleCommand() *cli.Command {
 	return &cli.Command{
-		Name: "scale", Usage: "measure what control costs in a fleet that runs already",
-		Description: "DIR holds NAME.pid and NAME.log of each entry process, and NAME.admin with its admin address.",
+		Name: "scale", Usage: "measure the cost of control traffic in a running fleet",
+		Description: "DIR contains NAME.pid and NAME.log of each entry process, and NAME.admin with its admin address.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "dir", Required: true},
 			&cli.StringFlag{Name: "platform", Required: true, Usage: "base URL of the platform stand-in"},
@@ -35,7 +35,7 @@
 	}
 }
 
-// sample is the use of resources up to a moment.
+// sample is the resource usage of a process up to a point in time.
 type sample struct {
 	cpu   float64 // seconds
 	bytes float64 // control bytes in and out
@@ -53,7 +53,7 @@
 	}
 	before := map[string]sample{}
 	for _, f := range pidFiles {
-		if before[f], err = sampleOf(c.Context, f); err != nil {
+		if before[f], err = takeSample(c.Context, f); err != nil {
 			return err
 		}
 	}
@@ -61,7 +61,7 @@
 	time.Sleep(c.Duration("for"))
 	var cpu, bytes, rss []float64
 	for _, f := range pidFiles {
-		s, err := sampleOf(c.Context, f)
+		s, err := takeSample(c.Context, f)
 		if err != nil {
 			return err
 		}
@@ -78,14 +78,14 @@
 	t := table.NewWriter()
 	t.SetOutputMirror(os.Stdout)
 	t.AppendHeader(table.Row{"processes", "per process", "p50", "max"})
-	t.AppendRow(table.Row{len(pidFiles), "processor, % of a core", median(cpu), slices.Max(cpu)})
+	t.AppendRow(table.Row{len(pidFiles), "CPU, % of a core", median(cpu), slices.Max(cpu)})
 	t.AppendRow(table.Row{"", "control bytes/s", median(bytes), slices.Max(bytes)})
 	t.AppendRow(table.Row{"", "resident MB", median(rss), slices.Max(rss)})
 	for kind, n := range calls1 {
 		t.AppendRow(table.Row{"", "platform " + kind + "/s, whole fleet", fmt.Sprintf("%.2f", float64(n-calls0[kind])/secs), ""})
 	}
 	t.Render()
-	return spreadTimes(c.String("dir"))
+	return printPropagationTimes(c.String("dir"))
 }
 
 func median(v []float64) float64 {
@@ -117,7 +117,7 @@
 	return string(data), err
 }
 
-func sampleOf(ctx context.Context, pidFile string) (sample, error) {
+func takeSample(ctx context.Context, pidFile string) (sample, error) {
 	base := strings.TrimSuffix(pidFile, ".pid")
 	pid, err := os.ReadFile(pidFile)
 	if err != nil {
@@ -147,13 +147,13 @@
 }
 
 var (
-	inForce  = regexp.MustCompile(`ts=(\S+).*msg="configuration in force" revision=(\d+)`)
-	accepted = regexp.MustCompile(`ts=(\S+).*msg="change accepted" revision=(\d+)`)
+	inForceLine  = regexp.MustCompile(`ts=(\S+).*msg="configuration in force" revision=(\d+)`)
+	acceptedLine = regexp.MustCompile(`ts=(\S+).*msg="change accepted" revision=(\d+)`)
 )
 
-// spreadTimes prints, for each revision, how long after its acceptance it was in
-// force at the processes. All clocks are the same machine's.
-func spreadTimes(dir string) error {
+// printPropagationTimes prints, for each revision, how long after its acceptance it was in force at
+// the processes. It relies on all processes running on the same machine, with one clock.
+func printPropagationTimes(dir string) error {
 	logs, err := filepath.Glob(filepath.Join(dir, "entry-*.log"))
 	if err != nil {
 		return err
@@ -166,10 +166,10 @@
 			return err
 		}
 		for sc := bufio.NewScanner(f); sc.Scan(); {
-			if m := accepted.FindStringSubmatch(sc.Text()); m != nil {
+			if m := acceptedLine.FindStringSubmatch(sc.Text()); m != nil {
 				start[atoi(m[2])] = parseTime(m[1])
 			}
-			if m := inForce.FindStringSubmatch(sc.Text()); m != nil {
+			if m := inForceLine.FindStringSubmatch(sc.Text()); m != nil {
 				adopted[atoi(m[2])] = append(adopted[atoi(m[2])], parseTime(m[1]))
 			}
 		}
--- a/cmd/rockdoor-lab/soak.go
+++ b/cmd/rockdoor-lab/soak.go
@@ -15,23 +15,23 @@
 	soakMinutes   = 0.5
 	soakProcesses = 8
 	soakCallers   = 3
-	// mostSoakProcesses is what the machines of developers bear.
-	mostSoakProcesses = 250
+	// maxSoakProcesses is the number of processes that a developer's machine can run.
+	maxSoakProcesses = 250
 )
 
 func soakCommand() *cli.Command {
 	return &cli.Command{
-		Name: "soak", Usage: "run gateways as processes between stand-ins, strike them with faults, and check their promises",
+		Name: "soak", Usage: "run gateways as processes between stand-ins, inject faults, and check their guarantees",
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: "seed", Usage: "`NUMBER` that fixes the schedule of faults", Value: 1},
-			&cli.Float64Flag{Name: "minutes", Usage: "how long faults are put in", Value: soakMinutes},
-			&cli.IntFlag{Name: "processes", Usage: "how many gateways run", Value: soakProcesses},
-			&cli.IntFlag{Name: "callers", Usage: "how many callers each gateway has", Value: soakCallers},
-			&cli.DurationFlag{Name: "think", Usage: "mean `TIME` between an answer and a caller's next request; 0 is that of a small deployment"},
-			&cli.StringFlag{Name: "site", Usage: "`FILE` of the users' platform whose layout and bounds the run has; with --processes 0 as many as it has hosts"},
-			&cli.BoolFlag{Name: "regressions", Usage: "play all runs that ever failed instead of a seed"},
-			&cli.StringFlag{Name: "binary", Usage: "the rockdoor `FILE` to run; the one beside this program if empty"},
-			&cli.StringFlag{Name: "dir", Usage: "`DIRECTORY` for settings and logs; a temporary one if empty, kept if a promise was broken"},
+			&cli.Uint64Flag{Name: "seed", Usage: "`NUMBER` that determines the schedule of faults", Value: 1},
+			&cli.Float64Flag{Name: "minutes", Usage: "how long faults are injected", Value: soakMinutes},
+			&cli.IntFlag{Name: "processes", Usage: "number of gateways", Value: soakProcesses},
+			&cli.IntFlag{Name: "callers", Usage: "number of clients for each gateway", Value: soakCallers},
+			&cli.DurationFlag{Name: "think", Usage: "mean `TIME` between a response and the client's next request; 0 uses that of a small deployment"},
+			&cli.StringFlag{Name: "site", Usage: "`FILE` of the users' platform with the layout and bounds of the run; --processes 0 then runs one gateway per host"},
+			&cli.BoolFlag{Name: "regressions", Usage: "repeat all runs that ever failed instead of a seed"},
+			&cli.StringFlag{Name: "binary", Usage: "the rockdoor `FILE` to run; by default the one beside this program"},
+			&cli.StringFlag{Name: "dir", Usage: "`DIRECTORY` for settings and logs; by default a temporary one, kept if a guarantee was violated"},
 		},
 		Action: runSoak,
 	}
@@ -43,26 +43,26 @@
 		if err := readSite(c.String("site"), &o); err != nil {
 			return err
 		}
-		if o.Processes < 1 || o.Processes > mostSoakProcesses {
-			return fmt.Errorf("give 1 to %d processes, not %d", mostSoakProcesses, o.Processes)
+		if o.Processes < 1 || o.Processes > maxSoakProcesses {
+			return fmt.Errorf("the number of processes must be 1 to %d, not %d", maxSoakProcesses, o.Processes)
 		}
-		return playSoak(c, o)
+		return runSeed(c, o)
 	}
 	failed := 0
 	for _, r := range soak.Regressions {
-		fmt.Fprintf(c.App.Writer, "seed %d, which failed since %s\n", r.Seed, r.Cause)
-		if err := playSoak(c, soak.Options{Seed: r.Seed, Processes: r.Processes, Length: r.Length, Bounds: soak.DefaultBounds}); err != nil {
+		fmt.Fprintf(c.App.Writer, "seed %d, which failed because %s\n", r.Seed, r.Cause)
+		if err := runSeed(c, soak.Options{Seed: r.Seed, Processes: r.Processes, Length: r.Length, Bounds: soak.DefaultBounds}); err != nil {
 			fmt.Fprintln(c.App.Writer, err)
 			failed++
 		}
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d of %d runs that failed once fail", failed, len(soak.Regressions))
+		return fmt.Errorf("%d of %d runs that failed before failed again", failed, len(soak.Regressions))
 	}
 	return nil
 }
 
-// readSite takes the layout and the bounds from a site file, if one is named.
+// readSite reads the layout and the bounds from a site file, if one is given.
 func readSite(file string, o *soak.Options) (err error) {
 	if file == "" {
 		return nil
@@ -73,8 +73,8 @@
 	return err
 }
 
-// playSoak plays one seed and prints its report.
-func playSoak(c *cli.Context, o soak.Options) error {
+// runSeed runs the schedule of one seed and prints its report.
+func runSeed(c *cli.Context, o soak.Options) error {
 	binary, err := soakBinary(c.String("binary"))
 	if err != nil {
 		return err
@@ -91,7 +91,7 @@
 	}
 	r.Write(c.App.Writer)
 	if broken := len(r.Broken()); broken > 0 {
-		return fmt.Errorf("%d promises were broken", broken)
+		return fmt.Errorf("%d guarantees were violated", broken)
 	}
 	if keep {
 		return nil
@@ -99,7 +99,7 @@
 	return os.RemoveAll(dir)
 }
 
-// soakBinary returns the program that is run as a gateway.
+// soakBinary returns the program to run as a gateway.
 func soakBinary(binary string) (string, error) {
 	if binary != "" {
 		return binary, nil
@@ -111,7 +111,8 @@
 	return filepath.Join(filepath.Dir(self), "rockdoor"), nil
 }
 
-// soakDir returns the directory for settings and logs, and whether it is kept in any case.
+// soakDir returns the directory for settings and logs, and whether it is kept even if the run
+// succeeds.
 func soakDir(dir string) (string, bool, error) {
 	if dir == "" {
 		made, err := os.MkdirTemp("", "rockdoor-soak-")
