--- a/internal/lab/soak/check.go
+++ b/internal/lab/soak/check.go
@@ -13,22 +13,22 @@
 type checker struct {
 	o        Options
 	observed *Observations
-	// calls is indexed by request ID, arrivals too; the arrivals of a request are in order of time.
-	calls    map[string]*Call
-	arrivals map[string][]*Arrival
-	healed   time.Time
+	// calls and arrivals are indexed by request ID. The arrivals of a request are ordered by time.
+	calls       map[string]*Call
+	arrivals    map[string][]*Arrival
+	faultsEnded time.Time
 	// usageReports are the usage reports that the platform's API received.
 	usageReports []fleetapi.Call
 }
 
 // check checks all guarantees and returns the report.
-func check(w *world, healed time.Time) *Report {
+func check(w *world, faultsEnded time.Time) *Report {
 	w.observed.mu.Lock()
 	defer w.observed.mu.Unlock()
-	c := newChecker(w.o, w.observed, healed)
+	c := newChecker(w.o, w.observed, faultsEnded)
 	c.usageReports = w.api.Calls()
 	r := c.summary()
-	for _, p := range []struct {
+	for _, g := range []struct {
 		check func() Guarantee
 		// rate is the number of cases that a run needs per process and minute of faults.
 		rate float64
@@ -39,25 +39,26 @@
 		{c.budget, 0}, {c.deadlines, 30}, {c.canceledWorkEnds, 2}, {c.resumedRunsExclusive, 0}, {c.singleHolder, 1}, {c.ordersUnderLease, 1},
 		{c.usageWindowsStable, 1}, {c.plannedStopsLoseNothing, 2}, {c.processesExitWhenTold, 1}, {c.logsAreClean, 1}, {c.servesAfterRecovery, 3},
 	} {
-		guarantee := p.check()
-		guarantee.MinCases = int(p.rate * c.o.Length.Minutes() * float64(c.o.Processes))
+		guarantee := g.check()
+		guarantee.MinCases = int(g.rate * c.o.Length.Minutes() * float64(c.o.Processes))
 		r.Guarantees = append(r.Guarantees, guarantee)
 	}
 	return r
 }
 
 // minWithdrawalRate is the number of withdrawals that a run needs per process and minute. Without
-// it, runs of 65 processes with 2 and 7 withdrawals were reported as kept, which proved nothing.
+// it, runs of 65 processes with only 2 and 7 withdrawals were reported as kept, although they
+// proved nothing.
 const minWithdrawalRate = 1.5
 
 // minLimitCaseRate is the number of instances with a rate limit that a run needs per process and
 // minute.
 const minLimitCaseRate = 0.5
 
-func newChecker(o Options, f *Observations, healed time.Time) *checker {
+func newChecker(o Options, f *Observations, faultsEnded time.Time) *checker {
 	o.setDefaults()
 	o.Bounds = o.relaxedBounds()
-	c := &checker{o: o, observed: f, calls: map[string]*Call{}, arrivals: map[string][]*Arrival{}, healed: healed}
+	c := &checker{o: o, observed: f, calls: map[string]*Call{}, arrivals: map[string][]*Arrival{}, faultsEnded: faultsEnded}
 	for _, call := range f.Calls {
 		c.calls[call.ID] = call
 	}
@@ -82,7 +83,7 @@
 	for _, d := range c.observed.Disturbances {
 		r.Faults[d.Fault]++
 	}
-	r.ServedShare, _ = c.servedAfter(c.healed.Add(c.o.Bounds.Recovery))
+	r.ServedShare, _ = c.servedAfter(c.faultsEnded.Add(c.o.Bounds.Recovery))
 	return r
 }
 
@@ -115,13 +116,13 @@
 }
 
 // addViolation adds a violation, to which the caller may add log patterns.
-func (p *Guarantee) addViolation(request, format string, args ...any) *Violation {
-	p.Violations = append(p.Violations, Violation{Request: request, What: fmt.Sprintf(format, args...)})
-	return &p.Violations[len(p.Violations)-1]
+func (g *Guarantee) addViolation(request, format string, args ...any) *Violation {
+	g.Violations = append(g.Violations, Violation{Request: request, What: fmt.Sprintf(format, args...)})
+	return &g.Violations[len(g.Violations)-1]
 }
 
 // addLogPatterns adds substrings of the log lines that belong to the violation.
-func (b *Violation) addLogPatterns(all ...string) { b.LogPatterns = append(b.LogPatterns, all...) }
+func (v *Violation) addLogPatterns(all ...string) { v.LogPatterns = append(v.LogPatterns, all...) }
 
 // servedAfter returns the share of the requests sent after a time that got a complete response, and
 // the number of those requests. Requests that their client canceled are not counted.
@@ -143,11 +144,11 @@
 const minServedShare = 0.9
 
 func (c *checker) servesAfterRecovery() Guarantee {
-	p := Guarantee{Name: "requests are served again after the faults have ended"}
-	share, total := c.servedAfter(c.healed.Add(c.o.Bounds.Recovery))
-	p.Cases = total
+	g := Guarantee{Name: "requests are served again after the faults have ended"}
+	share, total := c.servedAfter(c.faultsEnded.Add(c.o.Bounds.Recovery))
+	g.Cases = total
 	if share < minServedShare {
-		p.addViolation("", "%.0f%% of %d requests got a complete response", 100*share, total)
+		g.addViolation("", "%.0f%% of %d requests got a complete response", 100*share, total)
 	}
-	return p
+	return g
 }
--- a/internal/lab/soak/check_answers.go
+++ b/internal/lab/soak/check_answers.go
@@ -24,28 +24,28 @@
 // responsesComplete checks that a successful response is the instance's complete response to this
 // request, and that a truncated one does not appear complete.
 func (c *checker) responsesComplete() Guarantee {
-	p := Guarantee{Name: "a successful response is the complete response to its own request"}
+	g := Guarantee{Name: "a successful response is the complete response to its own request"}
 	for _, call := range c.observed.Calls {
 		if call.Status == 0 {
 			continue
 		}
-		p.Cases++
+		g.Cases++
 		want := expected(call)
 		success := call.Status/100 == 2
 		switch {
 		case success && !call.Sealed:
-			p.addViolation(call.ID, "%s: success without a seal", call.ID)
+			g.addViolation(call.ID, "%s: success without a seal", call.ID)
 		case success && call.Complete && call.ResponseBody != want:
-			p.addViolation(call.ID, "%s: appears complete but is %q", call.ID, tail(call.ResponseBody))
+			g.addViolation(call.ID, "%s: appears complete but is %q", call.ID, tail(call.ResponseBody))
 		case success && !strings.HasPrefix(want, call.ResponseBody):
-			p.addViolation(call.ID, "%s: does not match the expected response: %q", call.ID, tail(call.ResponseBody))
+			g.addViolation(call.ID, "%s: does not match the expected response: %q", call.ID, tail(call.ResponseBody))
 		case !success && call.Sealed && !c.instanceReturned(call):
-			p.addViolation(call.ID, "%s: sealed response %d that no instance returned", call.ID, call.Status)
+			g.addViolation(call.ID, "%s: sealed response %d that no instance returned", call.ID, call.Status)
 		case call.Err == fleetcaller.ErrExcess.Error():
-			p.addViolation(call.ID, "%s: bytes after the response", call.ID)
+			g.addViolation(call.ID, "%s: bytes after the response", call.ID)
 		}
 	}
-	return p
+	return g
 }
 
 func tail(text string) string { return text[max(0, len(text)-80):] }
@@ -61,32 +61,32 @@
 
 // refusedNeverRun checks that a request that was rejected with one of these statuses never runs.
 func (c *checker) refusedNeverRun() Guarantee {
-	p := Guarantee{Name: "rejected requests have not run and do not run later"}
+	g := Guarantee{Name: "rejected requests have not run and do not run later"}
 	for _, call := range c.observed.Calls {
 		if !slices.Contains(refusals, call.Status) {
 			continue
 		}
-		p.Cases++
+		g.Cases++
 		for _, a := range c.runs(call.ID) {
-			p.addViolation(call.ID, "%s: rejected with %d, but ran at %s", call.ID, call.Status, a.Instance)
+			g.addViolation(call.ID, "%s: rejected with %d, but ran at %s", call.ID, call.Status, a.Instance)
 		}
 	}
-	return p
+	return g
 }
 
 // allowedNotDenied checks that requests that every configuration allows are not denied.
 func (c *checker) allowedNotDenied() Guarantee {
-	p := Guarantee{Name: "requests that all configurations allow are not denied"}
+	g := Guarantee{Name: "requests that all configurations allow are not denied"}
 	for _, call := range c.observed.Calls {
 		if call.Kind == Only || call.Status == 0 {
 			continue
 		}
-		p.Cases++
+		g.Cases++
 		if call.Status/100 == 3 || call.Status/100 == 4 && !slices.Contains(refusals, call.Status) {
-			p.addViolation(call.ID, "%s: denied with %d: %s", call.ID, call.Status, tail(call.ResponseBody))
+			g.addViolation(call.ID, "%s: denied with %d: %s", call.ID, call.Status, tail(call.ResponseBody))
 		}
 	}
-	return p
+	return g
 }
 
 const (
@@ -102,43 +102,43 @@
 // reusedConnsAnswered checks that an undisturbed process answers a request on a reused connection
 // that it passed on to an instance which did not abort it.
 func (c *checker) reusedConnsAnswered() Guarantee {
-	p := Guarantee{Name: "undisturbed processes answer requests on reused connections"}
-	open := map[int][]*Call{}
+	g := Guarantee{Name: "undisturbed processes answer requests on reused connections"}
+	unanswered := map[int][]*Call{}
 	for _, call := range c.observed.Calls {
 		if !call.ReusedConn || !c.undisturbed(call.Gateway, call.Ended) {
 			continue
 		}
-		p.Cases++
+		g.Cases++
 		arrivals := c.arrivals[call.ID]
-		sound := len(arrivals) > 0 && !anyAborted(arrivals)
-		if call.Status == 0 && call.CanceledAt.IsZero() && sound && call.duration() < call.Timeout {
-			open[call.Gateway] = append(open[call.Gateway], call)
+		completed := len(arrivals) > 0 && !anyAborted(arrivals)
+		if call.Status == 0 && call.CanceledAt.IsZero() && completed && call.duration() < call.Timeout {
+			unanswered[call.Gateway] = append(unanswered[call.Gateway], call)
 		}
 	}
-	for gateway, calls := range open {
+	for gateway, calls := range unanswered {
 		if len(calls) > maxUnanswered {
-			p.addViolation(calls[0].ID, "%s left %d requests unanswered, first %s: %s", gatewayName(gateway), len(calls), calls[0].ID, calls[0].Err)
+			g.addViolation(calls[0].ID, "%s left %d requests unanswered, first %s: %s", gatewayName(gateway), len(calls), calls[0].ID, calls[0].Err)
 		}
 	}
-	return p
+	return g
 }
 
 // answeredInTime checks that undisturbed processes respond soon after the timeout of a route.
 func (c *checker) answeredInTime() Guarantee {
-	p := Guarantee{Name: "undisturbed processes send a final response soon after the timeout"}
-	past, late := 0, []*Call{}
+	g := Guarantee{Name: "undisturbed processes send a final response soon after the timeout"}
+	reachedTimeout, late := 0, []*Call{}
 	for _, call := range c.observed.Calls {
 		if !call.CanceledAt.IsZero() || call.duration() < call.Timeout || !c.undisturbed(call.Gateway, call.Ended) {
 			continue
 		}
-		past++
+		reachedTimeout++
 		if call.duration() > call.Timeout+c.o.Bounds.LateResponse {
 			late = append(late, call)
 		}
 	}
-	p.Cases = past
-	if len(late) > maxLateResponses && float64(len(late)) > maxLateShare*float64(past) {
-		p.addViolation(late[0].ID, "%d of %d requests were unanswered %s after their timeout, first %s", len(late), past, c.o.Bounds.LateResponse, late[0].ID)
+	g.Cases = reachedTimeout
+	if len(late) > maxLateResponses && float64(len(late)) > maxLateShare*float64(reachedTimeout) {
+		g.addViolation(late[0].ID, "%d of %d requests were unanswered %s after their timeout, first %s", len(late), reachedTimeout, c.o.Bounds.LateResponse, late[0].ID)
 	}
-	return p
+	return g
 }
--- a/internal/lab/soak/check_arrivals.go
+++ b/internal/lab/soak/check_arrivals.go
@@ -12,35 +12,35 @@
 
 // atMostOnce checks that requests that must not be retried run at most once.
 func (c *checker) atMostOnce() Guarantee {
-	p := Guarantee{Name: "requests that must not be retried run at most once"}
+	g := Guarantee{Name: "requests that must not be retried run at most once"}
 	for _, call := range c.observed.Calls {
 		if !call.Kind.AtMostOnce() {
 			continue
 		}
-		p.Cases++
+		g.Cases++
 		if runs := c.runs(call.ID); len(runs) > 1 {
-			p.addViolation(call.ID, "%s: ran %d times, at %s and %s", call.ID, len(runs), runs[0].Instance, runs[1].Instance)
+			g.addViolation(call.ID, "%s: ran %d times, at %s and %s", call.ID, len(runs), runs[0].Instance, runs[1].Instance)
 		}
 	}
-	return p
+	return g
 }
 
 // requestsUnchanged checks that instances get requests exactly as clients sent them, and no others.
 func (c *checker) requestsUnchanged() Guarantee {
-	p := Guarantee{Name: "instances get the requests of clients, unchanged"}
+	g := Guarantee{Name: "instances get the requests of clients, unchanged"}
 	for _, a := range c.observed.Arrivals {
-		p.Cases++
+		g.Cases++
 		call := c.calls[a.ID]
 		switch {
 		case call == nil:
-			p.addViolation(a.ID, "%s: arrived at %s, but no client sent it", a.ID, a.Instance)
+			g.addViolation(a.ID, "%s: arrived at %s, but no client sent it", a.ID, a.Instance)
 		case a.Method != http.MethodPost || a.Path != call.Path || a.Body != call.Body:
-			p.addViolation(a.ID, "%s: arrived as %s %s with body %q", a.ID, a.Method, a.Path, a.Body)
+			g.addViolation(a.ID, "%s: arrived as %s %s with body %q", a.ID, a.Method, a.Path, a.Body)
 		case call.Kind.Streams() && !hasPart(a, ownPart(call)):
-			p.addViolation(a.ID, "%s: arrived with prompt %v", a.ID, a.Parts)
+			g.addViolation(a.ID, "%s: arrived with prompt %v", a.ID, a.Parts)
 		}
 	}
-	return p
+	return g
 }
 
 func hasPart(a *Arrival, id string) bool {
@@ -49,38 +49,38 @@
 
 // routedAsConfigured checks that a service runs only requests that some configuration routes to it.
 func (c *checker) routedAsConfigured() Guarantee {
-	p := Guarantee{Name: "requests run only where a configuration routes them"}
+	g := Guarantee{Name: "requests run only where a configuration routes them"}
 	for _, a := range c.observed.Arrivals {
 		call := c.calls[a.ID]
 		if call == nil || !a.Ran && !a.Read || a.Status == http.StatusMisdirectedRequest {
 			continue // an instance that is not the intended one responds with 421, to a prefill too, and runs nothing
 		}
-		p.Cases++
+		g.Cases++
 		service := serviceApp
 		if call.Kind.Streams() {
 			service = serviceModels
 		}
 		if a.Service != service && (call.Kind != Mark || !strings.HasPrefix(a.Service, "mark-")) {
-			p.addViolation(a.ID, "%s: %s ran at %s of %s", a.ID, call.Path, a.Instance, a.Service)
+			g.addViolation(a.ID, "%s: %s ran at %s of %s", a.ID, call.Path, a.Instance, a.Service)
 		}
 	}
-	return p
+	return g
 }
 
 // withdrawnGetNoWork checks that instances that drain or were deregistered get no new work.
 func (c *checker) withdrawnGetNoWork() Guarantee {
-	p := Guarantee{Name: "withdrawn instances get no new work after the drain bound"}
-	left := map[string]time.Time{}
+	g := Guarantee{Name: "withdrawn instances get no new work after the drain bound"}
+	withdrawnAt := map[string]time.Time{}
 	for _, l := range c.observed.Withdrawals {
-		if at, ok := left[l.Instance]; !ok || l.At.Before(at) {
-			left[l.Instance] = l.At
+		if at, ok := withdrawnAt[l.Instance]; !ok || l.At.Before(at) {
+			withdrawnAt[l.Instance] = l.At
 		}
 	}
-	p.Cases = len(left)
+	g.Cases = len(withdrawnAt)
 	latest := time.Duration(0)
 	judged, excused := 0, 0
 	for _, a := range c.observed.Arrivals {
-		at, ok := left[a.Instance]
+		at, ok := withdrawnAt[a.Instance]
 		call := c.calls[a.ID]
 		if !ok || call == nil || a.At.Before(at) {
 			continue
@@ -96,11 +96,11 @@
 		after := a.At.Sub(at)
 		latest = max(latest, after)
 		if after > c.o.Bounds.Drain {
-			p.addViolation(a.ID, "%s: reached %s %s after its withdrawal, from %s", a.ID, a.Instance, after, gatewayName(call.Gateway)).addLogPatterns("id=" + a.Instance + " ")
+			g.addViolation(a.ID, "%s: reached %s %s after its withdrawal, from %s", a.ID, a.Instance, after, gatewayName(call.Gateway)).addLogPatterns("id=" + a.Instance + " ")
 		}
 	}
-	p.Closest = fmt.Sprintf(" (%d later arrivals judged, %d excused, the last after %s)", judged, excused, latest.Round(time.Millisecond))
-	return p
+	g.Closest = fmt.Sprintf(" (%d later arrivals judged, %d excused, the last after %s)", judged, excused, latest.Round(time.Millisecond))
+	return g
 }
 
 const (
@@ -114,22 +114,22 @@
 
 // deadlines checks that the deadline an instance gets is no later than the client's.
 func (c *checker) deadlines() Guarantee {
-	p := Guarantee{Name: "instances get no more time than the client has remaining"}
+	g := Guarantee{Name: "instances get no more time than the client has remaining"}
 	var over []*Arrival
 	for _, a := range c.observed.Arrivals {
 		call := c.calls[a.ID]
 		if call == nil || !c.undisturbed(call.Gateway, a.At) {
 			continue
 		}
-		p.Cases++
+		g.Cases++
 		if !a.Timed || a.At.Add(a.Left).After(call.Sent.Add(call.Timeout+deadlineSlack)) {
 			over = append(over, a)
 		}
 	}
-	if len(over) > maxLongDeadlines && float64(len(over)) > maxLongDeadlineShare*float64(p.Cases) {
-		p.addViolation(over[0].ID, "%d of %d arrivals had later deadlines than their clients, first %s", len(over), p.Cases, over[0].ID)
+	if len(over) > maxLongDeadlines && float64(len(over)) > maxLongDeadlineShare*float64(g.Cases) {
+		g.addViolation(over[0].ID, "%d of %d arrivals had later deadlines than their clients, first %s", len(over), g.Cases, over[0].ID)
 	}
-	return p
+	return g
 }
 
 const (
@@ -142,7 +142,7 @@
 // canceledWorkEnds checks that no work starts for a client that has disconnected, and that its
 // running requests end.
 func (c *checker) canceledWorkEnds() Guarantee {
-	p := Guarantee{Name: "no work starts or continues for clients that have disconnected"}
+	g := Guarantee{Name: "no work starts or continues for clients that have disconnected"}
 	var after, continued []*Arrival
 	eligible := 0
 	for _, call := range c.observed.Calls {
@@ -151,7 +151,7 @@
 			continue
 		}
 		for _, a := range c.arrivals[call.ID] {
-			p.Cases++
+			g.Cases++
 			due := a.At.Add(workTime + streamEvents*eventGap) // it ends on its own
 			switch {
 			case a.At.After(cutoff):
@@ -166,12 +166,12 @@
 		}
 	}
 	if len(after) > maxArrivalsAfterCancel {
-		p.addViolation(after[0].ID, "%d arrivals more than %s after the client had disconnected, first %s at %s", len(after), c.o.Bounds.WorkAfterCancel, after[0].ID, after[0].Instance)
+		g.addViolation(after[0].ID, "%d arrivals more than %s after the client had disconnected, first %s at %s", len(after), c.o.Bounds.WorkAfterCancel, after[0].ID, after[0].Instance)
 	}
 	if float64(len(continued)) > maxContinuedShare*float64(eligible) {
-		p.addViolation(continued[0].ID, "%d of %d runs continued %s after the client had disconnected, first %s at %s", len(continued), eligible, c.o.Bounds.WorkAfterCancel, continued[0].ID, continued[0].Instance)
+		g.addViolation(continued[0].ID, "%d of %d runs continued %s after the client had disconnected, first %s at %s", len(continued), eligible, c.o.Bounds.WorkAfterCancel, continued[0].ID, continued[0].Instance)
 	}
-	return p
+	return g
 }
 
 // maxRunOverlap is how long an earlier run may continue beside the one that resumes it.
@@ -180,19 +180,19 @@
 // resumedRunsExclusive checks that a stream that is resumed at another engine has ended at the
 // previous one.
 func (c *checker) resumedRunsExclusive() Guarantee {
-	p := Guarantee{Name: "a stream that is resumed elsewhere has ended at the previous engine"}
+	g := Guarantee{Name: "a stream that is resumed elsewhere has ended at the previous engine"}
 	for _, call := range c.observed.Calls {
 		if !call.Kind.Streams() || !c.undisturbed(call.Gateway, call.Ended) {
 			continue
 		}
 		runs := c.runs(call.ID)
 		for n := 1; n < len(runs); n++ {
-			p.Cases++
+			g.Cases++
 			before, at := runs[n-1], runs[n].At.Add(maxRunOverlap)
 			if before.Ended.IsZero() || before.Ended.After(at) {
-				p.addViolation(call.ID, "%s: resumed at %s while %s still ran it", call.ID, runs[n].Instance, before.Instance)
+				g.addViolation(call.ID, "%s: resumed at %s while %s still ran it", call.ID, runs[n].Instance, before.Instance)
 			}
 		}
 	}
-	return p
+	return g
 }
--- a/internal/lab/soak/check_budget.go
+++ b/internal/lab/soak/check_budget.go
@@ -11,10 +11,10 @@
 // the first one and the first accepted prefill.
 func budgetedArrivals(arrivals []*Arrival) []*Arrival {
 	var out []*Arrival
-	read := false
+	prefilled := false
 	for _, a := range arrivals {
-		if a.Read && a.Status == http.StatusOK && !read {
-			read = true
+		if a.Read && a.Status == http.StatusOK && !prefilled {
+			prefilled = true
 			continue
 		}
 		out = append(out, a)
@@ -25,11 +25,11 @@
 // budget checks that all processes together send each service no more arrivals beyond the first of
 // each request than the retry budget allows.
 func (c *checker) budget() Guarantee {
-	p := Guarantee{Name: "all processes together keep the retry budget"}
-	requests, more := map[string][]time.Time{}, map[string][]*Arrival{}
+	g := Guarantee{Name: "all processes together keep the retry budget"}
+	requests, extra := map[string][]time.Time{}, map[string][]*Arrival{}
 	for id, arrivals := range c.arrivals {
 		for _, a := range budgetedArrivals(arrivals) {
-			more[a.Service] = append(more[a.Service], a)
+			extra[a.Service] = append(extra[a.Service], a)
 		}
 		if call := c.calls[id]; call != nil && call.Kind == Mark {
 			requests[arrivals[0].Service] = append(requests[arrivals[0].Service], call.Sent)
@@ -45,31 +45,31 @@
 	}
 	for service, sent := range requests {
 		slices.SortFunc(sent, time.Time.Compare)
-		c.checkBudget(&p, service, sent, more[service])
+		c.checkBudget(&g, service, sent, extra[service])
 	}
-	return p
+	return g
 }
 
 // checkBudget checks each window that ends with an arrival.
-func (c *checker) checkBudget(p *Guarantee, service string, sent []time.Time, more []*Arrival) {
+func (c *checker) checkBudget(g *Guarantee, service string, sent []time.Time, extra []*Arrival) {
 	window := c.o.Bounds.RetryWindow
-	slices.SortFunc(more, func(a, b *Arrival) int { return a.At.Compare(b.At) })
+	slices.SortFunc(extra, func(a, b *Arrival) int { return a.At.Compare(b.At) })
 	worst, first := 0.0, (*Arrival)(nil)
-	for n, m := 0, 0; n < len(more); n++ {
-		for more[n].At.Sub(more[m].At) >= window {
+	for n, m := 0, 0; n < len(extra); n++ {
+		for extra[n].At.Sub(extra[m].At) >= window {
 			m++
 		}
-		p.Cases++
-		end := more[n].At
-		most := max(between(sent, end.Add(-window), end), between(sent, end.Add(-2*window), end.Add(-window)),
+		g.Cases++
+		end := extra[n].At
+		baseline := max(between(sent, end.Add(-window), end), between(sent, end.Add(-2*window), end.Add(-window)),
 			between(sent, end.Add(-3*window/2), end.Add(-window/2)))
-		allowed := c.o.Bounds.RetryRatio*float64(most) + c.o.Bounds.RetrySlack
+		allowed := c.o.Bounds.RetryRatio*float64(baseline) + c.o.Bounds.RetrySlack
 		if over := float64(n-m+1) - allowed; over > worst {
-			worst, first = over, more[n]
+			worst, first = over, extra[n]
 		}
 	}
 	if first != nil {
-		p.addViolation(first.ID, "service %s got %.0f arrivals more than the budget in a window of %s", service, worst, window)
+		g.addViolation(first.ID, "service %s got %.0f arrivals more than the budget in a window of %s", service, worst, window)
 	}
 }
 
--- a/internal/lab/soak/check_config.go
+++ b/internal/lab/soak/check_config.go
@@ -28,19 +28,19 @@
 		case Mark:
 			for _, a := range c.arrivals[call.ID] {
 				service := c.intendedService(a)
-				out = append(out, c.configObservation(call, a.At, func(index int) bool { return markService(index) == service }))
+				out = append(out, c.observeConfig(call, a.At, func(index int) bool { return markService(index) == service }))
 			}
 		case Only:
 			var first int
 			if _, err := fmt.Sscanf(strings.TrimPrefix(call.Path, "/"+string(Only)+"-"), "%d/", &first); err != nil {
 				continue // unreachable: the client generated the path
 			}
-			there := func(index int) bool { return index >= first && index < first+onlyVersions }
+			hasRoute := func(index int) bool { return index >= first && index < first+onlyVersions }
 			for _, a := range c.arrivals[call.ID] {
-				out = append(out, c.configObservation(call, a.At, there))
+				out = append(out, c.observeConfig(call, a.At, hasRoute))
 			}
 			if call.Status == http.StatusNotFound {
-				out = append(out, c.configObservation(call, call.Ended, func(index int) bool { return !there(index) }))
+				out = append(out, c.observeConfig(call, call.Ended, func(index int) bool { return !hasRoute(index) }))
 			}
 		}
 	}
@@ -56,9 +56,9 @@
 	return a.Service
 }
 
-// configObservation returns the observation of a call up to a time, from the configurations written
+// observeConfig returns the observation of a call up to a time, from the configurations written
 // until then.
-func (c *checker) configObservation(call *Call, to time.Time, allows func(index int) bool) configObservation {
+func (c *checker) observeConfig(call *Call, to time.Time, allows func(index int) bool) configObservation {
 	s := configObservation{call: call, from: call.Sent, to: to}
 	for _, a := range c.observed.ConfigWrites {
 		if !a.Sent.After(to) && allows(a.Index) {
@@ -71,12 +71,12 @@
 
 // configurationInForce checks that undisturbed processes apply a configuration within the bound.
 func (c *checker) configurationInForce() Guarantee {
-	p := Guarantee{Name: "undisturbed processes apply a configuration within the bound"}
+	g := Guarantee{Name: "undisturbed processes apply a configuration within the bound"}
 	for _, s := range c.configObservations() {
 		if !c.undisturbed(s.call.Gateway, s.to) || !c.undisturbed(s.call.Gateway, s.from) {
 			continue
 		}
-		p.Cases++
+		g.Cases++
 		newest := 0
 		for _, a := range c.observed.ConfigWrites {
 			if !a.Done.Add(c.o.Bounds.Apply).After(s.from) {
@@ -84,10 +84,10 @@
 			}
 		}
 		if len(s.versions) == 0 || s.versions[len(s.versions)-1] < newest {
-			p.addViolation(s.call.ID, "%s: %s at %s shows one of the configurations %v, %d is in force", s.call.ID, s.call.Path, gatewayName(s.call.Gateway), s.versions, newest)
+			g.addViolation(s.call.ID, "%s: %s at %s shows one of the configurations %v, %d is in force", s.call.ID, s.call.Path, gatewayName(s.call.Gateway), s.versions, newest)
 		}
 	}
-	return p
+	return g
 }
 
 // configModel models the configuration of a process: each observation allows a set of versions, and
@@ -111,12 +111,12 @@
 // configurationMonotonic checks that within one incarnation of a process its configuration version
 // never decreases.
 func (c *checker) configurationMonotonic() Guarantee {
-	p := Guarantee{Name: "the configuration version of a process never decreases"}
+	g := Guarantee{Name: "the configuration version of a process never decreases"}
 	type processRun struct{ gateway, incarnation int }
 	histories := map[processRun][]porcupine.Operation{}
 	first := map[processRun]string{}
 	for _, s := range c.configObservations() {
-		p.Cases++
+		g.Cases++
 		key := processRun{s.call.Gateway, s.call.Incarnation}
 		slack := c.o.Bounds.StaleConfig
 		if !c.undisturbed(s.call.Gateway, s.to) {
@@ -133,15 +133,16 @@
 		switch porcupine.CheckOperationsTimeout(configModel, ops, historyTimeout) {
 		case porcupine.Illegal:
 			id, why := c.regression(key.gateway, key.incarnation)
-			p.addViolation(id, "%s in its incarnation %d: no order of its configurations explains the observations%s", gatewayName(key.gateway), key.incarnation, why)
+			g.addViolation(id, "%s in its incarnation %d: no order of its configurations explains the observations%s", gatewayName(key.gateway), key.incarnation, why)
 		case porcupine.Unknown:
-			p.addViolation(first[key], "%s in its incarnation %d: not decided within %s", gatewayName(key.gateway), key.incarnation, historyTimeout)
+			g.addViolation(first[key], "%s in its incarnation %d: not decided within %s", gatewayName(key.gateway), key.incarnation, historyTimeout)
 		}
 	}
-	return p
+	return g
 }
 
-// regression returns a pair of requests of which the later one met an older configuration.
+// regression finds a pair of requests of which the later one met an older configuration. It returns
+// the ID of the later one and a description; if there is no such pair, the ID of the first request.
 func (c *checker) regression(gateway, incarnation int) (id, why string) {
 	all := slices.DeleteFunc(c.configObservations(), func(s configObservation) bool {
 		return s.call.Gateway != gateway || s.call.Incarnation != incarnation || len(s.versions) == 0
--- a/internal/lab/soak/check_process.go
+++ b/internal/lab/soak/check_process.go
@@ -16,20 +16,20 @@
 // plannedStopsLoseNothing checks that a process that is stopped responds to all requests that it
 // has read.
 func (c *checker) plannedStopsLoseNothing() Guarantee {
-	p := Guarantee{Name: "a planned stop interrupts no request"}
+	g := Guarantee{Name: "a planned stop interrupts no request"}
 	for _, call := range c.observed.Calls {
 		stop := c.stopDuring(call)
 		if stop == nil || c.observed.wasDisturbed(call.Gateway, call.Sent.Add(-c.o.Bounds.ContactTime), call.Ended, isNotPlannedStop) {
 			continue
 		}
-		p.Cases++
+		g.Cases++
 		arrivals := c.arrivals[call.ID]
 		passedOn := len(arrivals) > 0 || call.duration() > c.o.Bounds.UnansweredRead
 		if call.CanceledAt.IsZero() && !call.Complete && !call.Unsent && passedOn && !anyAborted(arrivals) && call.duration() < call.Timeout {
-			p.addViolation(call.ID, "%s: interrupted after %s while %s stopped: %s", call.ID, call.duration(), gatewayName(call.Gateway), call.Err)
+			g.addViolation(call.ID, "%s: interrupted after %s while %s stopped: %s", call.ID, call.duration(), gatewayName(call.Gateway), call.Err)
 		}
 	}
-	return p
+	return g
 }
 
 // stopDuring returns the planned stop of the process that overlapped with a request, or nil.
@@ -48,26 +48,26 @@
 // processesExitWhenTold checks that no process exits unless it is told to, nor exceeds its grace
 // period.
 func (c *checker) processesExitWhenTold() Guarantee {
-	p := Guarantee{Name: "processes exit only when they are told to, and in time"}
+	g := Guarantee{Name: "processes exit only when they are told to, and in time"}
 	for _, e := range c.observed.Exits {
-		p.Cases++
+		g.Cases++
 		started := c.observed.Starts[e.Gateway][e.Incarnation-1]
 		if c.diedBeforeSignalSetup(e, started) {
 			continue
 		}
 		switch {
 		case e.SentSignal == "":
-			p.addViolation("", "%s exited on its own with code %d %s, %s after its start", gatewayName(e.Gateway), e.Code, e.Signal, e.At.Sub(started))
+			g.addViolation("", "%s exited on its own with code %d %s, %s after its start", gatewayName(e.Gateway), e.Code, e.Signal, e.At.Sub(started))
 		case e.SentSignal == "SIGTERM" && (!e.ExceededGrace || e.Signal == "") && e.Code != 0:
-			p.addViolation("", "%s exited with code %d %s after SIGTERM, %s after its start", gatewayName(e.Gateway), e.Code, e.Signal, e.At.Sub(started))
+			g.addViolation("", "%s exited with code %d %s after SIGTERM, %s after its start", gatewayName(e.Gateway), e.Code, e.Signal, e.At.Sub(started))
 		// An exit code shows that the process had exited before the SIGKILL at the end of the grace
 		// period, which leaves none. On a busy machine the kernel may take seconds to clean it up.
 		case e.ExceededGrace && e.Signal != "" && !c.observed.wasDisturbed(e.Gateway, e.At.Add(-c.o.Bounds.Grace-time.Second), e.At, isNotPlannedStop):
-			p.addViolation("", "%s exceeded its grace period: it exited %s after it was asked to, with code %d %s",
+			g.addViolation("", "%s exceeded its grace period: it exited %s after it was asked to, with code %d %s",
 				gatewayName(e.Gateway), e.At.Sub(e.StopRequestedAt), e.Code, e.Signal).addLogPatterns("process=" + gatewayName(e.Gateway) + " msg=sto")
 		}
 	}
-	return p
+	return g
 }
 
 // signalSetupTime is how long a program may take to set up its signal handlers. On a busy machine,
@@ -109,23 +109,23 @@
 var defectPatterns = [][]byte{[]byte("panic:"), []byte("DATA RACE"), []byte("fatal error:")}
 
 func (c *checker) logsAreClean() Guarantee {
-	p := Guarantee{Name: "no log shows a panic or a data race"}
+	g := Guarantee{Name: "no log shows a panic or a data race"}
 	files, err := filepath.Glob(filepath.Join(c.o.Dir, "gateway-*.log"))
 	if err != nil {
-		p.addViolation("", "cannot list logs: %s", err)
+		g.addViolation("", "cannot list logs: %s", err)
 	}
 	for _, file := range files {
-		p.Cases++
+		g.Cases++
 		text, err := os.ReadFile(file)
 		if err != nil {
-			p.addViolation("", "log cannot be read: %s", err)
+			g.addViolation("", "log cannot be read: %s", err)
 			continue
 		}
 		for _, pattern := range defectPatterns {
 			if at := bytes.Index(text, pattern); at >= 0 {
-				p.addViolation("", "%s: %s", filepath.Base(file), fmt.Sprintf("%q", text[at:min(len(text), at+200)]))
+				g.addViolation("", "%s: %s", filepath.Base(file), fmt.Sprintf("%q", text[at:min(len(text), at+200)]))
 			}
 		}
 	}
-	return p
+	return g
 }
--- a/internal/lab/soak/limits.go
+++ b/internal/lab/soak/limits.go
@@ -115,12 +115,12 @@
 
 // checkRateLimit checks each window that ends with an arrival.
 func (c *checker) checkRateLimit(p *Guarantee, l *Limit, counted []*Arrival) {
-	most := limitFactor*l.Rate*limitWindow.Seconds() + limitSlack
+	allowed := limitFactor*l.Rate*limitWindow.Seconds() + limitSlack
 	for n, first := 0, 0; n < len(counted); n++ {
 		for counted[n].At.Sub(counted[first].At) >= limitWindow {
 			first++
 		}
-		if got := n - first + 1; float64(got) > most && counted[n].At.Sub(l.From) >= c.o.Bounds.ContactTime {
+		if got := n - first + 1; float64(got) > allowed && counted[n].At.Sub(l.From) >= c.o.Bounds.ContactTime {
 			p.addViolation(counted[n].ID, "%s: %s announced a limit of %.1f requests per second and got %d in %s", counted[n].ID, l.Instance, l.Rate, got, limitWindow).addLogPatterns("instance=" + l.Instance)
 			return
 		}
--- a/internal/lab/soak/report.go
+++ b/internal/lab/soak/report.go
@@ -53,9 +53,9 @@
 // Broken returns the guarantees that were violated.
 func (r *Report) Broken() []Guarantee {
 	var out []Guarantee
-	for _, p := range r.Guarantees {
-		if len(p.Violations) > 0 {
-			out = append(out, p)
+	for _, g := range r.Guarantees {
+		if len(g.Violations) > 0 {
+			out = append(out, g)
 		}
 	}
 	return out
@@ -63,8 +63,8 @@
 
 // tooFewCases returns the number of guarantees with too few cases.
 func (r *Report) tooFewCases() (n int) {
-	for _, p := range r.Guarantees {
-		if p.Cases < p.MinCases {
+	for _, g := range r.Guarantees {
+		if g.Cases < g.MinCases {
 			n++
 		}
 	}
@@ -76,18 +76,18 @@
 	fmt.Fprintf(w, "seed %d: %d processes, faults for %s, %d requests, %d arrivals at instances\n", r.Seed, r.Processes, r.Length, r.Calls, r.Arrivals)
 	fmt.Fprintf(w, "responses: %s\n", counts(r.Outcomes))
 	fmt.Fprintf(w, "faults: %s\n", counts(r.Faults))
-	for _, p := range r.Guarantees {
-		fmt.Fprintf(w, "%-9s %8d cases  %s%s\n", verdict(p), p.Cases, p.Name, p.Closest)
-		for n, b := range p.Violations {
+	for _, g := range r.Guarantees {
+		fmt.Fprintf(w, "%-9s %8d cases  %s%s\n", verdict(g), g.Cases, g.Name, g.Closest)
+		for n, v := range g.Violations {
 			if n == maxShownViolations {
-				fmt.Fprintf(w, "          and %d more\n", len(p.Violations)-n)
+				fmt.Fprintf(w, "          and %d more\n", len(g.Violations)-n)
 				break
 			}
-			fmt.Fprintf(w, "          %s\n", b.What)
-			if b.Request != "" {
-				fmt.Fprintf(w, "          rockdoor trace %s %s/gateway-*.log\n", b.Request, r.Dir)
+			fmt.Fprintf(w, "          %s\n", v.What)
+			if v.Request != "" {
+				fmt.Fprintf(w, "          rockdoor trace %s %s/gateway-*.log\n", v.Request, r.Dir)
 			}
-			b.writeLog(w, r.Dir)
+			v.writeLog(w, r.Dir)
 		}
 	}
 	fmt.Fprintf(w, "after the last fault %.0f%% of the requests got a complete response\n", 100*r.ServedShare)
@@ -98,11 +98,11 @@
 	fmt.Fprintf(w, "seed %d: BROKEN, logs are in %s\n", r.Seed, r.Dir)
 }
 
-func verdict(p Guarantee) string {
+func verdict(g Guarantee) string {
 	switch {
-	case len(p.Violations) > 0:
+	case len(g.Violations) > 0:
 		return "BROKEN"
-	case p.Cases < p.MinCases:
+	case g.Cases < g.MinCases:
 		return "unproved"
 	}
 	return "kept"
@@ -125,10 +125,10 @@
 
 // writeLog writes the log lines of a violation into the report, because the machine that runs the
 // soak, and the log files on it, may not be kept.
-func (b *Violation) writeLog(w io.Writer, dir string) {
-	patterns := b.LogPatterns
-	if b.Request != "" {
-		patterns = append(slices.Clone(patterns), "request="+b.Request)
+func (v *Violation) writeLog(w io.Writer, dir string) {
+	patterns := v.LogPatterns
+	if v.Request != "" {
+		patterns = append(slices.Clone(patterns), "request="+v.Request)
 	}
 	files, err := filepath.Glob(filepath.Join(dir, "gateway-*.log"))
 	if err != nil || len(patterns) == 0 {
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -48,12 +48,12 @@
 	}
 	w.watchStarvation()
 	stopProgress := w.printProgress()
-	stopCallers := w.startClients(op)
+	stopClients := w.startClients(op)
 	time.Sleep(warmUp)
 	actions := Schedule(o.Seed, o.Processes, w.o.Layout, o.Length)
 	w.runSchedule(op, actions)
-	healed, err := w.waitForRecovery()
-	stopCallers()
+	faultsEnded, err := w.waitForRecovery()
+	stopClients()
 	stopProgress()
 	if err != nil {
 		return nil, err
@@ -63,7 +63,7 @@
 	if err := w.recordedFailure(); err != nil {
 		return nil, err
 	}
-	return check(w, healed), nil
+	return check(w, faultsEnded), nil
 }
 
 // clearDir removes the files of an earlier run from a directory.
@@ -99,7 +99,7 @@
 	deadline := time.Now().Add(within)
 	for !cond() {
 		if time.Now().After(deadline) || w.ctx.Err() != nil {
-			return fmt.Errorf("waited %s without success until %s; the logs are in %s", within, what, w.o.Dir)
+			return fmt.Errorf("gave up after %s waiting until %s; the logs are in %s", within, what, w.o.Dir)
 		}
 		time.Sleep(pollInterval)
 	}
@@ -152,9 +152,9 @@
 	if err != nil {
 		return time.Time{}, err
 	}
-	healed := time.Now()
+	faultsEnded := time.Now()
 	time.Sleep(w.o.Bounds.Recovery + postRecoveryTime)
-	return healed, nil
+	return faultsEnded, nil
 }
 
 // stopAll stops all processes gracefully and waits until they have exited.
--- a/internal/lab/soak/schedule.go
+++ b/internal/lab/soak/schedule.go
@@ -244,7 +244,8 @@
 	}
 }
 
-// maybeTargetHolder redirects a share of the actions to the duty holder, with a longer duration.
+// maybeTargetHolder redirects a share of the actions to the duty holder. Except for kills and
+// stops, it draws their duration anew, up to maxHolderFault.
 func (s *scheduleBuilder) maybeTargetHolder(a Action) Action {
 	if s.rng.Float64() < holderFaultShare {
 		a.TargetHolder = true
