--- a/internal/lab/soak/check_budget.go
+++ b/internal/lab/soak/check_budget.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// extras returns the arrivals of a request that count against the retry budget: all but the
-// first, and but the first read of its prompt that was taken up.
-func extras(arrivals []*Arrival) []*Arrival {
+// budgetedArrivals returns the arrivals of a request that count against the retry budget: all but
+// the first one and the first accepted prefill.
+func budgetedArrivals(arrivals []*Arrival) []*Arrival {
 	var out []*Arrival
-	read := false
+	prefilled := false
 	for _, a := range arrivals {
-		if a.Read && a.Status == http.StatusOK && !read {
-			read = true
+		if a.Read && a.Status == http.StatusOK && !prefilled {
+			prefilled = true
 			continue
 		}
 		out = append(out, a)
@@ -22,20 +22,20 @@
 	return out[min(1, len(out)):]
 }
 
-// budget: all processes together send each service no more than the budget beyond the first
-// arrival of each request.
-func (c *checker) budget() Promise {
-	p := Promise{Name: "all processes together keep the retry budget"}
-	requests, more := map[string][]time.Time{}, map[string][]*Arrival{}
+// budget checks that all processes together send each service no more arrivals beyond the first of
+// each request than the retry budget allows.
+func (c *checker) budget() Guarantee {
+	g := Guarantee{Name: "all processes together keep the retry budget"}
+	requests, extra := map[string][]time.Time{}, map[string][]*Arrival{}
 	for id, arrivals := range c.arrivals {
-		for _, a := range extras(arrivals) {
-			more[a.Service] = append(more[a.Service], a)
+		for _, a := range budgetedArrivals(arrivals) {
+			extra[a.Service] = append(extra[a.Service], a)
 		}
 		if call := c.calls[id]; call != nil && call.Kind == Mark {
 			requests[arrivals[0].Service] = append(requests[arrivals[0].Service], call.Sent)
 		}
 	}
-	for _, call := range c.f.Calls {
+	for _, call := range c.observed.Calls {
 		switch {
 		case call.Kind.Streams():
 			requests[serviceModels] = append(requests[serviceModels], call.Sent)
@@ -45,35 +45,35 @@
 	}
 	for service, sent := range requests {
 		slices.SortFunc(sent, time.Time.Compare)
-		c.budgetOf(&p, service, sent, more[service])
+		c.checkBudget(&g, service, sent, extra[service])
 	}
-	return p
+	return g
 }
 
-// budgetOf looks at each window that ends with an arrival.
-func (c *checker) budgetOf(p *Promise, service string, sent []time.Time, more []*Arrival) {
+// checkBudget checks each window that ends with an arrival.
+func (c *checker) checkBudget(g *Guarantee, service string, sent []time.Time, extra []*Arrival) {
 	window := c.o.Bounds.RetryWindow
-	slices.SortFunc(more, func(a, b *Arrival) int { return a.At.Compare(b.At) })
+	slices.SortFunc(extra, func(a, b *Arrival) int { return a.At.Compare(b.At) })
 	worst, first := 0.0, (*Arrival)(nil)
-	for n, m := 0, 0; n < len(more); n++ {
-		for more[n].At.Sub(more[m].At) >= window {
+	for n, m := 0, 0; n < len(extra); n++ {
+		for extra[n].At.Sub(extra[m].At) >= window {
 			m++
 		}
-		p.Cases++
-		end := more[n].At
-		most := max(between(sent, end.Add(-window), end), between(sent, end.Add(-2*window), end.Add(-window)),
+		g.Cases++
+		end := extra[n].At
+		baseline := max(between(sent, end.Add(-window), end), between(sent, end.Add(-2*window), end.Add(-window)),
 			between(sent, end.Add(-3*window/2), end.Add(-window/2)))
-		allowed := c.o.Bounds.RetryRatio*float64(most) + c.o.Bounds.RetrySlack
+		allowed := c.o.Bounds.RetryRatio*float64(baseline) + c.o.Bounds.RetrySlack
 		if over := float64(n-m+1) - allowed; over > worst {
-			worst, first = over, more[n]
+			worst, first = over, extra[n]
 		}
 	}
 	if first != nil {
-		p.breach(first.ID, "service %s got %.0f arrivals more than the budget in a window of %s", service, worst, window)
+		g.addViolation(first.ID, "service %s got %.0f arrivals more than the budget in a window of %s", service, worst, window)
 	}
 }
 
-// between counts the times after from and up to to, in a sorted list.
+// between counts the times in a sorted list that are after from and not after to.
 func between(times []time.Time, from, to time.Time) int {
 	upTo := func(t time.Time) int {
 		return sort.Search(len(times), func(n int) bool { return times[n].After(t) })
