--- a/claims/bench_test.go
+++ b/claims/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BenchmarkClaim measures one claim at a holder, and the memory for each that is
-// held.
+// BenchmarkClaim measures the time of one claim at a holder and the memory per
+// stored claim.
 func BenchmarkClaim(b *testing.B) {
 	for _, n := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprint("held=", n), func(b *testing.B) {
@@ -30,7 +30,7 @@
 	}
 }
 
-// BenchmarkNext measures the registrar's work for one change of the members.
+// BenchmarkNext measures the computation of a new table after one member is lost.
 func BenchmarkNext(b *testing.B) {
 	for _, n := range []int{8, 32, 128, 610} {
 		b.Run(fmt.Sprint("members=", n), func(b *testing.B) {
--- a/claims/claimant.go
+++ b/claims/claimant.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Peers reaches the claim holders of other processes.
+// Peers calls the claim holders in other processes.
 type Peers interface {
-	// Claim sends a claim to a holder. An error means that its verdict is not
-	// known; the claim may have been granted.
+	// Claim sends a claim to a holder. An error means that the verdict is
+	// unknown; the holder may have granted the claim.
 	Claim(ctx context.Context, to Member, c Claim) (Reply, error)
 	// Abandon withdraws a claim at a holder.
 	Abandon(ctx context.Context, to Member, c Claim) error
-	// Page asks a holder for claims of a shard.
+	// Page fetches claims of a shard from a holder; see Store.Page.
 	Page(ctx context.Context, to Member, shard int, epoch int64, after string) (page []Record, more, ready bool, err error)
 }
 
@@ -21,33 +21,33 @@
 	abandonTimeout = 2 * time.Second
 )
 
-// Result of an acquisition.
+// Result is the outcome of Acquire.
 type Result struct {
-	// Granted: the request may run, at this process only.
+	// Granted means that the request may run, in this process only.
 	Granted bool
-	// Seen: another claimant holds or held the key.
+	// Seen means that a holder reported another claimant of the key.
 	Seen bool
-	// Mismatch: the key was used for another request.
+	// Mismatch means that the key was claimed for a request with different content.
 	Mismatch bool
-	// Claimant and Process that hold the key, if seen.
+	// Claimant and Process hold the key. They are set if Seen is.
 	Claimant string
 	Process  string
-	// Grants and Holders say how many of the holders granted.
+	// Grants is how many of the Holders granted the claim.
 	Grants, Holders int
 }
 
-// Claimant claims keys for one process. It is safe for concurrent use.
+// Claimant claims keys on behalf of one process. It is safe for concurrent use.
 type Claimant struct {
 	store *Store
 	peers Peers
 }
 
-// NewClaimant returns a claimant that uses the table that its process's store
-// has adopted.
+// NewClaimant returns a claimant that finds the holders of a key in the table
+// that the store of its process has adopted.
 func NewClaimant(s *Store, p Peers) *Claimant { return &Claimant{store: s, peers: p} }
 
-// Acquire claims a key. If it is not granted, the claim is withdrawn at all
-// holders. The request may run only if Granted.
+// Acquire claims a key at all its holders. The request may run only if the
+// result is Granted; otherwise the claim has been withdrawn.
 func (c *Claimant) Acquire(ctx context.Context, claim Claim) Result {
 	t := c.store.Table()
 	if t == nil {
@@ -59,7 +59,7 @@
 	defer cancel()
 	replies := make(chan Reply, len(shard.Holders))
 	for _, h := range shard.Holders {
-		go func() { replies <- c.ask(ctx, h.Member, claim) }()
+		go func() { replies <- c.sendClaim(ctx, h.Member, claim) }()
 	}
 	r := Result{Holders: len(shard.Holders)}
 	quorum := Quorum(len(shard.Holders))
@@ -68,15 +68,15 @@
 		r.Granted = r.Grants >= quorum
 	}
 	if !r.Granted {
-		c.drainSeen(&r, replies)
+		c.drainReplies(&r, replies)
 		c.Abandon(claim)
 	}
 	return r
 }
 
-// drainSeen takes in the verdicts that have arrived already, since one of them
-// may name who holds the key.
-func (c *Claimant) drainSeen(r *Result, replies chan Reply) {
+// drainReplies adds the replies that have already arrived, since one of them
+// may name the claimant that holds the key.
+func (c *Claimant) drainReplies(r *Result, replies chan Reply) {
 	for {
 		select {
 		case reply := <-replies:
@@ -98,7 +98,7 @@
 	}
 }
 
-func (c *Claimant) ask(ctx context.Context, to Member, claim Claim) Reply {
+func (c *Claimant) sendClaim(ctx context.Context, to Member, claim Claim) Reply {
 	if to.Name == c.store.self.Name && to.Incarnation == c.store.self.Incarnation {
 		return c.store.Claim(claim)
 	}
@@ -109,9 +109,9 @@
 	return reply
 }
 
-// Abandon withdraws a claim whose request has not run and will not run. It
-// returns at once for remote holders; a withdrawal that is lost only keeps the
-// key from being used until its window has passed.
+// Abandon withdraws a claim whose request has not run and will not run. It does
+// not wait for remote holders; if a withdrawal is lost, the key merely stays
+// claimed until the window has passed.
 func (c *Claimant) Abandon(claim Claim) {
 	t := c.store.Table()
 	if t == nil {
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -16,22 +16,24 @@
 	"github.com/rockdoor/rockdoor/objstore/memstore"
 )
 
-// world is a fleet of claim holders whose calls fail as a property test draws.
-type world struct {
+// cluster is a set of processes that hold claims. A property test draws which of
+// their calls fail.
+type cluster struct {
 	t       *rapid.T
 	objects *memstore.Store
-	procs   map[string]*proc // by name
+	procs   map[string]*process // by name
 	started int
-	// cut holds pairs of processes, or a process and "store", that cannot talk.
+	// cut contains the pairs of processes, or of a process and "store", that are
+	// partitioned from each other; see pair.
 	cut map[string]bool
-	// suspected processes live but are taken for dead by the others.
+	// suspected contains the processes that are alive but that the others consider dead.
 	suspected map[string]bool
 	// runs counts how often each key was run.
 	runs map[string]int
 }
 
-type proc struct {
-	w      *world
+type process struct {
+	w      *cluster
 	m      Member
 	store  *Store
 	keeper *Keeper
@@ -42,22 +44,22 @@
 
 const testWindow = time.Hour
 
-func (w *world) start(i int) {
+func (w *cluster) start(i int) {
 	w.started++
 	name := fmt.Sprintf("p%d", i)
-	p := &proc{w: w, m: Member{name, fmt.Sprintf("%04d", w.started), fmt.Sprintf("d%d", i%3)}}
+	p := &process{w: w, m: Member{name, fmt.Sprintf("%04d", w.started), fmt.Sprintf("d%d", i%3)}}
 	p.store = NewStore(p.m, testWindow)
 	p.claim = NewClaimant(p.store, p)
 	p.keeper = NewKeeper(KeeperOptions{
 		Store: p.store, Peers: p, Objects: p, Logger: log.NewNopLogger(), Live: w.live,
 		Mirrored: func() (objstore.Object, bool) { return p.seen, p.seen.Version > 0 },
-		// Every process may change the table, which is harder than one.
+		// Every process may change the table, which tests more races than a single registrar.
 		Registrar: func() bool { return true },
 	})
 	w.procs[name] = p
 }
 
-func (w *world) live() []Member {
+func (w *cluster) live() []Member {
 	var out []Member
 	for i := range 5 {
 		if p := w.procs[fmt.Sprintf("p%d", i)]; p != nil && !p.down && !w.suspected[p.m.Name] {
@@ -69,10 +71,10 @@
 
 func pair(a, b string) string { return min(a, b) + "|" + max(a, b) }
 
-func (w *world) reach(from, to string) bool { return !w.cut[pair(from, to)] }
+func (w *cluster) reach(from, to string) bool { return !w.cut[pair(from, to)] }
 
-// refresh copies the table from the store, as the mirror would.
-func (p *proc) refresh() {
+// refresh copies the table from the store, as the mirror does in production.
+func (p *process) refresh() {
 	if !p.w.reach(p.m.Name, "store") {
 		return
 	}
@@ -81,7 +83,7 @@
 	}
 }
 
-func (p *proc) peer(to Member) (*proc, error) {
+func (p *process) peer(to Member) (*process, error) {
 	other := p.w.procs[to.Name]
 	if other == nil || other.down || other.m != to || !p.w.reach(p.m.Name, to.Name) {
 		return nil, fault.New(fault.Unavailable, "not reached", "")
@@ -89,7 +91,7 @@
 	return other, nil
 }
 
-func (p *proc) Claim(_ context.Context, to Member, c Claim) (Reply, error) {
+func (p *process) Claim(_ context.Context, to Member, c Claim) (Reply, error) {
 	other, err := p.peer(to)
 	if err != nil {
 		return Reply{}, err
@@ -98,7 +100,7 @@
 	return reply, nil
 }
 
-func (p *proc) Abandon(_ context.Context, to Member, c Claim) error {
+func (p *process) Abandon(_ context.Context, to Member, c Claim) error {
 	other, err := p.peer(to)
 	if err == nil {
 		other.store.Abandon(c)
@@ -106,7 +108,7 @@
 	return err
 }
 
-func (p *proc) Page(_ context.Context, to Member, shard int, epoch int64, after string) ([]Record, bool, bool, error) {
+func (p *process) Page(_ context.Context, to Member, shard int, epoch int64, after string) ([]Record, bool, bool, error) {
 	other, err := p.peer(to)
 	if err != nil {
 		return nil, false, false, err
@@ -115,44 +117,44 @@
 	return page, more, ready, nil
 }
 
-// The object API, as far as the keeper uses it.
-func (p *proc) Put(ctx context.Context, key string, value []byte, v objstore.Version, id string) (objstore.Object, error) {
+// process implements objstore.Store as far as the keeper uses it.
+func (p *process) Put(ctx context.Context, key string, value []byte, v objstore.Version, id string) (objstore.Object, error) {
 	if !p.w.reach(p.m.Name, "store") {
 		return objstore.Object{}, fault.New(fault.Unavailable, "cut", "")
 	}
 	return p.w.objects.Put(ctx, key, value, v, id)
 }
-func (p *proc) Get(ctx context.Context, key string) (objstore.Object, error) {
+func (p *process) Get(ctx context.Context, key string) (objstore.Object, error) {
 	return p.w.objects.Get(ctx, key)
 }
-func (p *proc) List(context.Context, string) ([]objstore.Object, objstore.Revision, error) {
+func (p *process) List(context.Context, string) ([]objstore.Object, objstore.Revision, error) {
 	panic("not used")
 }
-func (p *proc) Delete(context.Context, string, objstore.Version) error { panic("not used") }
-func (p *proc) Watch(context.Context, string, objstore.Revision, time.Duration) ([]objstore.Event, objstore.Revision, error) {
+func (p *process) Delete(context.Context, string, objstore.Version) error { panic("not used") }
+func (p *process) Watch(context.Context, string, objstore.Revision, time.Duration) ([]objstore.Event, objstore.Revision, error) {
 	panic("not used")
 }
 
-// acquire claims synchronously and in steps that the test orders itself: the
-// holders are asked one after another, with other events between.
+// acquisition claims a key in steps that the test schedules: the claim is sent to
+// one holder at a time, and other events happen between the steps.
 type acquisition struct {
-	p      *proc
+	p      *process
 	claim  Claim
 	todo   []Holder
 	grants int
 	quorum int
 }
 
-// Keys that are claimed again and again, while processes crash, restart, are
-// cut off, and the holders change, run at most once each.
+// TestKeysRunAtMostOnce claims keys repeatedly while processes crash, restart and
+// are partitioned and while the holders change. Each key must run at most once.
 func TestKeysRunAtMostOnce(t *testing.T) {
 	granted := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, objects: memstore.New(), procs: map[string]*proc{}, cut: map[string]bool{}, suspected: map[string]bool{}, runs: map[string]int{}}
+		w := &cluster{t: t, objects: memstore.New(), procs: map[string]*process{}, cut: map[string]bool{}, suspected: map[string]bool{}, runs: map[string]int{}}
 		for i := range 3 {
 			w.start(i)
 		}
-		for range 6 { // until all hold their shards
+		for range 6 { // enough rounds for all processes to hold their shards
 			for i := range 3 {
 				w.procs[fmt.Sprint("p", i)].refresh()
 				w.procs[fmt.Sprint("p", i)].keeper.Step(context.Background())
@@ -183,7 +185,7 @@
 			case "ask":
 				if len(open) > 0 {
 					i := rapid.IntRange(0, len(open)-1).Draw(t, "acquisition")
-					if !open[i].ask(w) {
+					if !open[i].sendNext(w) {
 						open = append(open[:i], open[i+1:]...)
 					}
 				}
@@ -197,7 +199,7 @@
 			case "give up":
 				if p := w.procs[name("p")]; p != nil && !p.down && p.store.Table() != nil {
 					if next, changed := Next(p.store.Table(), w.live(), true); changed {
-						_ = p.keeper.write(context.Background(), next)
+						_ = p.keeper.writeTable(context.Background(), next)
 					}
 				}
 			case "suspect":
@@ -220,10 +222,11 @@
 	require.Greater(t, granted, 20)
 }
 
-// ask asks the next holder. It returns false when the acquisition has ended.
-func (a *acquisition) ask(w *world) bool {
+// sendNext sends the claim to the next holder. It returns false once the acquisition
+// has ended.
+func (a *acquisition) sendNext(w *cluster) bool {
 	if a.p.down {
-		return false // the claimant crashed; its claims stay
+		return false // the claiming process crashed; its claims stay at the holders
 	}
 	if len(a.todo) == 0 {
 		a.p.store.Abandon(a.claim)
@@ -232,7 +235,7 @@
 		}
 		return false
 	}
-	reply := a.p.claim.ask(context.Background(), a.todo[0].Member, a.claim)
+	reply := a.p.claim.sendClaim(context.Background(), a.todo[0].Member, a.claim)
 	a.todo = a.todo[1:]
 	if reply.Verdict == Granted {
 		a.grants++
@@ -266,7 +269,7 @@
 	}
 	require.Len(t, per, 9)
 	_, changed = Next(table, members(9), true)
-	require.False(t, changed, "nothing to do")
+	require.False(t, changed, "all holders are live")
 }
 
 func TestTwoLostHoldersStartAfreshOnlyWhenGivenUp(t *testing.T) {
@@ -276,15 +279,15 @@
 	require.False(t, changed)
 	fresh, changed := Next(table, live, true)
 	require.True(t, changed)
-	require.Equal(t, fresh.Shards[0].Epoch, fresh.Shards[0].Fresh)
+	require.Equal(t, fresh.Shards[0].Epoch, fresh.Shards[0].ResetEpoch)
 	s := NewStore(live[0], time.Hour)
 	s.Adopt(table)
 	c := Claim{Key: "k", Claimant: "a", Epoch: 1}
 	require.Equal(t, Granted, s.Claim(c).Verdict)
 	s.Adopt(fresh)
 	c.Epoch = 2
-	require.Equal(t, Abstain, s.Claim(c).Verdict, "claims that were lost may be within their window")
-	s.Adopt(fresh.withoutFresh())
+	require.Equal(t, Abstain, s.Claim(c).Verdict, "lost claims may not have expired")
+	s.Adopt(fresh.withoutResetMarks())
 	require.Equal(t, Granted, s.Claim(c).Verdict)
 }
 
@@ -295,7 +298,7 @@
 	require.True(t, changed)
 	s := next.Shards[0]
 	require.EqualValues(t, 2, s.Epoch)
-	require.Zero(t, s.Fresh)
+	require.Zero(t, s.ResetEpoch)
 	x := NewStore(Member{"x", "1", "d2"}, time.Hour)
 	x.Adopt(next)
 	require.Equal(t, Abstain, x.Claim(Claim{Key: "k", Claimant: "a", Epoch: 2}).Verdict)
@@ -309,7 +312,7 @@
 	require.Equal(t, Abstain, s.Claim(c).Verdict, "no table yet")
 	s.Adopt(table)
 	require.Equal(t, Granted, s.Claim(c).Verdict)
-	require.Equal(t, Granted, s.Claim(c).Verdict, "the same claimant again")
+	require.Equal(t, Granted, s.Claim(c).Verdict, "repeated by the same claimant")
 	other := c
 	other.Claimant = "b"
 	require.Equal(t, Reply{Seen, "a", "m0"}, s.Claim(other))
--- a/claims/example_test.go
+++ b/claims/example_test.go
@@ -8,7 +8,7 @@
 	"github.com/rockdoor/rockdoor/claims"
 )
 
-// A fleet of one process, which is its own only claim holder.
+// A fleet of one process is the only holder of all its claims.
 func Example() {
 	self := claims.Member{Name: "entry-1", Incarnation: "1", Domain: "a"}
 	table, _ := claims.Next(nil, []claims.Member{self}, false)
--- a/claims/holder.go
+++ b/claims/holder.go
@@ -10,50 +10,54 @@
 )
 
 const (
-	// maxClaims bounds the claims that one process holds. A full holder abstains.
+	// maxClaims bounds the claims that one process keeps in memory. A full store abstains.
 	maxClaims = 400_000
-	pageSize  = 4096
+	// pageRecords is how many keys Page returns at most.
+	pageRecords = 4096
 )
 
-// Verdict of a holder on a claim.
+// Verdict is a holder's decision on a claim.
 type Verdict int
 
 // Verdicts.
 const (
-	// Abstain: the holder cannot know, for instance after a restart.
+	// Abstain means that the holder cannot decide, for instance because it has
+	// restarted and does not know the earlier claims.
 	Abstain Verdict = iota
 	Granted
-	// Seen: another claimant holds the key.
+	// Seen means that another claimant holds the key.
 	Seen
-	// Mismatch: the key was used for another request.
+	// Mismatch means that another claimant holds the key for a request with
+	// different content.
 	Mismatch
 )
 
 // Claim asks for the right to run a request.
 type Claim struct {
 	Key string
-	// Claimant identifies one request of a caller.
+	// Claimant identifies one client request.
 	Claimant string
 	// Digest identifies the request's content.
 	Digest string
-	// Process would run the request.
+	// Process is the process that will run the request if the claim is granted.
 	Process string
-	// Epoch of the key's shard, by the claimant's table.
+	// Epoch is the epoch of the key's shard in the claiming process's table.
 	Epoch int64
 }
 
-// Reply is a holder's answer.
+// Reply is a holder's response to a claim.
 type Reply struct {
 	Verdict Verdict
-	// Claimant and Process hold the key, if seen.
+	// Claimant and Process hold the key. They are set if Verdict is Seen or Mismatch.
 	Claimant string
 	Process  string
 }
 
-// Record is one held claim.
+// Record is one claim as a holder stores it.
 type Record struct {
 	Key, Claimant, Digest, Process string
-	// Abandoned claims let the next claimant in; the request has not run.
+	// Abandoned marks a withdrawn claim: its request has not run, and another
+	// claimant may be granted the key.
 	Abandoned bool
 	Age       time.Duration
 }
@@ -62,21 +66,21 @@
 	claimant, digest, process string
 	abandoned                 bool
 	at                        bootclock.Instant
-	// rivals are other claimants that holders named whose claims were copied.
-	// Nobody here can tell which of them was granted by a majority, so the key
-	// is free only when all have been withdrawn.
+	// rivals are the other claimants of the key in claims copied from other
+	// holders. This store cannot tell which claimant a majority granted, so the
+	// key is free only once all of them have withdrawn.
 	rivals []rival
 }
 
 type rival struct{ claimant, digest, process string }
 
-// shardState is what a holder knows of one shard.
+// shardState is a holder's state of one shard.
 type shardState struct {
 	epoch  int64
 	synced bool
-	// freshUntil is when lost claims are past their window.
-	freshUntil bootclock.Instant
-	claims     map[string]record
+	// abstainUntil is when claims lost by a reset of the shard have expired.
+	abstainUntil bootclock.Instant
+	claims       map[string]record
 }
 
 // Store holds claims in memory. It is safe for concurrent use.
@@ -87,16 +91,17 @@
 	mu     sync.Mutex
 	table  *Table
 	shards map[int]*shardState
-	held   int
+	count  int
 }
 
-// NewStore returns a store of a process that remembers each claim for a window.
+// NewStore returns a store for process self that keeps each claim for the
+// duration window.
 func NewStore(self Member, window time.Duration) *Store {
 	return &Store{self: self, window: window, shards: map[int]*shardState{}}
 }
 
-// Adopt takes a newer table. From then on the store grants nothing under
-// earlier epochs.
+// Adopt installs a newer table. Afterwards the store grants no claim that
+// carries an epoch of an earlier table.
 func (s *Store) Adopt(t *Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,12 +112,12 @@
 }
 
 func (s *Store) adoptShard(i int, shard *Shard) {
-	mine := shard.holder(s.self)
+	entry := shard.holder(s.self)
 	st := s.shards[i]
 	switch {
-	case mine == nil:
+	case entry == nil:
 		if st != nil {
-			s.held -= len(st.claims)
+			s.count -= len(st.claims)
 			delete(s.shards, i)
 		}
 		return
@@ -121,12 +126,12 @@
 		s.shards[i] = st
 	}
 	switch {
-	case shard.Fresh == 0:
-		st.freshUntil = 0
-	case shard.Fresh > st.epoch:
-		st.freshUntil = bootclock.Now().Add(s.window)
+	case shard.ResetEpoch == 0:
+		st.abstainUntil = 0
+	case shard.ResetEpoch > st.epoch:
+		st.abstainUntil = bootclock.Now().Add(s.window)
 	}
-	st.epoch, st.synced = shard.Epoch, mine.Synced
+	st.epoch, st.synced = shard.Epoch, entry.Synced
 }
 
 // Table returns the adopted table, nil if there is none yet.
@@ -136,14 +141,14 @@
 	return s.table
 }
 
-// state returns the shard of a key if this store may answer for it under the
-// epoch. The caller holds s.mu.
+// state returns the state of a key's shard, or nil if this store may not decide
+// on claims of that shard and epoch. The caller holds s.mu.
 func (s *Store) state(key string, epoch int64) *shardState {
 	if s.table == nil {
 		return nil
 	}
 	st := s.shards[s.table.ShardOf(key)]
-	if st == nil || st.epoch != epoch || !st.synced || bootclock.Now() < st.freshUntil {
+	if st == nil || st.epoch != epoch || !st.synced || bootclock.Now() < st.abstainUntil {
 		return nil
 	}
 	return st
@@ -163,7 +168,7 @@
 	}
 	switch {
 	case ok && old.claimant == c.Claimant && old.abandoned:
-		return Reply{Verdict: Abstain} // the claim arrives after its withdrawal
+		return Reply{Verdict: Abstain} // the claim arrived after its withdrawal
 	case ok && old.claimant == c.Claimant:
 		return Reply{Verdict: Granted}
 	case ok && !old.abandoned && old.digest != c.Digest:
@@ -177,8 +182,9 @@
 	return Reply{Verdict: Granted}
 }
 
-// Abandon withdraws a claim whose request has not run and will not run. It
-// leaves a mark, so that a claim that arrives later has no effect.
+// Abandon withdraws a claim whose request has not run and will not run. The
+// record stays, marked as abandoned, so that the claim has no effect if it
+// arrives after its withdrawal.
 func (s *Store) Abandon(c Claim) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,11 +199,11 @@
 	if !ok {
 		old = record{claimant: c.Claimant, digest: c.Digest, process: c.Process, at: bootclock.Now()}
 	}
-	s.put(st, c.Key, old.without(c.Claimant))
+	s.put(st, c.Key, old.withdraw(c.Claimant))
 }
 
-// without returns the record after a claimant has withdrawn.
-func (r record) without(claimant string) record {
+// withdraw returns the record after a claimant has withdrawn.
+func (r record) withdraw(claimant string) record {
 	r.rivals = slices.DeleteFunc(slices.Clone(r.rivals), func(v rival) bool { return v.claimant == claimant })
 	if r.claimant != claimant {
 		return r
@@ -213,22 +219,22 @@
 
 func (s *Store) put(st *shardState, key string, r record) {
 	if _, ok := st.claims[key]; !ok {
-		s.held++
+		s.count++
 	}
 	st.claims[key] = r
 }
 
-// full reports whether there is no room for another claim, after dropping those
-// that are past their window. The caller holds s.mu.
+// full reports whether there is no room for another claim, even after removing
+// the expired ones. The caller holds s.mu.
 func (s *Store) full() bool {
-	if s.held < maxClaims {
+	if s.count < maxClaims {
 		return false
 	}
 	s.expire()
-	return s.held >= maxClaims
+	return s.count >= maxClaims
 }
 
-// Expire drops claims that are past their window.
+// Expire removes claims that are older than the window.
 func (s *Store) Expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -240,7 +246,7 @@
 		for k, r := range st.claims {
 			if bootclock.Since(r.at) > s.window {
 				delete(st.claims, k)
-				s.held--
+				s.count--
 			}
 		}
 	}
@@ -250,7 +256,7 @@
 func (s *Store) Held() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.held
+	return s.count
 }
 
 // Holds reports whether this store holds any shard.
@@ -260,9 +266,10 @@
 	return len(s.shards) > 0
 }
 
-// Page returns the claims of a shard after a key, for a new holder. It is not
-// ready if this store does not hold the shard, or has not adopted the epoch and
-// so might still grant claims that the page would lack.
+// Page returns the next claims of a shard in key order, starting behind the key
+// after, for a new holder to copy. It returns ready false if this store does not
+// hold the shard, or has not adopted the epoch yet: until then it may still grant
+// claims that the page would not contain.
 func (s *Store) Page(shard int, epoch int64, after string) (page []Record, more, ready bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -277,8 +284,8 @@
 		}
 	}
 	slices.SortFunc(keys, strings.Compare)
-	more = len(keys) > pageSize
-	for _, k := range keys[:min(len(keys), pageSize)] {
+	more = len(keys) > pageRecords
+	for _, k := range keys[:min(len(keys), pageRecords)] {
 		r := st.claims[k]
 		page = append(page, Record{k, r.claimant, r.digest, r.process, r.abandoned, bootclock.Since(r.at)})
 		for _, v := range r.rivals {
@@ -288,8 +295,9 @@
 	return page, more, true
 }
 
-// Import takes over claims of another holder. Where two holders name different
-// claimants, both are kept.
+// Import adds claims copied from another holder. Where two holders recorded
+// different claimants for a key, both claimants are kept. It reports false if
+// this store does not hold the shard under the given epoch.
 func (s *Store) Import(shard int, epoch int64, page []Record) bool {
 	now := bootclock.Now()
 	s.mu.Lock()
@@ -308,15 +316,15 @@
 	return true
 }
 
-// merge returns what follows from a record and another holder's record of the
-// same key, which has no rivals. A withdrawal that one of them knows is true,
-// since only the claimant's own process withdraws.
+// merge combines a record with another holder's record of the same key, which
+// has no rivals. A withdrawal that only one of them contains is valid, since
+// only the claimant's own process withdraws a claim.
 func merge(a, b record) record {
 	a.at = max(a.at, b.at)
 	switch {
 	case a.claimant == b.claimant && b.abandoned:
-		return a.without(b.claimant)
-	case a.claimant == b.claimant, b.abandoned, a.named(b.claimant):
+		return a.withdraw(b.claimant)
+	case a.claimant == b.claimant, b.abandoned, a.hasRival(b.claimant):
 		return a
 	case a.abandoned:
 		b.at = a.at
@@ -326,13 +334,13 @@
 	return a
 }
 
-// named reports whether a claimant is among the rivals.
-func (r record) named(claimant string) bool {
+// hasRival reports whether a claimant is among the rivals.
+func (r record) hasRival(claimant string) bool {
 	return slices.ContainsFunc(r.rivals, func(v rival) bool { return v.claimant == claimant })
 }
 
-// unsynced returns the epochs of the shards that this store holds without
-// knowing all their claims.
+// unsynced returns, by shard number, the epochs of the shards that this store
+// holds but whose earlier claims it has not copied yet.
 func (s *Store) unsynced() map[int]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/claims/keeper.go
+++ b/claims/keeper.go
@@ -16,68 +16,71 @@
 )
 
 const (
-	keepInterval   = 100 * time.Millisecond
+	stepInterval   = 100 * time.Millisecond
 	expireInterval = 5 * time.Second
-	// giveUpAfter is how long a shard may miss too many holders before it
-	// starts afresh.
-	giveUpAfter  = 10 * time.Second
+	// resetAfter is how long a shard may have too few synced holders before it
+	// is reset: it gets new holders, and its claims are lost.
+	resetAfter   = 10 * time.Second
 	writeTimeout = 2 * time.Second
 )
 
-// KeeperOptions of a Keeper.
+// KeeperOptions configures a Keeper.
 type KeeperOptions struct {
 	Store *Store
 	Peers Peers
-	// Objects is the object API, for the table.
+	// Objects is the object store that the table is written to.
 	Objects objstore.Store
-	// Mirrored returns the table's object from the mirror.
+	// Mirrored returns the table's object from the local mirror of the store.
 	Mirrored func() (objstore.Object, bool)
 	// Live returns the members that may hold claims.
 	Live func() []Member
-	// Registrar reports whether this process is the one that changes the
-	// holders. If two processes believe so, one of their writes fails.
+	// Registrar reports whether this process is the one that assigns holders to
+	// shards. If two processes take that role at once, the conditional write of
+	// one of them fails.
 	Registrar func() bool
-	// Refresh makes this process see its own writes at once. It may be nil.
+	// Refresh updates the mirror, so that this process sees its own write at
+	// once. It may be nil.
 	Refresh func(context.Context)
 	Logger  log.Logger
 }
 
-// Keeper keeps a process's claims in step with the table: it adopts new tables,
-// copies claims that it should hold, and, at one process, replaces holders.
+// Keeper reconciles a process's claims with the table: it adopts new tables and
+// copies the claims of shards assigned to this process. In the registrar it also
+// replaces holders that are no longer live.
 type Keeper struct {
 	o      KeeperOptions
 	logger log.Logger
 
-	adopted objstore.Version
-	object  objstore.Object
-	short   time.Time // since when a shard has missed too many holders
-	expired time.Time
-	fresh   freshSince
-	// settled is the table version and the members for which there was nothing
-	// to change, so that the same question is not worked out again.
-	settled settled
+	adopted    objstore.Version
+	object     objstore.Object
+	shortSince time.Time // since when some shard has had too few synced holders, or zero
+	lastExpiry time.Time
+	reset      resetSighting
+	// noChange is the last table version and member list for which the holders
+	// needed no change, so that Next is not computed again for the same input.
+	noChange noChangeInputs
 }
 
-type settled struct {
+type noChangeInputs struct {
 	version objstore.Version
 	live    []Member
 }
 
-// freshSince is since when a registrar has seen the same shards marked as fresh.
-type freshSince struct {
+// resetSighting is when the registrar first saw the present set of reset marks.
+type resetSighting struct {
 	epoch  int64
 	shards int
 	at     bootclock.Instant
 }
 
-// NewKeeper returns a keeper that has to be run.
+// NewKeeper returns a keeper, which does nothing until Run is called.
 func NewKeeper(o KeeperOptions) *Keeper {
 	return &Keeper{o: o, logger: log.With(o.Logger, "component", "claims")}
 }
 
-// Run keeps until ctx ends.
+// Run calls Step at a fixed interval until ctx ends.
 func (k *Keeper) Run(ctx context.Context) error {
-	tick := time.NewTicker(keepInterval)
+	tick := time.NewTicker(stepInterval)
 	defer tick.Stop()
 	for {
 		k.Step(ctx)
@@ -89,25 +92,25 @@
 	}
 }
 
-// Step does what is due once.
+// Step does one round of reconciliation.
 func (k *Keeper) Step(ctx context.Context) {
-	if err := k.adopt(); err != nil {
-		level.Error(k.logger).Log("msg", "claim table not adopted", "err", err)
+	if err := k.adoptTable(); err != nil {
+		level.Error(k.logger).Log("msg", "claim table could not be adopted", "err", err)
 		return
 	}
-	if time.Since(k.expired) > expireInterval {
+	if time.Since(k.lastExpiry) > expireInterval {
 		k.o.Store.Expire()
-		k.expired = time.Now()
+		k.lastExpiry = time.Now()
 	}
-	k.sync(ctx)
+	k.syncShards(ctx)
 	if k.o.Registrar() {
-		k.register(ctx)
+		k.updateHolders(ctx)
 	} else {
-		k.short = time.Time{} // another process watches
+		k.shortSince = time.Time{} // the registrar is another process
 	}
 }
 
-func (k *Keeper) adopt() error {
+func (k *Keeper) adoptTable() error {
 	obj, ok := k.o.Mirrored()
 	if !ok || obj.Version == k.adopted {
 		return nil
@@ -121,9 +124,9 @@
 	return nil
 }
 
-// sync copies the claims of the shards that this process has come to hold, and
-// then says so in the table.
-func (k *Keeper) sync(ctx context.Context) {
+// syncShards copies the claims of the shards that were assigned to this process
+// and then marks it as synced in the table.
+func (k *Keeper) syncShards(ctx context.Context) {
 	done := map[int]int64{}
 	for shard, epoch := range k.o.Store.unsynced() {
 		if k.copyShard(ctx, shard, epoch) {
@@ -134,15 +137,16 @@
 		return
 	}
 	t := k.o.Store.Table().withSynced(k.o.Store.self, done)
-	if err := k.write(ctx, t); err != nil {
-		level.Debug(k.logger).Log("msg", "claim table not written", "err", err)
+	if err := k.writeTable(ctx, t); err != nil {
+		level.Debug(k.logger).Log("msg", "claim table could not be written", "err", err)
 		return
 	}
-	level.Info(k.logger).Log("msg", "claims copied", "shards", len(done))
+	level.Info(k.logger).Log("msg", "claims copied from other holders", "shards", len(done))
 }
 
 // copyShard copies the claims of a shard from all its other synced holders. It
-// needs enough of them that every claim is known to one.
+// reports success only if there were enough of them that every claim is known to
+// at least one.
 func (k *Keeper) copyShard(ctx context.Context, i int, epoch int64) bool {
 	shard := &k.o.Store.Table().Shards[i]
 	if shard.Epoch != epoch {
@@ -158,7 +162,7 @@
 		}
 		copied++
 	}
-	return copied >= min(shard.remain(), len(shard.Holders)-1)
+	return copied >= min(shard.requiredSynced(), len(shard.Holders)-1)
 }
 
 func (k *Keeper) copyFrom(ctx context.Context, from Member, shard int, epoch int64) bool {
@@ -177,61 +181,64 @@
 	}
 }
 
-// register replaces holders that are gone.
-func (k *Keeper) register(ctx context.Context) {
+// updateHolders replaces holders that are no longer live and resets shards that
+// have had too few synced holders for too long.
+func (k *Keeper) updateHolders(ctx context.Context) {
 	t := k.o.Store.Table()
 	live := k.o.Live()
-	if t != nil && k.settled.version == k.adopted && slices.Equal(k.settled.live, live) {
+	if t != nil && k.noChange.version == k.adopted && slices.Equal(k.noChange.live, live) {
 		return
 	}
-	if !k.isShort(t, live) {
-		k.short = time.Time{}
-	} else if k.short.IsZero() {
-		k.short = time.Now()
+	if !k.lacksSynced(t, live) {
+		k.shortSince = time.Time{}
+	} else if k.shortSince.IsZero() {
+		k.shortSince = time.Now()
 	}
-	giveUp := !k.short.IsZero() && time.Since(k.short) > giveUpAfter
+	giveUp := !k.shortSince.IsZero() && time.Since(k.shortSince) > resetAfter
 	next, changed := Next(t, live, giveUp)
 	if !changed {
-		next, changed = k.unmarkFresh(t)
+		next, changed = k.clearResetMarks(t)
 	}
 	if !changed {
-		if _, fresh := freshShards(t); fresh == 0 && k.short.IsZero() {
-			k.settled = settled{k.adopted, live}
+		if _, marked := resetShards(t); marked == 0 && k.shortSince.IsZero() {
+			k.noChange = noChangeInputs{k.adopted, live}
 		}
 		return
 	}
-	if err := k.write(ctx, next); err != nil {
-		level.Debug(k.logger).Log("msg", "claim table not written", "err", err)
+	if err := k.writeTable(ctx, next); err != nil {
+		level.Debug(k.logger).Log("msg", "claim table could not be written", "err", err)
 		return
 	}
 	level.Info(k.logger).Log("msg", "claim holders changed", "members", len(live), "afresh", giveUp)
 }
 
-// unmarkFresh ends the waiting of shards that started afresh once a window has
-// passed since this process first saw all of them so.
-func (k *Keeper) unmarkFresh(t *Table) (*Table, bool) {
-	epoch, shards := freshShards(t)
-	if epoch != k.fresh.epoch || shards != k.fresh.shards {
-		k.fresh = freshSince{epoch, shards, bootclock.Now()}
+// clearResetMarks returns the table without reset marks once a window has passed
+// since this process first saw the present marks, so that all claims lost by
+// those resets have expired.
+func (k *Keeper) clearResetMarks(t *Table) (*Table, bool) {
+	epoch, shards := resetShards(t)
+	if epoch != k.reset.epoch || shards != k.reset.shards {
+		k.reset = resetSighting{epoch, shards, bootclock.Now()}
 	}
-	if shards == 0 || bootclock.Since(k.fresh.at) <= k.o.Store.window {
+	if shards == 0 || bootclock.Since(k.reset.at) <= k.o.Store.window {
 		return nil, false
 	}
-	return t.withoutFresh(), true
+	return t.withoutResetMarks(), true
 }
 
-// isShort reports whether a shard misses too many holders to replace them.
-func (k *Keeper) isShort(t *Table, live []Member) bool {
+// lacksSynced reports whether some shard has too few synced holders to replace
+// the lost ones, so that only a reset would change the table.
+func (k *Keeper) lacksSynced(t *Table, live []Member) bool {
 	if t == nil {
 		return false
 	}
-	_, patient := Next(t, live, false)
-	_, impatient := Next(t, live, true)
-	return impatient && !patient
+	_, changes := Next(t, live, false)
+	_, changesWithReset := Next(t, live, true)
+	return changesWithReset && !changes
 }
 
-// write replaces the table if it is still the one that was adopted.
-func (k *Keeper) write(ctx context.Context, t *Table) error {
+// writeTable replaces the stored table if it is still the adopted version.
+func (k *Keeper) writeTable(ctx context.Context, t *Table) error {
 	value, err := json.Marshal(t)
 	if err != nil {
 		return fault.Wrap(err, fault.Internal, "claim table cannot be encoded", "report this as a defect")
--- a/claims/table.go
+++ b/claims/table.go
@@ -1,18 +1,19 @@
-// Package claims lets a request with an idempotency key run at most once,
-// whichever process it is sent to and however often.
+// Package claims ensures that a request with an idempotency key runs at most
+// once, however often it is sent and to whichever processes.
 //
-// Keys are spread over shards. Each shard has up to three holders in different
-// failure domains, which remember in memory who claimed a key. A process may
-// run a request once a majority of the key's holders has granted its claim.
+// Keys are hashed to shards. Each shard has up to three holders in different
+// failure domains, which record in memory who claimed a key. A process may run a
+// request once a majority of the holders of its key has granted the claim.
 //
-// Who holds a shard is agreed through one object, the table. Every change of a
-// shard's holders raises its epoch, replaces at most one holder, and is made
-// only if so many holders remain that each claim is known to one of them. A new
-// holder abstains until it has copied the claims of all the others, which have
-// then stopped to grant under earlier epochs. If too many holders are lost at
-// once, the shard starts afresh and grants nothing until all claims that may
-// have been lost are past their window. Losing claims so costs refusals, never a
-// second run.
+// The assignment of holders to shards is one object in the store, the table.
+// Each change of a shard's holders raises the shard's epoch, replaces at most one
+// holder, and is made only if every granted claim is known to at least one of the
+// remaining synced holders. A new holder abstains until it has copied the claims
+// of all the others; by then these have stopped granting claims under earlier
+// epochs. If too many holders are lost at once, the shard is reset: it gets new
+// holders, which grant nothing until all claims that may have been lost have
+// expired. A loss of claims therefore causes rejected requests, never a second
+// run.
 package claims
 
 import (
@@ -28,45 +29,46 @@
 )
 
 const (
-	// TableKey is where the table is kept. It is mirrored.
+	// TableKey is the key of the table in the object store. It is below the
+	// mirrored prefix.
 	TableKey = "state/claims"
 	// Shards is the number of shards of a new table.
 	Shards = 64
-	// Replicas is how many holders a shard has in a fleet that is large enough.
+	// Replicas is the number of holders of a shard, if the fleet has that many members.
 	Replicas = 3
 )
 
-// Member is a run of a process that may hold claims.
+// Member is one incarnation of a process that may hold claims.
 type Member struct {
 	Name        string `json:"name"`
 	Incarnation string `json:"incarnation"`
 	Domain      string `json:"domain"`
 }
 
-// Holder is a member that holds a shard.
+// Holder is a member that is assigned to a shard.
 type Holder struct {
 	Member
-	// Synced holders know every claim that was granted under earlier epochs.
+	// Synced means that the holder has copied the claims granted under earlier epochs.
 	Synced bool `json:"synced"`
 }
 
-// Shard is a part of the keys.
+// Shard is the assignment of one subset of the keys.
 type Shard struct {
 	Epoch   int64    `json:"epoch"`
 	Holders []Holder `json:"holders"`
-	// Fresh is the epoch at which the shard started afresh, as long as claims
-	// that were lost then may be within their window; else 0. Holders grant
-	// nothing until it is 0 or they have waited for a window themselves.
-	Fresh int64 `json:"fresh,omitempty"`
-	// Known is how many synced holders know every claim between them, whichever they
-	// are, while some holder is not synced; 0 in tables of earlier versions.
-	Known int `json:"known,omitempty"`
+	// ResetEpoch is the epoch at which the shard was last reset, as long as claims
+	// lost by the reset may not have expired; otherwise 0. Holders grant nothing
+	// until it is 0 or they have waited for one window themselves.
+	ResetEpoch int64 `json:"fresh,omitempty"`
+	// MinSynced is set while some holder is not synced: any MinSynced of the synced
+	// holders together know every granted claim. It is 0 in tables of earlier versions.
+	MinSynced int `json:"known,omitempty"`
 }
 
 // Quorum returns how many of n holders must grant a claim.
 func Quorum(n int) int { return n/2 + 1 }
 
-// Table says who holds what. A Table is immutable.
+// Table assigns holders to all shards. A Table is immutable.
 type Table struct {
 	Shards []Shard `json:"shards"`
 }
@@ -93,22 +95,23 @@
 	return nil
 }
 
-// remain returns how many synced holders must remain for each granted claim to
-// be known to one of them. While a holder is not synced that is what it was before the
-// holder came, since claims are granted by a majority of all and so by more of the synced
-// ones: a shard that had grown from two holders to three was taken for lost when one of the
-// two went before the third had copied their claims.
-func (s *Shard) remain() int {
-	if s.Known > 0 && slices.ContainsFunc(s.Holders, func(h Holder) bool { return !h.Synced }) {
-		return s.Known
+// requiredSynced returns how many synced holders must remain so that each granted
+// claim is known to at least one of them. While a new holder is not synced, the
+// number stays what it was before that holder was added, because claims need a
+// majority of all holders and so more of the synced ones. With the number for the
+// larger shard, a shard that grew from two holders to three would count as lost
+// if one of the two failed before the third had copied their claims.
+func (s *Shard) requiredSynced() int {
+	if s.MinSynced > 0 && slices.ContainsFunc(s.Holders, func(h Holder) bool { return !h.Synced }) {
+		return s.MinSynced
 	}
 	return len(s.Holders) - Quorum(len(s.Holders)) + 1
 }
 
-// Next returns the table that follows t, given the members that may hold
-// claims, and whether it differs. A nil t makes a new table. At most one holder
-// of each shard changes. With giveUp, a shard that has lost too many holders
-// starts afresh; without, it is left alone in the hope that they come back.
+// Next returns the table that follows t for the given live members, and whether
+// it differs from t. A nil t makes a new table. At most one holder of each shard
+// changes. A shard that has lost too many holders is reset if giveUp is set;
+// otherwise it stays as it is, since the holders may return.
 func Next(t *Table, live []Member, giveUp bool) (*Table, bool) {
 	if t == nil {
 		if len(live) == 0 {
@@ -128,7 +131,7 @@
 
 func nextShard(i int, s Shard, live []Member, giveUp bool) (Shard, bool) {
 	if s.Epoch == 0 {
-		return startShard(i, 0, live), len(live) > 0
+		return newShard(i, 0, live), len(live) > 0
 	}
 	lost, synced := -1, 0
 	for j, h := range s.Holders {
@@ -139,33 +142,34 @@
 			synced++
 		}
 	}
-	if synced < s.remain() {
+	if synced < s.requiredSynced() {
 		if !giveUp || len(live) == 0 {
 			return s, false
 		}
-		return startShard(i, s.Epoch, live), true
+		return newShard(i, s.Epoch, live), true
 	}
-	spare, ok := pick(i, s, live, lost)
+	spare, ok := pickMember(i, s, live, lost)
 	switch {
 	case !ok:
 		return s, false
 	case lost >= 0:
-		return s.with(lost, spare), true
+		return s.withHolder(lost, spare), true
 	case len(s.Holders) < Replicas && synced == len(s.Holders):
-		return s.with(len(s.Holders), spare), true
+		return s.withHolder(len(s.Holders), spare), true
 	}
 	return s, false
 }
 
-// startShard returns a shard with new holders. If there was one before, its
-// claims are lost.
-func startShard(i int, epoch int64, live []Member) Shard {
+// newShard returns a shard with new holders, all of them synced. An epoch above 0
+// is that of the shard it replaces, whose claims are lost: the new shard is marked
+// as reset.
+func newShard(i int, epoch int64, live []Member) Shard {
 	s := Shard{Epoch: epoch + 1}
 	if epoch > 0 {
-		s.Fresh = s.Epoch
+		s.ResetEpoch = s.Epoch
 	}
 	for len(s.Holders) < Replicas {
-		m, ok := pick(i, s, live, -1)
+		m, ok := pickMember(i, s, live, -1)
 		if !ok {
 			break
 		}
@@ -174,9 +178,10 @@
 	return s
 }
 
-// with returns the shard with m, not synced, as its j-th holder.
-func (s Shard) with(j int, m Member) Shard {
-	s.Known = s.remain()
+// withHolder returns the shard of the next epoch with m, not synced, as its j-th
+// holder.
+func (s Shard) withHolder(j int, m Member) Shard {
+	s.MinSynced = s.requiredSynced()
 	s.Holders = slices.Clone(s.Holders)
 	if j == len(s.Holders) {
 		s.Holders = append(s.Holders, Holder{})
@@ -186,10 +191,10 @@
 	return s
 }
 
-// pick returns the member that should hold the shard besides its holders, but
-// for the one at index except: one in a failure domain of its own if there is
-// one, then the one with the highest hash.
-func pick(i int, s Shard, live []Member, except int) (Member, bool) {
+// pickMember chooses a further holder for the shard, or a replacement for the
+// holder at index except. It prefers a member in a failure domain that no other
+// holder is in, and among equals the one with the highest rendezvous hash.
+func pickMember(i int, s Shard, live []Member, except int) (Member, bool) {
 	taken, domains := map[string]bool{}, map[string]bool{}
 	for j, h := range s.Holders {
 		if j != except {
@@ -213,31 +218,30 @@
 			}
 			return 1
 		}
-		return cmp.Compare(score(i, a), score(i, b))
+		return cmp.Compare(rendezvousHash(i, a), rendezvousHash(i, b))
 	}), true
 }
 
-func score(shard int, m Member) uint64 {
+func rendezvousHash(shard int, m Member) uint64 {
 	return xxhash.Sum64String(strconv.Itoa(shard) + "\x00" + m.Name)
 }
 
-// withoutFresh returns the table with no shard marked as fresh.
-func (t *Table) withoutFresh() *Table {
+// withoutResetMarks returns the table with the ResetEpoch of all shards cleared.
+func (t *Table) withoutResetMarks() *Table {
 	next := &Table{Shards: slices.Clone(t.Shards)}
 	for i := range next.Shards {
-		next.Shards[i].Fresh = 0
+		next.Shards[i].ResetEpoch = 0
 	}
 	return next
 }
 
-// freshShards returns the highest epoch at which a shard started afresh and is
-// still marked so, and how many shards are.
-func freshShards(t *Table) (epoch int64, shards int) {
+// resetShards returns the highest ResetEpoch and the number of shards that have one.
+func resetShards(t *Table) (epoch int64, shards int) {
 	if t == nil {
 		return 0, 0
 	}
 	for i := range t.Shards {
-		if f := t.Shards[i].Fresh; f > 0 {
+		if f := t.Shards[i].ResetEpoch; f > 0 {
 			epoch = max(epoch, f)
 			shards++
 		}
@@ -245,8 +249,8 @@
 	return epoch, shards
 }
 
-// withSynced returns the table with a member synced in the given shards, where
-// it still holds them under the same epoch.
+// withSynced returns the table with m marked as synced in the given shards, as
+// far as m still holds them under the given epochs.
 func (t *Table) withSynced(m Member, epochs map[int]int64) *Table {
 	next := &Table{Shards: slices.Clone(t.Shards)}
 	for i, epoch := range epochs {
