--- a/confstore/confstore.go
+++ b/confstore/confstore.go
@@ -1,6 +1,6 @@
-// Package confstore keeps the configuration in the object API. A change writes
-// immutable, content-addressed chunks and then one small head by a conditional
-// put. That put is the acceptance of the change.
+// Package confstore stores the configuration in the object API. A change writes
+// immutable, content-addressed chunks and then, by a conditional put, one small
+// head that refers to them. The change is accepted when that put takes effect.
 package confstore
 
 import (
@@ -22,35 +22,37 @@
 	"github.com/rockdoor/rockdoor/objstore"
 )
 
-// Keys in the object API. The head is below the mirrored prefix, chunks are not.
+// Keys in the object API. The head is below the mirrored prefix; the chunks are not.
 const (
 	HeadKey     = "state/config/head"
 	ChunkPrefix = "chunk/"
 )
 
 const (
-	// workspaceBuckets splits the workspaces, which are many, by hash.
-	workspaceBuckets = 64
-	fleetChunk       = "fleet"
-	parallelChunks   = 8
+	// workspaceBuckets is the number of chunks that the workspaces are hashed to.
+	// A deployment can have tens of thousands of workspaces.
+	workspaceBuckets  = 64
+	fleetChunk        = "fleet"
+	maxParallelChunks = 8
 )
 
-// Ref names a chunk and its content.
+// Ref refers to a chunk by its name in the configuration and the digest of its
+// content.
 type Ref struct {
 	Name   string `json:"name"`
 	Digest string `json:"digest"`
 }
 
-// Head is the acceptance of one revision of the configuration.
+// Head describes one accepted revision of the configuration.
 type Head struct {
 	// Revision counts the accepted changes from 1.
 	Revision int64 `json:"revision"`
-	// ChangeID is unique to the change, also across retries of it.
+	// ChangeID identifies the change. It is the same for all retries of a change.
 	ChangeID string    `json:"changeID"`
 	Author   string    `json:"author"`
 	Note     string    `json:"note"`
 	At       time.Time `json:"at"`
-	// Parent is the digest of the head before this one, kept as a chunk.
+	// Parent is the digest of the previous head, which is stored as a chunk.
 	Parent string `json:"parent,omitempty"`
 	Chunks []Ref  `json:"chunks"`
 }
@@ -62,7 +64,7 @@
 }
 
 // Split encodes a configuration as named chunks. Equal content gives equal
-// chunks, so that a change rewrites only what it touches.
+// chunks, so a change rewrites only the chunks that it affects.
 func Split(c *config.Config) (map[string][]byte, error) {
 	fleet := *c
 	fleet.Workspaces = nil
@@ -93,13 +95,13 @@
 		return fault.Wrap(err, fault.Internal, "configuration cannot be encoded", "report this as a defect")
 	}
 	if len(content) > objstore.MaxValueBytes {
-		return fault.Newf(fault.Invalid, "remove what is no longer used", "part %s of the configuration has %d bytes, the limit is %d", name, len(content), objstore.MaxValueBytes)
+		return fault.Newf(fault.Invalid, "remove entries that are no longer used", "part %s of the configuration has %d bytes, the limit is %d", name, len(content), objstore.MaxValueBytes)
 	}
 	chunks[name] = content
 	return nil
 }
 
-// Join decodes the chunks of a configuration.
+// Join merges the decoded chunks of a configuration.
 func Join(parts []*config.Config) *config.Config {
 	var c config.Config
 	for _, p := range parts {
@@ -114,11 +116,11 @@
 	return &c
 }
 
-// Accepted is a head as it stands in the store.
+// Accepted is a head as it is stored.
 type Accepted struct {
 	Head    Head
 	Version objstore.Version
-	// Raw is the encoded head.
+	// Raw is the head as encoded in the store.
 	Raw []byte
 }
 
@@ -131,7 +133,7 @@
 	return a, nil
 }
 
-// ReadHead reads the head in force. With none, it returns the zero Accepted.
+// ReadHead reads the current head. It returns the zero Accepted if there is none.
 func ReadHead(ctx context.Context, s objstore.Store) (Accepted, error) {
 	obj, err := s.Get(ctx, HeadKey)
 	if fault.Is(err, fault.NotFound) {
@@ -143,9 +145,9 @@
 	return ParseHead(obj)
 }
 
-// Change says who changes the configuration and why.
+// Change records who changes the configuration and why.
 type Change struct {
-	// ID makes the change idempotent; empty for a new one.
+	// ID identifies the change across retries. If it is empty, a new ID is generated.
 	ID     string
 	Author string
 	Note   string
@@ -157,14 +159,16 @@
 	now   func() time.Time
 }
 
-// NewWriter returns a writer to s.
+// NewWriter returns a Writer that writes to s.
 func NewWriter(s objstore.Store) *Writer { return &Writer{store: s, now: time.Now} }
 
-// Apply makes c the configuration that follows base. The caller has checked c.
+// Apply stores c as the revision that follows base. The caller must have
+// validated c.
 //
 // The error is Conflict if another change was accepted after base, Unavailable
-// if the change certainly was not accepted, and Unknown if nobody can tell yet;
-// the change id in its text then shows up in the history if it was accepted.
+// if the change was certainly not accepted, and Unknown if that cannot be
+// determined yet. The text of an Unknown error contains the change ID, which
+// appears in the history if the change was accepted.
 func (w *Writer) Apply(ctx context.Context, base Accepted, c *config.Config, ch Change) (Accepted, error) {
 	if ch.ID == "" {
 		ch.ID = ulid.Make().String()
@@ -192,7 +196,7 @@
 	}
 	obj, err := objstore.PutSettled(ctx, w.store, HeadKey, raw, base.Version, ch.ID)
 	if fault.Is(err, fault.Unknown) {
-		return w.settleByHistory(ctx, head, err)
+		return w.resolveFromHistory(ctx, head, err)
 	}
 	if err != nil {
 		return Accepted{}, err
@@ -200,16 +204,16 @@
 	return Accepted{Head: head, Version: obj.Version, Raw: raw}, nil
 }
 
-// settleByHistory decides what became of a change whose head was overwritten
-// before its writer could read it back.
-func (w *Writer) settleByHistory(ctx context.Context, head Head, cause error) (Accepted, error) {
+// resolveFromHistory determines from the history whether a change was accepted
+// whose head was overwritten before its writer could read it back.
+func (w *Writer) resolveFromHistory(ctx context.Context, head Head, cause error) (Accepted, error) {
 	unknown := fault.Wrap(cause, fault.Unknown, "change "+head.ChangeID+" is not settled", "look for the change id in: rockdoor config history")
 	now, err := ReadHead(ctx, w.store)
 	if err != nil || now.Head.Revision < head.Revision {
 		return Accepted{}, unknown
 	}
 	for now.Head.Revision > head.Revision {
-		if now, err = w.parent(ctx, now); err != nil {
+		if now, err = w.readParent(ctx, now); err != nil {
 			return Accepted{}, unknown
 		}
 	}
@@ -220,7 +224,7 @@
 		"revision %d was taken by change %s of %s", head.Revision, now.Head.ChangeID, now.Head.Author)
 }
 
-func (w *Writer) parent(ctx context.Context, a Accepted) (Accepted, error) {
+func (w *Writer) readParent(ctx context.Context, a Accepted) (Accepted, error) {
 	obj, err := w.store.Get(ctx, ChunkPrefix+a.Head.Parent)
 	if err != nil {
 		return Accepted{}, err
@@ -228,14 +232,14 @@
 	return ParseHead(obj)
 }
 
-// putChunks writes the chunks that the base does not hold already.
+// putChunks writes the chunks that base does not already refer to.
 func (w *Writer) putChunks(ctx context.Context, base Head, chunks map[string][]byte) error {
 	have := map[string]bool{}
 	for _, r := range base.Chunks {
 		have[r.Digest] = true
 	}
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(parallelChunks)
+	g.SetLimit(maxParallelChunks)
 	for _, content := range chunks {
 		digest := Digest(content)
 		if have[digest] {
@@ -244,10 +248,10 @@
 		g.Go(func() error {
 			_, err := objstore.PutSettled(ctx, w.store, ChunkPrefix+digest, content, 0, digest)
 			if fault.Is(err, fault.Conflict) {
-				return nil // the same content is there already
+				return nil // the chunk already exists, with the same content
 			}
 			if err != nil {
-				return fault.Wrap(err, fault.Unavailable, "change was not accepted", "repeat it when the platform store answers")
+				return fault.Wrap(err, fault.Unavailable, "change was not accepted", "repeat it when the platform store responds")
 			}
 			return nil
 		})
@@ -255,7 +259,7 @@
 	return g.Wait()
 }
 
-// History returns up to limit heads, newest first.
+// History returns up to limit heads, the newest first.
 func History(ctx context.Context, s objstore.Store, limit int) ([]Head, error) {
 	w := &Writer{store: s}
 	a, err := ReadHead(ctx, s)
@@ -268,7 +272,7 @@
 		if a.Head.Parent == "" {
 			break
 		}
-		if a, err = w.parent(ctx, a); err != nil {
+		if a, err = w.readParent(ctx, a); err != nil {
 			if fault.Is(err, fault.NotFound) {
 				break // older history has been removed
 			}
--- a/confstore/confstore_test.go
+++ b/confstore/confstore_test.go
@@ -18,7 +18,7 @@
 	"github.com/rockdoor/rockdoor/selector"
 )
 
-func small() *config.Config {
+func testConfig() *config.Config {
 	return &config.Config{
 		Hosts: []config.Host{{Name: "h1", Domain: "d1"}, {Name: "h2", Domain: "d2"}},
 		Pools: []config.Pool{{Name: "p"}},
@@ -40,7 +40,7 @@
 func TestManyWorkspacesAreSplitAndOnlyChangedPartsAreWritten(t *testing.T) {
 	ctx := context.Background()
 	s := memstore.New()
-	c := small()
+	c := testConfig()
 	for i := range 38000 {
 		c.Workspaces = append(c.Workspaces, config.Workspace{Name: fmt.Sprintf("workspace-%d", i), Keys: []string{fmt.Sprintf("%064x", i)}})
 	}
@@ -59,7 +59,7 @@
 func TestEditsOfDifferentThingsAllTakeEffect(t *testing.T) {
 	ctx := context.Background()
 	s := memstore.New()
-	_, err := NewWriter(s).Apply(ctx, Accepted{}, small(), Change{})
+	_, err := NewWriter(s).Apply(ctx, Accepted{}, testConfig(), Change{})
 	require.NoError(t, err)
 	var wg sync.WaitGroup
 	for i := range 8 {
@@ -81,7 +81,7 @@
 func TestEditsThatBreakTheConfigurationChangeNothing(t *testing.T) {
 	ctx := context.Background()
 	s := memstore.New()
-	_, err := NewWriter(s).Apply(ctx, Accepted{}, small(), Change{})
+	_, err := NewWriter(s).Apply(ctx, Accepted{}, testConfig(), Change{})
 	require.NoError(t, err)
 	for _, e := range []Edit{
 		{Kind: KindEngine, Name: "e9"},
@@ -100,7 +100,7 @@
 func TestDamagedChunkIsAskedForElsewhere(t *testing.T) {
 	ctx := context.Background()
 	s := memstore.New()
-	a, err := NewWriter(s).Apply(ctx, Accepted{}, small(), Change{})
+	a, err := NewWriter(s).Apply(ctx, Accepted{}, testConfig(), Change{})
 	require.NoError(t, err)
 	damaged := func(context.Context, string) ([]byte, error) { return []byte(`{"pools": []}`), nil }
 	c, err := NewLoader(damaged, StoreSource(s)).Load(ctx, a.Head)
@@ -110,9 +110,9 @@
 	require.True(t, fault.Is(err, fault.Unavailable))
 }
 
-// The history model: the state is the revision in force. An accepted change
-// takes it from its base to the next one; a conflict means that the base had
-// passed; unknown may be either.
+// The model of the history: the state is the current revision. An accepted change
+// moves it from the change's base to the next revision, a conflict means that the
+// base was already superseded, and an unknown outcome may be either.
 type (
 	historyInput struct {
 		read bool
@@ -137,7 +137,7 @@
 			return now > in.base, now
 		case out.kind == fault.Unavailable:
 			return true, now
-		default: // unknown: it takes effect here if it can
+		default: // unknown: the change takes effect here if its base is current
 			if now == in.base {
 				return true, now + 1
 			}
@@ -147,8 +147,9 @@
 	Equal: func(a, b any) bool { return a.(int64) == b.(int64) },
 }
 
-// Operators race on the head while the store fails in every way. Each history
-// has to be explained by one order of accepted changes.
+// TestHistoriesOfRacingOperatorsAreLinearizable has operators change the
+// configuration concurrently while puts of the head fail in every way that
+// memstore offers. Each history must be explained by one order of accepted changes.
 func TestHistoriesOfRacingOperatorsAreLinearizable(t *testing.T) {
 	seed := uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
@@ -188,7 +189,7 @@
 	record := func(client int, start time.Time, in historyInput, out historyOutput) {
 		end := time.Now().UnixNano()
 		if out.kind == fault.Unknown {
-			end = time.Now().Add(time.Hour).UnixNano() // may still take effect
+			end = time.Now().Add(time.Hour).UnixNano() // the change may still take effect
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -208,7 +209,7 @@
 				record(client, start, historyInput{read: true}, historyOutput{revision: base.Head.Revision})
 				ctx, cancel := context.WithTimeout(context.Background(), 2*time.Millisecond)
 				start = time.Now()
-				_, err = NewWriter(s).Apply(ctx, base, small(), Change{ID: fmt.Sprintf("%d-%d", client, n)})
+				_, err = NewWriter(s).Apply(ctx, base, testConfig(), Change{ID: fmt.Sprintf("%d-%d", client, n)})
 				cancel()
 				out := historyOutput{}
 				if err != nil {
--- a/confstore/edit.go
+++ b/confstore/edit.go
@@ -10,38 +10,38 @@
 	"github.com/rockdoor/rockdoor/selector"
 )
 
-// maxRebases bounds how often an edit is repeated on a newer configuration.
+// maxRebases bounds how many times an edit is applied, each time to a newer configuration.
 const maxRebases = 16
 
-// Edit is a small change that commutes with changes of other things. It is
-// applied to whatever configuration is in force, and repeated on a newer one if
-// another operator was first.
+// Edit is a small change to one host, engine or server that commutes with changes
+// to others. It is applied to the configuration in force, and again to the newer
+// one if another change was accepted in the meantime.
 type Edit struct {
 	// Kind is "host", "engine" or "server".
 	Kind string `json:"kind"`
 	Name string `json:"name"`
-	// SetLabels are added or replaced.
+	// SetLabels are the labels to add or replace.
 	SetLabels selector.Labels `json:"setLabels,omitempty"`
-	// RemoveLabels are removed.
+	// RemoveLabels are the names of the labels to remove.
 	RemoveLabels []string `json:"removeLabels,omitempty"`
 	// State is the new state of an engine or server.
 	State config.ServerState `json:"state,omitempty"`
 	// Role is the new role of an engine.
 	Role *engine.Role `json:"role,omitempty"`
-	// Address and Host replace an engine or server by another one of its name.
+	// Address and Host move an engine or server to another address or host.
 	Address string `json:"address,omitempty"`
 	Host    string `json:"host,omitempty"`
 }
 
-// Targets of an Edit.
+// Kinds of objects that an Edit can change.
 const (
 	KindHost   = "host"
 	KindEngine = "engine"
 	KindServer = "server"
 )
 
-// EditAll applies edits to the configuration in force. All of them are accepted
-// together or none is.
+// EditAll applies edits to the configuration in force. Either all of them are
+// accepted, as one change, or none.
 func (w *Writer) EditAll(ctx context.Context, l *Loader, edits []Edit, ch Change) (Accepted, error) {
 	var err error
 	for range maxRebases {
@@ -70,7 +70,7 @@
 	return Accepted{}, err
 }
 
-// cloneForEdit copies what edits change; the rest is shared.
+// cloneForEdit copies the slices that edits modify and shares the rest.
 func cloneForEdit(c *config.Config) *config.Config {
 	out := *c
 	out.Hosts = slices.Clone(c.Hosts)
@@ -108,7 +108,7 @@
 			}
 		}
 	default:
-		return fault.Newf(fault.Invalid, "use host, engine or server", "kind %q is not known", e.Kind)
+		return fault.Newf(fault.Invalid, "use host, engine or server", "unknown kind %q", e.Kind)
 	}
 	return fault.Newf(fault.NotFound, "check the name with: rockdoor config get", "%s %q does not exist", e.Kind, e.Name)
 }
--- a/confstore/loader.go
+++ b/confstore/loader.go
@@ -12,10 +12,10 @@
 	"github.com/rockdoor/rockdoor/objstore"
 )
 
-// Source returns the chunk with a digest, or an error.
+// Source fetches the chunk with the given digest.
 type Source func(ctx context.Context, digest string) ([]byte, error)
 
-// StoreSource reads chunks from the object API.
+// StoreSource returns a Source that reads chunks from the object API.
 func StoreSource(s objstore.Store) Source {
 	return func(ctx context.Context, digest string) ([]byte, error) {
 		obj, err := s.Get(ctx, ChunkPrefix+digest)
@@ -23,9 +23,9 @@
 	}
 }
 
-// Loader loads the configuration of a head. It keeps the chunks of the last
-// head that it loaded, so that a change costs only what it touches, and serves
-// them to peers. It is safe for concurrent use.
+// Loader loads the configuration of a head. It caches the chunks of the last head
+// that it loaded: a later load fetches only the chunks that changed, and peers can
+// fetch chunks from this process. It is safe for concurrent use.
 type Loader struct {
 	sources []Source
 
@@ -38,12 +38,12 @@
 	part *config.Config
 }
 
-// NewLoader returns a loader that asks the sources in order.
+// NewLoader returns a loader that tries the sources in order.
 func NewLoader(sources ...Source) *Loader {
 	return &Loader{sources: sources, chunks: map[string]chunk{}}
 }
 
-// Chunk returns a chunk that the loader holds, for a peer.
+// Chunk returns a cached chunk, for a peer that requests it.
 func (l *Loader) Chunk(digest string) ([]byte, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -55,10 +55,10 @@
 func (l *Loader) Load(ctx context.Context, head Head) (*config.Compiled, error) {
 	got := make([]chunk, len(head.Chunks))
 	g, gctx := errgroup.WithContext(ctx)
-	g.SetLimit(parallelChunks)
+	g.SetLimit(maxParallelChunks)
 	for i, ref := range head.Chunks {
 		g.Go(func() error {
-			c, err := l.chunk(gctx, ref.Digest)
+			c, err := l.getChunk(gctx, ref.Digest)
 			got[i] = c
 			return err
 		})
@@ -82,7 +82,7 @@
 	return compiled, nil
 }
 
-func (l *Loader) chunk(ctx context.Context, digest string) (chunk, error) {
+func (l *Loader) getChunk(ctx context.Context, digest string) (chunk, error) {
 	l.mu.Lock()
 	c, ok := l.chunks[digest]
 	l.mu.Unlock()
@@ -97,7 +97,7 @@
 			continue
 		}
 		if Digest(raw) != digest {
-			last = fault.New(fault.Unavailable, "chunk "+digest+" arrived damaged", "it is asked for again elsewhere")
+			last = fault.New(fault.Unavailable, "chunk "+digest+" does not match its digest", "the next source is tried")
 			continue
 		}
 		var part config.Config
@@ -106,5 +106,5 @@
 		}
 		return chunk{raw: raw, part: &part}, nil
 	}
-	return chunk{}, fault.Wrap(last, fault.Unavailable, "chunk "+digest+" cannot be had", "check the platform store and the peers")
+	return chunk{}, fault.Wrap(last, fault.Unavailable, "chunk "+digest+" is not available from any source", "check the platform store and the peers")
 }
