--- a/config/bench_test.go
+++ b/config/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func large(engines, workspaces int) *Config {
+func largeConfig(engines, workspaces int) *Config {
 	c := &Config{}
 	for i := range 11 {
 		c.Pools = append(c.Pools, Pool{Name: fmt.Sprint("p", i)})
@@ -27,8 +27,8 @@
 	return c
 }
 
-// BenchmarkCompile measures the time to compile a configuration that was read
-// from its chunks, and the memory that it holds afterwards.
+// BenchmarkCompile measures the time to decode and compile a configuration and
+// the memory that the result occupies.
 func BenchmarkCompile(b *testing.B) {
 	for _, size := range [][2]int{{12, 3}, {300, 4000}, {900, 12000}, {2700, 38000}} {
 		b.Run(fmt.Sprintf("engines=%d,workspaces=%d", size[0], size[1]), func(b *testing.B) {
@@ -47,7 +47,7 @@
 }
 
 func encode(b *testing.B, engines, workspaces int) []byte {
-	text, err := json.Marshal(large(engines, workspaces))
+	text, err := json.Marshal(largeConfig(engines, workspaces))
 	require.NoError(b, err)
 	return text
 }
--- a/config/compile.go
+++ b/config/compile.go
@@ -12,7 +12,7 @@
 	"github.com/rockdoor/rockdoor/selector"
 )
 
-// compiler collects problems while it builds a Compiled.
+// compiler builds a Compiled and collects the problems that it finds.
 type compiler struct {
 	cfg *Config
 	doc *jsonc.Document
@@ -20,8 +20,8 @@
 	ps  jsonc.Problems
 }
 
-// Compile checks a configuration that does not come from a file, such as one
-// that was read from the store or changed by an edit.
+// Compile validates and compiles a configuration that does not come from a file,
+// such as one read from the store or modified by an edit.
 func Compile(c *Config) (*Compiled, error) {
 	out, ps := compile(c, &jsonc.Document{})
 	return out, ps.Err()
@@ -63,11 +63,12 @@
 	b.problem(kind+" "+strconv.Quote(name)+" is defined twice", "rename one of them or remove it", pointer...)
 }
 
-func (b *compiler) dangling(kind, name string, pointer ...string) {
+func (b *compiler) undefined(kind, name string, pointer ...string) {
 	b.problem(kind+" "+strconv.Quote(name)+" does not exist", "define it or correct the name", pointer...)
 }
 
-// selector parses a selector and adds it to rules.
+// selector parses a selector and returns rules with it appended. It returns rules
+// unchanged if the selector is empty or invalid.
 func (b *compiler) selector(rules selector.All, rule, text string, pointer ...string) selector.All {
 	s, err := selector.Parse(text)
 	if err != nil {
@@ -122,7 +123,7 @@
 		e := &b.cfg.Engines[i]
 		at := []string{"engines", strconv.Itoa(i)}
 		if b.out.Pools[e.Pool] == nil {
-			b.dangling("pool", e.Pool, append(at, "pool")...)
+			b.undefined("pool", e.Pool, append(at, "pool")...)
 		}
 		t := b.target(e.Name, e.Host, e.Address, e.Labels, at)
 		if t == nil {
@@ -133,7 +134,8 @@
 	}
 }
 
-// target adds an engine or backend server, or returns nil if it cannot be.
+// target adds an engine or backend server. It returns nil if the name is taken or
+// the host does not exist.
 func (b *compiler) target(name, host, address string, labels selector.Labels, at []string) *Target {
 	at = slices.Clip(at)
 	if b.out.Targets[name] != nil {
@@ -146,7 +148,7 @@
 	}
 	h := b.out.Hosts[host]
 	if h == nil {
-		b.dangling("host", host, append(at, "host")...)
+		b.undefined("host", host, append(at, "host")...)
 		return nil
 	}
 	t := &Target{Name: name, Host: host, Domain: h.Domain, Address: address, Labels: hostLabels(h)}
@@ -179,7 +181,7 @@
 			continue
 		}
 		if b.out.Pools[m.Pool] == nil {
-			b.dangling("pool", m.Pool, append(at, "pool")...)
+			b.undefined("pool", m.Pool, append(at, "pool")...)
 			continue
 		}
 		rules := b.selector(slices.Clip(poolRules[m.Pool]), "model "+m.Name, m.Selector, append(at, "selector")...)
@@ -190,7 +192,7 @@
 	}
 }
 
-// mustMatch reports a selector that matches no target.
+// mustMatch records a problem if there are rules and they permit none of the targets.
 func (b *compiler) mustMatch(targets []*Target, rules selector.All, what string, pointer ...string) {
 	if len(rules) == 0 {
 		return
@@ -233,7 +235,7 @@
 		svc := services[r.Service]
 		switch {
 		case svc == nil:
-			b.dangling("service", r.Service, append(at, "service")...)
+			b.undefined("service", r.Service, append(at, "service")...)
 			continue
 		case seen[r.Path]:
 			b.duplicate("route", r.Path, append(at, "path")...)
@@ -253,8 +255,8 @@
 }
 
 func (b *compiler) workspaces() {
-	// Workspaces are many and share few selectors, so each text is parsed and
-	// checked once.
+	// There are many workspaces but few different selectors, so each pair of
+	// selectors is parsed and checked only once.
 	type parsed struct {
 		rules selector.All
 		entry selector.Selector
--- a/config/compiled.go
+++ b/config/compiled.go
@@ -7,8 +7,8 @@
 	"github.com/rockdoor/rockdoor/selector"
 )
 
-// Labels that every engine and backend server has besides those of the
-// operator. An operator's label of the same name is refused.
+// Built-in labels of every engine and backend server. A configuration that sets a
+// label of the same name is rejected.
 const (
 	LabelDomain = "domain"
 	LabelHost   = "host"
@@ -16,7 +16,7 @@
 	LabelPool   = "pool"
 )
 
-// Target is an engine or a backend server with everything that routing needs.
+// Target is an engine or a backend server, with the settings that routing needs.
 type Target struct {
 	Name     string
 	Host     string
@@ -24,61 +24,66 @@
 	Address  string
 	State    ServerState
 	Capacity int
-	// Labels are the merged labels of host and target.
+	// Labels are the labels of the host and of the target, merged, with the
+	// built-in ones.
 	Labels selector.Labels
 	// Engine is nil for a backend server.
 	Engine *Engine
 }
 
-// CompiledModel is a model with the engines that its rules permit.
+// CompiledModel is a model with the engines of its pool.
 type CompiledModel struct {
 	Model
-	// Engines are permitted by the pool's and the model's selector.
+	// Engines are all engines of the pool; Rules permit some of them.
 	Engines []*Target
-	Rules   selector.All
+	// Rules are the selectors of the pool and of the model.
+	Rules selector.All
 }
 
-// CompiledRoute is a route with the servers that its rules permit.
+// CompiledRoute is a route with the servers of its service. Rules, the selectors
+// of the service and of the route, permit some of them.
 type CompiledRoute struct {
 	Route
 	Servers []*Target
 	Rules   selector.All
 }
 
-// CompiledWorkspace is a workspace with parsed selectors.
+// CompiledWorkspace is a workspace with its selectors parsed.
 type CompiledWorkspace struct {
 	Workspace
 	Rules selector.All
 	Entry selector.Selector
 }
 
-// Compiled is a configuration in the form that routing reads. It is immutable.
+// Compiled is a validated configuration in the form that routing uses. It is
+// immutable.
 type Compiled struct {
 	Config  *Config
 	Hosts   map[string]*Host
 	Pools   map[string]*Pool
 	Targets map[string]*Target
-	// TargetNames are the names of all targets in order, and TargetIndex the
-	// place of each name in them.
+	// TargetNames are the sorted names of all targets. TargetIndex is the index of
+	// each name in TargetNames.
 	TargetNames []string
 	TargetIndex map[string]int
 	Models      map[string]*CompiledModel
 	Routes      []*CompiledRoute // longest path first
 	Workspaces  map[string]*CompiledWorkspace
 	byKey       map[string]*CompiledWorkspace
-	permitted   sync.Map // permitKey to []*Target
+	permitted   sync.Map // cache of Permitted: permittedKey to []*Target
 }
 
-type permitKey struct {
+type permittedKey struct {
 	class string
 	rules uint64
 }
 
-// Permitted returns the targets that find returns for a model or route under
-// rules, and remembers them, since a configuration does not change. Only rules
-// that come from the configuration may be given, of which there are few.
+// Permitted returns the result of find, which is the targets that the rules permit
+// for a class of requests, such as a model or route. The result is cached for the
+// lifetime of the configuration and never evicted, so the rules must come from the
+// configuration, which has few different ones.
 func (c *Compiled) Permitted(class string, rules selector.All, find func() []*Target) []*Target {
-	key := permitKey{class, rules.Hash()}
+	key := permittedKey{class, rules.Hash()}
 	if v, ok := c.permitted.Load(key); ok {
 		return v.([]*Target)
 	}
@@ -87,8 +92,8 @@
 	return found
 }
 
-// WorkspaceByKey returns the workspace that owns an API key, given the SHA-256
-// of the key in hexadecimal, or nil.
+// WorkspaceByKey returns the workspace of an API key, or nil if there is none. The
+// digest is the SHA-256 of the key in hexadecimal.
 func (c *Compiled) WorkspaceByKey(digest string) *CompiledWorkspace { return c.byKey[digest] }
 
 // RouteFor returns the route with the longest path prefix of path, or nil.
@@ -101,7 +106,8 @@
 	return nil
 }
 
-// HostLabels returns the labels of a host with its built-in ones.
+// HostLabels returns the labels of a host, including the built-in ones, or nil if
+// the host does not exist.
 func (c *Compiled) HostLabels(name string) selector.Labels {
 	h := c.Hosts[name]
 	if h == nil {
--- a/config/config.go
+++ b/config/config.go
@@ -1,6 +1,7 @@
 // Package config defines the configuration of a deployment: hosts, pools,
-// engines, models, services, routes and workspaces. It reads it from JSON with
-// comments, checks it as a whole and compiles it for fast lookup.
+// engines, models, services, routes and workspaces. It parses a configuration
+// from JSON with comments, validates it as a whole and compiles it into the form
+// that routing uses.
 package config
 
 import (
@@ -19,8 +20,8 @@
 // SchemaText returns the JSON schema of the configuration.
 func SchemaText() []byte { return schemaText }
 
-// Config is the whole configuration. The schema in schema.json states each
-// field's meaning, unit, range and default.
+// Config is a complete configuration. The schema in schema.json states the
+// meaning, unit, range and default of each field.
 type Config struct {
 	Hosts      []Host      `json:"hosts"`
 	Pools      []Pool      `json:"pools"`
@@ -46,7 +47,7 @@
 	Roles    Roles  `json:"roles"`
 }
 
-// Roles says when engines change role.
+// Roles configures when the engines of a pool change role.
 type Roles struct {
 	Policy        string         `json:"policy"`
 	GoodputWeight float64        `json:"goodputWeight"`
@@ -55,16 +56,17 @@
 	ChangeTimeout jsonc.Duration `json:"changeTimeout"`
 }
 
-// ServerState is what the operator wants of an engine or backend server.
+// ServerState is the operational state that the operator sets for an engine or
+// backend server.
 type ServerState string
 
 // Server states.
 const (
-	// Active servers take requests.
+	// Active servers receive requests.
 	Active ServerState = "active"
-	// Draining servers finish what they have and take nothing new.
+	// Draining servers finish the requests in flight and receive no new ones.
 	Draining ServerState = "draining"
-	// Withdrawn servers take neither requests nor orders.
+	// Withdrawn servers receive neither requests nor orders.
 	Withdrawn ServerState = "withdrawn"
 )
 
@@ -81,17 +83,17 @@
 	Capacity int             `json:"capacity"`
 }
 
-// Priority orders requests; urgent ones go first.
+// Priority is the scheduling priority of a request.
 type Priority string
 
-// Priorities.
+// Priorities, the highest first.
 const (
 	Urgent Priority = "urgent"
 	Normal Priority = "normal"
 	Batch  Priority = "batch"
 )
 
-// Model is a model that callers may name.
+// Model is a model that clients may request by name.
 type Model struct {
 	Name       string         `json:"name"`
 	Pool       string         `json:"pool"`
@@ -101,7 +103,7 @@
 	Timeout    jsonc.Duration `json:"timeout"`
 }
 
-// Service is a plain service.
+// Service is a group of backend servers that routes refer to.
 type Service struct {
 	Name     string   `json:"name"`
 	Selector string   `json:"selector"`
@@ -118,7 +120,7 @@
 	Capacity int             `json:"capacity"`
 }
 
-// Route leads paths to a service.
+// Route sends requests whose path starts with Path to a service.
 type Route struct {
 	Path       string         `json:"path"`
 	Methods    []string       `json:"methods"`
@@ -129,7 +131,7 @@
 	Selector   string         `json:"selector"`
 }
 
-// Workspace is a customer.
+// Workspace is a holder of API keys, with its own limits, weight and placement rules.
 type Workspace struct {
 	Name              string   `json:"name"`
 	Keys              []string `json:"keys"`
@@ -140,8 +142,8 @@
 	Weight            float64  `json:"weight"`
 }
 
-// Parse reads, checks and compiles a configuration. All problems are reported
-// at once; see jsonc.ProblemsOf.
+// Parse decodes, validates and compiles a configuration. All problems are
+// returned in one error; see jsonc.ProblemsOf.
 func Parse(file string, text []byte) (*Config, *Compiled, error) {
 	var c Config
 	doc, err := jsonc.Decode(file, text, schema, &c)
