--- a/objstore/httpapi/httpapi.go
+++ b/objstore/httpapi/httpapi.go
@@ -1,11 +1,11 @@
-// Package httpapi is the adapter to an object API over HTTP and JSON.
+// Package httpapi is the adapter to an object API that uses HTTP and JSON.
 //
 //	GET    /objects/{key}                      one object
 //	GET    /objects?prefix=P                   all objects below a prefix
 //	PUT    /objects/{key}?ifVersion=V&writeID=W conditional write; 409 on conflict
 //	DELETE /objects/{key}?ifVersion=V          conditional delete
-//	GET    /watch?prefix=P&after=R&wait=D      long poll; 410 after a gap
-//	GET    /hosts                              lagging list of hosts
+//	GET    /watch?prefix=P&after=R&wait=D      long poll; 410 if revision R is too old
+//	GET    /hosts                              list of hosts, possibly out of date
 package httpapi
 
 import (
@@ -32,7 +32,7 @@
 	Revision objstore.Revision `json:"revision"`
 }
 
-// Client talks to the object API at one base URL.
+// Client calls the object API at one base URL.
 type Client struct {
 	base string
 	http *http.Client
@@ -104,7 +104,7 @@
 
 func formatInt(i int64) string { return strconv.FormatInt(i, 10) }
 
-// do sends one call and decodes its answer into out.
+// do sends one call and decodes the response into out.
 func (c *Client) do(ctx context.Context, method, path string, q url.Values, body []byte, out any) error {
 	u := c.base + path
 	if len(q) > 0 {
--- a/objstore/httpcall/httpcall.go
+++ b/objstore/httpcall/httpcall.go
@@ -1,5 +1,6 @@
-// Package httpcall makes one call of an object store over HTTP with JSON bodies
-// and says what is known of its effect afterwards.
+// Package httpcall makes a single call to an object store over HTTP with JSON
+// bodies. The kind of a returned error says whether the call may have taken
+// effect.
 package httpcall
 
 import (
@@ -15,24 +16,25 @@
 	"github.com/rockdoor/rockdoor/objstore"
 )
 
-// maxAnswer bounds one answer in bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes bounds the body of a response.
+const maxResponseBytes = 64 << 20
 
-// Do sends body, if there is one, and decodes the answer into out, unless out is
-// nil. The errors are of the kinds that objstore.Store documents. The body cannot
-// be read twice, so that the transport never repeats a write by itself.
+// Do sends body, unless it is nil, and decodes the response into out, unless that
+// is nil. The errors are of the kinds that objstore.Store documents. The request
+// body cannot be read a second time, so that the transport never retries a write
+// by itself.
 func Do(ctx context.Context, client *http.Client, method, url string, body []byte, out any) error {
 	return DoHeaded(ctx, client, method, url, body, out, func(http.Header) error { return nil })
 }
 
-// DoHeaded is Do that shows the head of each answer to a function first, whose error takes the
-// place of the answer.
+// DoHeaded is like Do, but passes the header of the response to head first. If head returns an
+// error, DoHeaded returns that error and ignores the response.
 func DoHeaded(ctx context.Context, client *http.Client, method, url string, body []byte, out any, head func(http.Header) error) error {
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }})
 	req, err := http.NewRequestWithContext(ctx, method, url, nil)
 	if err != nil {
-		return fault.Wrap(err, fault.Invalid, "call of the store cannot be built", "check the store's address in the settings")
+		return fault.Wrap(err, fault.Invalid, "request to the store cannot be created", "check the store's address in the settings")
 	}
 	if body != nil {
 		req.Body = io.NopCloser(bytes.NewReader(body))
@@ -41,15 +43,15 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return lost(err, method, sent.Load())
+		return lostResponse(err, method, sent.Load())
 	}
 	defer resp.Body.Close()
 	if err := head(resp.Header); err != nil {
 		return err
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return lost(err, method, true)
+		return lostResponse(err, method, true)
 	}
 	if err := statusError(resp.StatusCode, method, req.URL.Path, data); err != nil {
 		return err
@@ -58,22 +60,23 @@
 		return nil
 	}
 	if err := json.Unmarshal(data, out); err != nil {
-		return lost(err, method, true)
+		return lostResponse(err, method, true)
 	}
 	return nil
 }
 
-// lost classifies a call whose answer did not arrive.
-func lost(err error, method string, sent bool) error {
+// lostResponse returns the error of a call without a usable response. The outcome
+// of a write is unknown if it was sent.
+func lostResponse(err error, method string, sent bool) error {
 	if sent && method != http.MethodGet {
 		return fault.Wrap(err, fault.Unknown, "answer of the store was lost", "read the object back before writing again")
 	}
-	return fault.Wrap(err, fault.Unavailable, "store did not answer", "check the path to the store; the call may be repeated")
+	return fault.Wrap(err, fault.Unavailable, "store did not respond", "check the network path to the store; the call may be repeated")
 }
 
 func statusError(code int, method, path string, body []byte) error {
-	const shown = 200 // bytes of an unexpected answer that a message repeats
-	text := string(bytes.TrimSpace(body[:min(len(body), shown)]))
+	const maxShown = 200 // bytes of the response body that an error message quotes
+	text := string(bytes.TrimSpace(body[:min(len(body), maxShown)]))
 	switch {
 	case code < http.StatusMultipleChoices:
 		return nil
--- a/objstore/limited.go
+++ b/objstore/limited.go
@@ -11,28 +11,29 @@
 	"github.com/rockdoor/rockdoor/fault"
 )
 
-// Budget bounds the calls of one process to the object API.
+// Budget limits the calls of one process to the object API.
 type Budget struct {
 	// CallsPerSecond is the sustained rate of calls.
 	CallsPerSecond float64 `json:"callsPerSecond"`
-	// Burst is how many calls may be made at once after a quiet time.
+	// Burst is the size of the token bucket: how many calls may be made at once
+	// after an idle period.
 	Burst int `json:"burst"`
-	// CallTimeout bounds each call except Watch.
+	// CallTimeout bounds each call except Watch, which gets it in addition to its wait.
 	CallTimeout time.Duration `json:"-"`
 }
 
-// DefaultBudget lets 610 processes share an object API of two thousand calls a
-// second.
+// DefaultBudget lets 610 processes share an object API that handles 2000 calls
+// per second.
 var DefaultBudget = Budget{CallsPerSecond: 3, Burst: 60, CallTimeout: DefaultCallTimeout}
 
 const (
 	breakerFailures = 5
-	breakerOpenFor  = 2 * time.Second
+	breakerOpenTime = 2 * time.Second
 )
 
-// Limited is a Store that keeps its calls within a budget, ends each call at a
-// deadline, counts calls by kind and stops calling for a while when the store
-// keeps failing.
+// Limited wraps a Store with a rate limit, a timeout for each call, metrics by
+// kind of call and a circuit breaker, which rejects calls for a while after
+// several consecutive failures.
 type Limited struct {
 	next    Store
 	limiter *rate.Limiter
@@ -43,8 +44,8 @@
 
 var _ Store = (*Limited)(nil)
 
-// NewLimited wraps next. Calls are counted in reg as platform.calls.KIND and
-// platform.errors.KIND.
+// NewLimited wraps next. Calls and failures are counted in reg as
+// platform.calls.KIND and platform.errors.KIND.
 func NewLimited(next Store, b Budget, reg metrics.Registry) *Limited {
 	return &Limited{
 		next:    next,
@@ -53,13 +54,14 @@
 		reg:     reg,
 		breaker: gobreaker.NewTwoStepCircuitBreaker[any](gobreaker.Settings{
 			Name:        "platform",
-			Timeout:     breakerOpenFor,
+			Timeout:     breakerOpenTime,
 			ReadyToTrip: func(c gobreaker.Counts) bool { return c.ConsecutiveFailures >= breakerFailures },
 		}),
 	}
 }
 
-// Reachable reports whether the store answered lately.
+// Reachable reports whether the circuit breaker is closed, which means that the
+// store has responded recently.
 func (l *Limited) Reachable() bool { return l.breaker.State() == gobreaker.StateClosed }
 
 func call[T any](ctx context.Context, l *Limited, kind string, timeout time.Duration, f func(context.Context) (T, error)) (T, error) {
@@ -69,7 +71,7 @@
 	}
 	done, err := l.breaker.Allow()
 	if err != nil {
-		return zero, fault.Wrap(err, fault.Unavailable, "platform store is not answering", "wait until it answers again; traffic goes on meanwhile")
+		return zero, fault.Wrap(err, fault.Unavailable, "platform store is not responding", "wait until it responds again; traffic is not affected meanwhile")
 	}
 	metrics.GetOrRegisterCounter("platform.calls."+kind, l.reg).Inc(1)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -89,16 +91,16 @@
 	return call(ctx, l, "get", l.timeout, func(ctx context.Context) (Object, error) { return l.next.Get(ctx, key) })
 }
 
-type listed struct {
+type listResult struct {
 	objs []Object
 	rev  Revision
 }
 
 // List implements Store.
 func (l *Limited) List(ctx context.Context, prefix string) ([]Object, Revision, error) {
-	v, err := call(ctx, l, "list", l.timeout, func(ctx context.Context) (listed, error) {
+	v, err := call(ctx, l, "list", l.timeout, func(ctx context.Context) (listResult, error) {
 		objs, rev, err := l.next.List(ctx, prefix)
-		return listed{objs, rev}, err
+		return listResult{objs, rev}, err
 	})
 	return v.objs, v.rev, err
 }
@@ -118,16 +120,16 @@
 	return err
 }
 
-type watched struct {
+type watchResult struct {
 	events []Event
 	rev    Revision
 }
 
 // Watch implements Store.
 func (l *Limited) Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Event, Revision, error) {
-	v, err := call(ctx, l, "watch", wait+l.timeout, func(ctx context.Context) (watched, error) {
+	v, err := call(ctx, l, "watch", wait+l.timeout, func(ctx context.Context) (watchResult, error) {
 		events, rev, err := l.next.Watch(ctx, prefix, after, wait)
-		return watched{events, rev}, err
+		return watchResult{events, rev}, err
 	})
 	return v.events, v.rev, err
 }
--- a/objstore/memstore/memstore.go
+++ b/objstore/memstore/memstore.go
@@ -1,5 +1,5 @@
-// Package memstore is an object API in memory, for tests and stand-ins. It can
-// be told to fail in the ways that a real one does.
+// Package memstore is an in-memory object API for tests and simulations. Its calls
+// can be made to fail in the ways in which those of a real store fail.
 package memstore
 
 import (
@@ -13,8 +13,8 @@
 	"github.com/rockdoor/rockdoor/objstore"
 )
 
-// historyLength is how many events a watch can go back.
-const historyLength = 4096
+// maxEvents is how many past events are kept for watches to resume from.
+const maxEvents = 4096
 
 // Op names a call of the object API.
 type Op string
@@ -31,19 +31,19 @@
 // Failure says how a call fails.
 type Failure int
 
-// Failures.
+// Failures of a call.
 const (
-	// Works: the call works.
+	// Works means that the call does not fail.
 	Works Failure = iota
-	// Refuses: the call has no effect and says so.
+	// Refuses means that the call has no effect and fails with Unavailable.
 	Refuses
-	// LosesRequest: the call has no effect and its caller cannot tell.
+	// LosesRequest means that a write has no effect and fails with Unknown.
 	LosesRequest
-	// LosesAnswer: the call takes effect and its caller cannot tell.
+	// LosesAnswer means that a write takes effect and fails with Unknown.
 	LosesAnswer
 )
 
-// Store is the object API. It is safe for concurrent use.
+// Store implements objstore.Store in memory. It is safe for concurrent use.
 type Store struct {
 	mu      sync.Mutex
 	objects map[string]objstore.Object
@@ -61,8 +61,8 @@
 	return &Store{objects: map[string]objstore.Object{}, wake: make(chan struct{}), calls: map[Op]int{}}
 }
 
-// FailWith makes f decide how each call fails; nil ends all failures. f must
-// not call the store.
+// FailWith sets the function that decides how each call fails; with nil, no call
+// fails. f must not call the store.
 func (s *Store) FailWith(f func(op Op, key string) Failure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,10 +70,10 @@
 	s.broadcast()
 }
 
-// Down is a failure of every call.
+// Down is a function for FailWith that makes every call fail with Unavailable.
 func Down(Op, string) Failure { return Refuses }
 
-// Calls returns how often each call was made.
+// Calls returns the number of calls of each kind so far.
 func (s *Store) Calls() map[Op]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +101,7 @@
 	return fault.New(fault.Unavailable, "store refused the call", "wait and repeat it")
 }
 
-func lost() error {
+func lostResponse() error {
 	return fault.New(fault.Unknown, "answer of the store was lost", "read the object back")
 }
 
@@ -153,10 +153,10 @@
 	case Refuses:
 		return objstore.Object{}, refused()
 	case LosesRequest:
-		return objstore.Object{}, lost()
+		return objstore.Object{}, lostResponse()
 	case LosesAnswer:
 		_, _ = s.put(key, value, ifVersion, writeID)
-		return objstore.Object{}, lost()
+		return objstore.Object{}, lostResponse()
 	}
 	return s.put(key, value, ifVersion, writeID)
 }
@@ -176,10 +176,10 @@
 	return fault.New(fault.Conflict, key+" was changed by another writer", "read it again and repeat the change")
 }
 
-// record keeps an event and wakes the watches. The caller holds s.mu.
+// record appends an event and wakes all watches. The caller holds s.mu.
 func (s *Store) record(ev objstore.Event) {
 	s.events = append(s.events, ev)
-	if drop := len(s.events) - historyLength; drop > 0 {
+	if drop := len(s.events) - maxEvents; drop > 0 {
 		s.events = s.events[drop:]
 	}
 	s.broadcast()
@@ -193,10 +193,10 @@
 	case Refuses:
 		return refused()
 	case LosesRequest:
-		return lost()
+		return lostResponse()
 	case LosesAnswer:
 		_ = s.delete(key, ifVersion)
-		return lost()
+		return lostResponse()
 	}
 	return s.delete(key, ifVersion)
 }
@@ -243,7 +243,7 @@
 	if s.failure(OpWatch, prefix) != Works {
 		return nil, after, nil, refused()
 	}
-	if len(s.events) == historyLength && s.events[0].Revision > after+1 {
+	if len(s.events) == maxEvents && s.events[0].Revision > after+1 {
 		return nil, after, nil, objstore.ErrWatchGap
 	}
 	var events []objstore.Event
--- a/objstore/settle_test.go
+++ b/objstore/settle_test.go
@@ -13,7 +13,8 @@
 	"github.com/rockdoor/rockdoor/objstore/memstore"
 )
 
-// failOnce makes the first call of an operation fail.
+// failOnce returns a function for FailWith that makes the first call of an
+// operation fail.
 func failOnce(op memstore.Op, how memstore.Failure) func(memstore.Op, string) memstore.Failure {
 	done := false
 	return func(o memstore.Op, _ string) memstore.Failure {
@@ -55,7 +56,8 @@
 	require.True(t, fault.Is(err, fault.Unknown), "%v", err)
 }
 
-// overwriter lets another writer in after each lost answer.
+// overwriter is a store in which another writer overwrites the object after each
+// lost response.
 type overwriter struct{ *memstore.Store }
 
 func (o overwriter) Put(ctx context.Context, key string, value []byte, v objstore.Version, id string) (objstore.Object, error) {
