--- a/jsonc/check.go
+++ b/jsonc/check.go
@@ -14,32 +14,33 @@
 	"golang.org/x/text/message"
 )
 
-// check validates value against the schema and places every problem.
-func (d *Document) check(s *Schema, value any) Problems {
+// validate validates value against the schema and returns all problems with their
+// positions.
+func (d *Document) validate(s *Schema, value any) Problems {
 	err := s.compiled.Validate(value)
 	if err == nil {
 		return nil
 	}
 	var ve *jsonschema.ValidationError
 	if !errors.As(err, &ve) {
-		return Problems{d.at(0, "", err.Error(), "correct the document")}
+		return Problems{d.problemAt(0, "", err.Error(), "correct the document")}
 	}
 	var ps Problems
-	d.collect(ve, s, &ps)
+	d.collectLeaves(ve, s, &ps)
 	return ps
 }
 
-// collect walks to the leaves of a validation error.
-func (d *Document) collect(ve *jsonschema.ValidationError, s *Schema, ps *Problems) {
+// collectLeaves appends a problem for each leaf of a validation error to ps.
+func (d *Document) collectLeaves(ve *jsonschema.ValidationError, s *Schema, ps *Problems) {
 	for _, c := range ve.Causes {
-		d.collect(c, s, ps)
+		d.collectLeaves(c, s, ps)
 	}
 	if len(ve.Causes) > 0 {
 		return
 	}
 	pointer := Pointer(ve.InstanceLocation...)
 	if k, ok := ve.ErrorKind.(*kind.AdditionalProperties); ok {
-		known := s.properties(ve.InstanceLocation)
+		known := s.fieldNames(ve.InstanceLocation)
 		for _, name := range k.Properties {
 			*ps = append(*ps, d.unknownField(pointer, name, known))
 		}
@@ -57,10 +58,10 @@
 		}
 	}
 	remedy := "remove it; the fields here are " + strings.Join(known, ", ")
-	if near := nearest(name, known); near != "" {
+	if near := closestName(name, known); near != "" {
 		remedy = "did you mean " + strconv.Quote(near) + "?"
 	}
-	return d.at(offset, parent+Pointer(name), "unknown field "+strconv.Quote(name), remedy)
+	return d.problemAt(offset, parent+Pointer(name), "unknown field "+strconv.Quote(name), remedy)
 }
 
 func nameOffset(obj *hujson.Object, name string) int {
@@ -72,7 +73,7 @@
 	return 0
 }
 
-// explain turns a kind of validation error into a message and a remedy.
+// explain returns the message and the remedy for a kind of validation error.
 func explain(k jsonschema.ErrorKind) (msg, remedy string) {
 	switch k := k.(type) {
 	case *kind.Type:
@@ -80,7 +81,7 @@
 	case *kind.Required:
 		return "field " + strings.Join(k.Missing, ", ") + " is missing", "add it"
 	case *kind.Enum:
-		return fmt.Sprintf("value %q is not known", fmt.Sprint(k.Got)), "give one of " + list(k.Want)
+		return fmt.Sprintf("value %q is not known", fmt.Sprint(k.Got)), "give one of " + quotedList(k.Want)
 	case *kind.Pattern:
 		return fmt.Sprintf("value %q has the wrong form", k.Got), "write it so that it matches " + k.Want
 	case *kind.Minimum:
@@ -95,7 +96,7 @@
 	return k.LocalizedString(message.NewPrinter(language.English)), "correct the value"
 }
 
-func list(values []any) string {
+func quotedList(values []any) string {
 	words := make([]string, len(values))
 	for i, v := range values {
 		words[i] = fmt.Sprintf("%q", fmt.Sprint(v))
@@ -103,8 +104,9 @@
 	return strings.Join(words, ", ")
 }
 
-// nearest returns the known name that differs from name by at most two edits.
-func nearest(name string, known []string) string {
+// closestName returns the known name with the smallest edit distance to name, or ""
+// if that distance is above two. Case is ignored.
+func closestName(name string, known []string) string {
 	best, bestDistance := "", 3
 	for _, k := range known {
 		if n := editDistance(strings.ToLower(name), strings.ToLower(k)); n < bestDistance {
@@ -134,10 +136,11 @@
 	return row[len(b)]
 }
 
-// object is a JSON object inside a schema.
+// object is a decoded JSON object, in a schema or a document.
 type object = map[string]any
 
-// resolve follows a reference of the form #/$defs/NAME.
+// resolve returns the schema node as an object, after following references of the
+// form #/$defs/NAME.
 func (s *Schema) resolve(node any) object {
 	o, _ := node.(object)
 	for o != nil {
@@ -152,8 +155,9 @@
 	return nil
 }
 
-// properties lists the field names that the schema knows at a location.
-func (s *Schema) properties(location []string) []string {
+// fieldNames returns the sorted names of the fields that the schema defines at a
+// location.
+func (s *Schema) fieldNames(location []string) []string {
 	node := s.resolve(s.raw)
 	for _, part := range location {
 		props, _ := node["properties"].(object)
@@ -196,8 +200,8 @@
 	return value
 }
 
-// defaultOf returns the default of a field, which stands beside a reference or
-// in what it refers to.
+// defaultOf returns the default of a field. The default may be next to a reference
+// or in the definition that the reference points to.
 func (s *Schema) defaultOf(node any) (any, bool) {
 	if o, ok := node.(object); ok {
 		if def, ok := o["default"]; ok {
--- a/jsonc/duration.go
+++ b/jsonc/duration.go
@@ -6,7 +6,7 @@
 	"github.com/rockdoor/rockdoor/fault"
 )
 
-// Duration is a time.Duration that is written as text, such as "250ms" or "2s".
+// Duration is a time.Duration that is encoded as text, such as "250ms" or "2s".
 type Duration time.Duration
 
 // MarshalText implements encoding.TextMarshaler.
--- a/jsonc/jsonc.go
+++ b/jsonc/jsonc.go
@@ -1,7 +1,7 @@
-// Package jsonc decodes JSON with comments strictly. A document is checked
-// against a JSON schema, and every problem in it is reported at once with file,
-// line, column, path and remedy. Defaults come from the schema, so that the
-// schema is the one place that states a field's type, unit, range and default.
+// Package jsonc is a strict decoder for JSON with comments. A document is validated
+// against a JSON schema, and all problems found are reported together, each with
+// file, line, column, path and remedy. Defaults come from the schema, so that the
+// type, unit, range and default of a field are defined in one place.
 package jsonc
 
 import (
@@ -17,16 +17,17 @@
 	"github.com/rockdoor/rockdoor/fault"
 )
 
-// MaxDepth bounds the nesting of a document.
+// MaxDepth is the maximum nesting depth of a document.
 const MaxDepth = 64
 
-// Schema is a compiled JSON schema with its defaults.
+// Schema is a compiled JSON schema, together with its source for the defaults.
 type Schema struct {
 	compiled *jsonschema.Schema
 	raw      any
 }
 
-// MustCompile compiles a schema that is part of the program.
+// MustCompile compiles a schema that is embedded in the program. It panics if the
+// schema is invalid.
 func MustCompile(name string, text []byte) *Schema {
 	raw, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
@@ -39,36 +40,36 @@
 	return &Schema{compiled: c.MustCompile(name), raw: raw}
 }
 
-// Document is a parsed document that knows the place of each of its fields.
+// Document is a parsed document with the position of each of its fields.
 type Document struct {
 	file string
 	text []byte
 	root hujson.Value
 }
 
-// Decode parses and checks text, fills in defaults and stores the result in
-// out, a pointer to a struct. The file name is only used in problems. All
-// problems are returned at once as an error made by Problems.Err.
+// Decode parses and validates text, fills in the defaults of the schema and stores
+// the result in out, a pointer to a struct. The file name appears only in problems.
+// All problems are returned in one error; see Problems.Err and ProblemsOf.
 func Decode(file string, text []byte, s *Schema, out any) (*Document, error) {
 	doc := &Document{file: file, text: text}
 	if depth(text) > MaxDepth {
-		return nil, Problems{doc.at(0, "", "document is nested too deeply", "flatten it")}.Err()
+		return nil, Problems{doc.problemAt(0, "", "document is nested too deeply", "flatten it")}.Err()
 	}
 	root, err := hujson.Parse(text)
 	if err != nil {
-		return nil, Problems{doc.syntax(err)}.Err()
+		return nil, Problems{doc.syntaxProblem(err)}.Err()
 	}
 	doc.root = root
-	if ps := doc.duplicates(); len(ps) > 0 {
+	if ps := doc.duplicateFields(); len(ps) > 0 {
 		return nil, ps.Err()
 	}
 	std := root.Clone()
 	std.Standardize()
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(std.Pack()))
 	if err != nil {
-		return nil, Problems{doc.at(0, "", err.Error(), "correct the JSON syntax")}.Err()
+		return nil, Problems{doc.problemAt(0, "", err.Error(), "correct the JSON syntax")}.Err()
 	}
-	if ps := doc.check(s, value); len(ps) > 0 {
+	if ps := doc.validate(s, value); len(ps) > 0 {
 		return nil, ps.Err()
 	}
 	full, err := json.Marshal(s.withDefaults(s.raw, value))
@@ -78,7 +79,7 @@
 	dec := json.NewDecoder(bytes.NewReader(full))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(out); err != nil {
-		return nil, Problems{doc.at(0, "", err.Error(), "correct the value")}.Err()
+		return nil, Problems{doc.problemAt(0, "", err.Error(), "correct the value")}.Err()
 	}
 	return doc, nil
 }
@@ -89,10 +90,10 @@
 	if v := d.root.Find(pointer); v != nil {
 		offset = v.StartOffset
 	}
-	return d.at(offset, pointer, msg, remedy)
+	return d.problemAt(offset, pointer, msg, remedy)
 }
 
-func (d *Document) at(offset int, pointer, msg, remedy string) Problem {
+func (d *Document) problemAt(offset int, pointer, msg, remedy string) Problem {
 	offset = min(max(offset, 0), len(d.text))
 	before := d.text[:offset]
 	line := bytes.Count(before, []byte("\n")) + 1
@@ -100,14 +101,15 @@
 	return Problem{File: d.file, Line: line, Column: column, Path: pointer, Msg: msg, Remedy: remedy}
 }
 
-// syntax places a parse error, whose text starts with "hujson: line L, column C: ".
-func (d *Document) syntax(err error) Problem {
-	p := d.at(0, "", strings.TrimPrefix(err.Error(), "hujson: "), "correct the JSON syntax")
-	place, msg, ok := strings.Cut(p.Msg, ": ")
+// syntaxProblem converts a parse error to a Problem. It takes the position from the
+// text of the error, which starts with "hujson: line L, column C: ".
+func (d *Document) syntaxProblem(err error) Problem {
+	p := d.problemAt(0, "", strings.TrimPrefix(err.Error(), "hujson: "), "correct the JSON syntax")
+	position, msg, ok := strings.Cut(p.Msg, ": ")
 	if !ok {
 		return p
 	}
-	line, column, ok := strings.Cut(strings.TrimPrefix(place, "line "), ", column ")
+	line, column, ok := strings.Cut(strings.TrimPrefix(position, "line "), ", column ")
 	if !ok {
 		return p
 	}
@@ -117,24 +119,24 @@
 	return p
 }
 
-// depth returns how deeply brackets are nested at most, counting brackets in
-// strings and comments too, which errs on the safe side.
+// depth returns an upper bound of the nesting depth. It also counts opening
+// brackets in strings and comments.
 func depth(text []byte) int {
-	deepest, now := 0, 0
+	deepest, current := 0, 0
 	for _, c := range text {
 		switch c {
 		case '[', '{':
-			now++
-			deepest = max(deepest, now)
+			current++
+			deepest = max(deepest, current)
 		case ']', '}':
-			now--
+			current--
 		}
 	}
 	return deepest
 }
 
-// duplicates finds members of one object that have the same name.
-func (d *Document) duplicates() Problems {
+// duplicateFields returns a problem for each repeated field name in an object.
+func (d *Document) duplicateFields() Problems {
 	var ps Problems
 	for v := range d.root.All() {
 		obj, ok := v.Value.(*hujson.Object)
@@ -145,7 +147,7 @@
 		for _, m := range obj.Members {
 			name := m.Name.Value.(hujson.Literal).String()
 			if seen[name] {
-				ps = append(ps, d.at(m.Name.StartOffset, name, "field "+strconv.Quote(name)+" is given twice", "remove one of them"))
+				ps = append(ps, d.problemAt(m.Name.StartOffset, name, "field "+strconv.Quote(name)+" is given twice", "remove one of them"))
 			}
 			seen[name] = true
 		}
@@ -153,7 +155,7 @@
 	return ps
 }
 
-// Pointer joins the parts of a JSON pointer.
+// Pointer returns the JSON pointer with the given reference tokens, escaped.
 func Pointer(parts ...string) string {
 	var b strings.Builder
 	for _, p := range parts {
@@ -163,7 +165,7 @@
 	return b.String()
 }
 
-// ProblemsOf returns the problems in err's chain, if any.
+// ProblemsOf returns the problems in an error of Decode or Problems.Err, or nil.
 func ProblemsOf(err error) Problems {
 	var f *fault.Error
 	if !errors.As(err, &f) {
--- a/jsonc/problem.go
+++ b/jsonc/problem.go
@@ -8,18 +8,18 @@
 	"github.com/rockdoor/rockdoor/fault"
 )
 
-// Problem is one fault in a document, with its place and its remedy.
+// Problem is one error in a document, with its position and remedy.
 type Problem struct {
 	File   string `json:"file"`
 	Line   int    `json:"line"`
 	Column int    `json:"column"`
-	// Path is the JSON pointer of the field.
+	// Path is the JSON pointer to the field.
 	Path   string `json:"path"`
 	Msg    string `json:"msg"`
 	Remedy string `json:"remedy"`
 }
 
-// String returns the problem as file:line:column: path: message (remedy).
+// String formats the problem as "file:line:column: path: message (remedy: ...)".
 func (p Problem) String() string {
 	path := p.Path
 	if path == "" {
@@ -28,11 +28,11 @@
 	return fmt.Sprintf("%s:%d:%d: %s: %s (remedy: %s)", p.File, p.Line, p.Column, path, p.Msg, p.Remedy)
 }
 
-// Problems is the list of all faults found in a document. As an error it has
-// the kind fault.Invalid.
+// Problems is the list of all problems found in a document. Err turns it into an
+// error of kind fault.Invalid.
 type Problems []Problem
 
-// Error lists every problem on a line of its own.
+// Error lists the problems, one per line.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -41,7 +41,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns ps sorted by place as an error, or nil if there are none.
+// Err returns the problems, sorted by position, as an error, or nil if there are none.
 func (ps Problems) Err() error {
 	if len(ps) == 0 {
 		return nil
