--- a/selector/selector.go
+++ b/selector/selector.go
@@ -1,6 +1,6 @@
-// Package selector matches label selectors against labels. The syntax is the
-// one that operators know from cluster managers: "zone=a", "tier in (x, y)",
-// "zone notin (b)", "gpu", "!spot", joined by commas.
+// Package selector matches label selectors against labels. The syntax is that of
+// Kubernetes label selectors: requirements such as "zone=a", "tier in (x, y)",
+// "zone notin (b)", "gpu" or "!spot", joined by commas.
 package selector
 
 import (
@@ -10,20 +10,21 @@
 	"github.com/rockdoor/rockdoor/fault"
 )
 
-// MaxBytes bounds the text of one selector.
+// MaxBytes is the maximum length of the text of a selector.
 const MaxBytes = 4096
 
 // Labels are the labels of a host, engine or backend server.
 type Labels = labels.Set
 
-// Selector permits or rejects labels. The zero Selector permits everything.
+// Selector permits or rejects sets of labels. The zero Selector permits all of them.
 // A Selector is immutable.
 type Selector struct {
 	text string
 	sel  labels.Selector
 }
 
-// Parse reads a selector. The empty text permits everything.
+// Parse parses a selector. An empty text gives the zero Selector, which permits
+// everything.
 func Parse(text string) (Selector, error) {
 	if len(text) > MaxBytes {
 		return Selector{}, fault.Newf(fault.Invalid, "shorten it", "selector has %d bytes, the limit is %d", len(text), MaxBytes)
@@ -47,17 +48,18 @@
 // Empty reports whether the selector permits everything.
 func (s Selector) Empty() bool { return s.sel == nil }
 
-// Named is a selector with the name of the rule that it came from.
+// Named is a selector with the name of the rule that it belongs to.
 type Named struct {
-	// Rule says whose selector this is, such as "workspace palermo".
+	// Rule names the owner of the selector, such as "workspace palermo".
 	Rule string
 	Selector
 }
 
-// All is a list of selectors that must all permit.
+// All is a list of selectors. It permits labels that every selector permits.
 type All []Named
 
-// Rejects returns the first rule that does not permit l, if any.
+// Rejects reports whether some selector does not permit l, and returns the rule
+// and text of the first such selector.
 func (a All) Rejects(l Labels) (rule string, rejected bool) {
 	for _, s := range a {
 		if !s.Matches(l) {
@@ -67,7 +69,8 @@
 	return "", false
 }
 
-// Hash returns a hash of the selectors' texts, the same for equal lists.
+// Hash returns a hash of the selectors' texts, which is equal for equal lists. The
+// names of the rules are not part of it.
 func (a All) Hash() uint64 {
 	h := xxhash.New()
 	for _, s := range a {
