--- a/routing/demand.go
+++ b/routing/demand.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 )
 
-// DemandCounter counts the work that this process has admitted to each pool
-// since it started. It is safe for concurrent use.
+// DemandCounter counts the tokens that this process has admitted to each pool since
+// it started. It is safe for concurrent use.
 type DemandCounter struct {
 	pools sync.Map // name to *admitted
 }
@@ -23,7 +23,7 @@
 	v.(*admitted).decode.Add(uint64(max(decode, 0)))
 }
 
-// Each calls f with what was admitted to each pool.
+// Each calls f with the number of prefill and decode tokens admitted to each pool.
 func (d *DemandCounter) Each(f func(pool string, prefill, decode uint64)) {
 	d.pools.Range(func(k, v any) bool {
 		a := v.(*admitted)
--- a/routing/policies.go
+++ b/routing/policies.go
@@ -12,7 +12,7 @@
 	"github.com/rockdoor/rockdoor/fault"
 )
 
-// Names of the policies, as in the configuration.
+// Names of the policies in the configuration.
 const (
 	CompletionTime   = "completion-time"
 	LeastOutstanding = "least-outstanding"
@@ -22,7 +22,7 @@
 	Separating       = "separating"
 )
 
-// New returns a policy by its name.
+// New returns a new policy of the given name.
 func New(name string) (Policy, error) {
 	switch name {
 	case CompletionTime:
@@ -38,13 +38,13 @@
 	case Separating:
 		return separating{}, nil
 	}
-	return nil, fault.Newf(fault.Invalid, "use one of completion-time, separating, size-based, least-outstanding, round-robin, random", "policy %q is not known", name)
+	return nil, fault.Newf(fault.Invalid, "use one of completion-time, separating, size-based, least-outstanding, round-robin, random", "unknown policy %q", name)
 }
 
-// completionTime estimates, in seconds, when the request would be complete:
-// the prompts ahead and its own are read, then its tokens are generated at the
-// pace of the batch. What the request would cost the others in the batch is
-// part of the score.
+// completionTime estimates the time to complete the request, in seconds: the
+// pending prompts and its own are prefilled, then its output tokens are decoded at
+// the step time of the batch including this request. The last term of the score is
+// the delay that the request causes to the others in the batch.
 type completionTime struct{}
 
 func (completionTime) Score(cost Cost, c *Candidate) float64 {
@@ -55,11 +55,12 @@
 	prefill := float64(c.Load.PrefillTokens+cost.PrefillTokens) / r.PrefillPerSecond
 	step := r.StepBase + r.StepPerRequest*time.Duration(1+c.Load.Requests)
 	decode := float64(cost.DecodeTokens) * step.Seconds()
-	return prefill + decode + queueing(c)*step.Seconds()*float64(max(cost.DecodeTokens, 1))
+	return prefill + decode + queuedBatches(c)*step.Seconds()*float64(max(cost.DecodeTokens, 1))
 }
 
-// queueing returns how many full batches are ahead of the request.
-func queueing(c *Candidate) float64 {
+// queuedBatches returns how many full batches of requests are in flight ahead of
+// the request.
+func queuedBatches(c *Candidate) float64 {
 	return float64(c.Load.Requests) / float64(max(c.Target.Capacity, 1))
 }
 
@@ -71,66 +72,67 @@
 
 func (random) Score(Cost, *Candidate) float64 { return rand.Float64() }
 
-// roundRobin chooses the target that was chosen least recently. Chosen must be
-// told of each choice, which Choose does for policies that have that method.
+// roundRobin chooses the target that was chosen least recently. Choose reports each
+// choice to its method Chosen.
 type roundRobin struct {
-	turn atomic.Int64
-	last sync.Map // target name to turn
+	choices    atomic.Int64
+	lastChosen sync.Map // target name to the value of choices when it was last chosen
 }
 
 func (p *roundRobin) Score(_ Cost, c *Candidate) float64 {
-	if turn, ok := p.last.Load(c.Target.Name); ok {
+	if turn, ok := p.lastChosen.Load(c.Target.Name); ok {
 		return float64(turn.(int64))
 	}
 	return 0
 }
 
 // Chosen implements Observer.
-func (p *roundRobin) Chosen(c *Candidate) { p.last.Store(c.Target.Name, p.turn.Add(1)) }
+func (p *roundRobin) Chosen(c *Candidate) { p.lastChosen.Store(c.Target.Name, p.choices.Add(1)) }
 
-// longPrompt is the prompt, in tokens, from which reading it delays the tokens
-// of others in the batch noticeably.
-const longPrompt = 512
+// longPromptTokens is the prompt length from which its prefill noticeably delays the
+// output tokens of other requests in the batch.
+const longPromptTokens = 512
 
-// sizeBased keeps long prompts and other requests on different targets, as
-// size-based dispatch does with files: long prompts go to the third of the
-// targets with the highest hash, the rest to the others.
+// sizeBased sends long prompts and other requests to different targets, like
+// size-based dispatching of files. The targets whose name has a hash divisible by
+// three, on average a third of them, get the long prompts; the others get the rest.
 type sizeBased struct{}
 
 func (sizeBased) Score(cost Cost, c *Candidate) float64 {
 	h := xxhash.Sum64String(c.Target.Name)
-	if (cost.PrefillTokens >= longPrompt) == (h%3 == 0) {
+	if (cost.PrefillTokens >= longPromptTokens) == (h%3 == 0) {
 		return float64(c.Load.Requests)
 	}
-	return otherSide + float64(c.Load.Requests)
+	return wrongGroupPenalty + float64(c.Load.Requests)
 }
 
-// otherSide keeps a request on its side as long as any target there has room.
-const otherSide = 1e6
+// wrongGroupPenalty makes sizeBased choose a target of the other group only if the
+// request's own group has no candidate.
+const wrongGroupPenalty = 1e6
 
-// separating estimates the completion time like completionTime and adds the harm
-// that prompts and decoding do to each other: a long prompt delays the tokens of
-// everybody who decodes there, and tokens that are generated beside long prompts
-// are late. So long prompts gather where there are some already, and move to
-// other targets only when those get too slow.
+// separating adds to the score of completionTime a penalty for the interference
+// between prefill and decode: the prefill of a long prompt delays the output tokens
+// of all requests that decode on the same target. Long prompts therefore go to
+// targets that already have some, and to other targets only when those become too
+// slow.
 type separating struct{}
 
 const (
-	// lateWeight is the price, in seconds, of one request whose tokens are late.
-	lateWeight = 0.5
-	// typicalLongPrompt turns prompt tokens in hand into a number of prompts.
-	typicalLongPrompt = 2000
+	// latePenaltySeconds is the penalty for one request whose tokens are delayed.
+	latePenaltySeconds = 0.5
+	// typicalLongPromptTokens converts pending prefill tokens to a number of long prompts.
+	typicalLongPromptTokens = 2000
 )
 
 func (separating) Score(cost Cost, c *Candidate) float64 {
 	score := completionTime{}.Score(cost, c)
-	prompts := math.Ceil(float64(c.Load.PrefillTokens) / typicalLongPrompt)
-	if c.Load.PrefillTokens < longPrompt {
+	prompts := math.Ceil(float64(c.Load.PrefillTokens) / typicalLongPromptTokens)
+	if c.Load.PrefillTokens < longPromptTokens {
 		prompts = 0
 	}
 	decoding := math.Max(0, float64(c.Load.Requests)-prompts)
-	if cost.PrefillTokens >= longPrompt {
-		return score + lateWeight*decoding
+	if cost.PrefillTokens >= longPromptTokens {
+		return score + latePenaltySeconds*decoding
 	}
-	return score + lateWeight*math.Min(prompts, 2)
+	return score + latePenaltySeconds*math.Min(prompts, 2)
 }
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,6 +1,6 @@
-// Package routing chooses the engine or backend server for a request among
-// those that the placement rules permit. Policies are small and named, so that
-// another one is one file: implement Policy and add it to Policies.
+// Package routing chooses the engine or backend server for a request from those
+// that the placement rules permit. To add a policy, implement Policy and add its
+// name to New.
 package routing
 
 import (
@@ -12,18 +12,18 @@
 	"github.com/rockdoor/rockdoor/selector"
 )
 
-// MaxSample bounds how many permitted targets are scored for one request.
+// MaxSample is the maximum number of permitted targets scored for one request.
 const MaxSample = 32
 
-// Cost is what a request asks of a target, as far as it is known beforehand.
+// Cost is the estimated work of a request.
 type Cost struct {
-	// PrefillTokens are the prompt tokens that are not expected to be cached.
+	// PrefillTokens is the number of prompt tokens that are not expected to be cached.
 	PrefillTokens int
-	// DecodeTokens are the output tokens expected.
+	// DecodeTokens is the expected number of output tokens.
 	DecodeTokens int
 }
 
-// Load is the work that a target is believed to have in hand.
+// Load is the estimated work in flight at a target.
 type Load struct {
 	Requests      int
 	PrefillTokens int
@@ -35,51 +35,53 @@
 	return Load{l.Requests + m.Requests, l.PrefillTokens + m.PrefillTokens, l.DecodeTokens + m.DecodeTokens}
 }
 
-// Rates are the speeds of a target.
+// Rates describe the speed of a target.
 type Rates struct {
-	// PrefillPerSecond is in prompt tokens a second; 0 if prompts cost nothing.
+	// PrefillPerSecond is the number of prompt tokens prefilled per second. The
+	// completion-time policy uses DefaultRates if it is 0.
 	PrefillPerSecond float64
-	// StepBase and StepPerRequest give the time between two tokens of a request
-	// as StepBase + StepPerRequest * requests in hand.
+	// StepBase and StepPerRequest give the time between two output tokens of a
+	// request: StepBase + StepPerRequest * requests in flight.
 	StepBase       time.Duration
 	StepPerRequest time.Duration
 }
 
-// DefaultRates serve until a target's own have been learned.
+// DefaultRates are used until the rates of a target have been measured.
 var DefaultRates = Rates{PrefillPerSecond: 20000, StepBase: 12 * time.Millisecond, StepPerRequest: 250 * time.Microsecond}
 
-// Candidate is a permitted target with what is known about it.
+// Candidate is a permitted target with its load and speed.
 type Candidate struct {
 	Target *config.Target
 	Load   Load
 	Rates  Rates
-	// Broken targets have failed lately. They are chosen only if no other is left.
+	// Broken means that the circuit breaker of the target is open because of recent
+	// failures. Such a target is chosen only if all candidates are Broken.
 	Broken bool
 }
 
 // Policy scores candidates; the lowest score wins.
 type Policy interface {
-	// Score returns a number that grows with how unfit c is for the request.
+	// Score returns the score of c for a request with the given cost.
 	Score(cost Cost, c *Candidate) float64
 }
 
-// Observer is a Policy that wants to know what was chosen.
+// Observer is implemented by policies that need to be told which candidate was chosen.
 type Observer interface {
 	Chosen(c *Candidate)
 }
 
-// Reason says why a target was chosen.
+// Reason states why a target was chosen.
 type Reason string
 
 // Reasons of a decision.
 const (
-	// ReasonBest is the lowest score among the candidates.
+	// ReasonBest means that the target had the lowest score.
 	ReasonBest Reason = "best-score"
-	// ReasonOnly is the only permitted target.
+	// ReasonOnly means that the target was the only candidate.
 	ReasonOnly Reason = "only-permitted"
-	// ReasonLastResort is a target that failed lately, as no other is left.
+	// ReasonLastResort means that all candidates are Broken.
 	ReasonLastResort Reason = "last-resort"
-	// ReasonNone means that no target is permitted and available.
+	// ReasonNone means that there was no candidate.
 	ReasonNone Reason = "none-permitted"
 )
 
@@ -95,12 +97,13 @@
 	Considered int
 }
 
-// Choose returns the candidate with the lowest score. Broken candidates lose to
-// all others. Ties are broken at random, so that processes that see the same
-// loads don't all choose the same target.
+// Choose chooses the candidate with the lowest score, out of at most MaxSample that
+// it samples. Candidates that failed recently rank behind all others. Ties are broken
+// at random, so that processes that see the same loads don't all choose the same
+// target. Choose reorders cands.
 func Choose(p Policy, cost Cost, cands []Candidate) Decision {
 	d := Decision{Score: math.Inf(1), RunnerUpScore: math.Inf(1), Reason: ReasonNone}
-	sample(cands)
+	shuffleFront(cands)
 	cands = cands[:min(len(cands), MaxSample)]
 	best, second := -1, -1
 	for i := range cands {
@@ -145,8 +148,8 @@
 	return ReasonBest
 }
 
-// Sample returns at most MaxSample of the targets, chosen at random, so that the
-// cost of a decision does not grow with the fleet.
+// Sample returns a random sample of at most MaxSample targets, so that the cost of
+// a decision does not grow with the fleet.
 func Sample(targets []*config.Target) []*config.Target {
 	if len(targets) <= MaxSample {
 		return targets
@@ -159,26 +162,27 @@
 	return out
 }
 
-// sample moves a random choice of MaxSample candidates to the front, in random
-// order.
-func sample(cands []Candidate) {
+// shuffleFront moves a random sample of MaxSample candidates to the front, in
+// random order.
+func shuffleFront(cands []Candidate) {
 	for i := range min(len(cands), MaxSample) {
 		j := i + rand.IntN(len(cands)-i)
 		cands[i], cands[j] = cands[j], cands[i]
 	}
 }
 
-// Rejection says why a target may not run a request.
+// Rejection states why a target may not run a request.
 type Rejection struct {
 	Target string `json:"target"`
 	Rule   string `json:"rule"`
 }
 
-// RuleNotActive is the rule of a rejection for a target that is not active.
+// RuleNotActive starts the rule of a Rejection whose target is not active; the
+// state follows it.
 const RuleNotActive = "state is not active"
 
-// Permit returns the targets that all rules permit and that are active. If why
-// is not nil, it is called for each target that is left out.
+// Permit returns the active targets that all rules permit. If why is not nil, it is
+// called with the reason for each target that is left out.
 func Permit(targets []*config.Target, rules selector.All, why func(Rejection)) []*config.Target {
 	var out []*config.Target
 	for _, t := range targets {
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -108,8 +108,8 @@
 	require.Len(t, Sample(ts[:5]), 5)
 }
 
-// BenchmarkChoose measures a decision among so many permitted targets, as the
-// entry makes it: the rules are worked out once for a configuration.
+// BenchmarkChoose measures a decision among n permitted targets as the entry makes
+// it: the permitted targets are cached for a configuration.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{12, 120, 900, 2700} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/routing/tracker.go
+++ b/routing/tracker.go
@@ -5,11 +5,11 @@
 	"sync/atomic"
 )
 
-// Tracker counts the work that this process has outstanding at each target. It
-// is safe for concurrent use.
+// Tracker counts the work that this process has in flight at each target. It is
+// safe for concurrent use.
 type Tracker struct {
 	targets sync.Map // name to *outstanding
-	// Demand counts what was admitted.
+	// Demand counts the work admitted to each pool.
 	Demand DemandCounter
 }
 
@@ -21,18 +21,18 @@
 	return Load{int(o.requests.Load()), int(o.prefill.Load()), int(o.decode.Load())}
 }
 
-// Work is one request that is outstanding at a target.
+// Work is one request in flight at a target.
 type Work struct {
-	at      *outstanding
+	target  *outstanding
 	mu      sync.Mutex
 	prefill int64
 	decode  int64
 	ended   bool
 }
 
-// Begin counts a request at a target until its End, or returns nil if the
-// target already has limit requests of this process. Counting and checking are
-// one step, so that requests that begin together cannot exceed the limit.
+// Begin counts a request at a target until Work.End is called. It returns nil if
+// this process already has limit requests in flight there. The check and the count
+// are one atomic step, so concurrent requests cannot exceed the limit.
 func (t *Tracker) Begin(target string, c Cost, limit int) *Work {
 	v, ok := t.targets.Load(target)
 	if !ok {
@@ -45,26 +45,26 @@
 	}
 	o.prefill.Add(int64(c.PrefillTokens))
 	o.decode.Add(int64(c.DecodeTokens))
-	return &Work{at: o, prefill: int64(c.PrefillTokens), decode: int64(c.DecodeTokens)}
+	return &Work{target: o, prefill: int64(c.PrefillTokens), decode: int64(c.DecodeTokens)}
 }
 
-// Token records that one more token was generated; the first one also means
-// that the prompt has been read.
+// Token records one output token. The first one also ends the prefill.
 func (w *Work) Token() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.ended {
 		return
 	}
-	w.at.prefill.Add(-w.prefill)
+	w.target.prefill.Add(-w.prefill)
 	w.prefill = 0
 	if w.decode > 0 {
 		w.decode--
-		w.at.decode.Add(-1)
+		w.target.decode.Add(-1)
 	}
 }
 
-// End takes the rest of the request off the target. It may be called twice.
+// End removes the request and its remaining work from the load of the target. A
+// second call has no effect.
 func (w *Work) End() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -72,12 +72,12 @@
 		return
 	}
 	w.ended = true
-	w.at.requests.Add(-1)
-	w.at.prefill.Add(-w.prefill)
-	w.at.decode.Add(-w.decode)
+	w.target.requests.Add(-1)
+	w.target.prefill.Add(-w.prefill)
+	w.target.decode.Add(-w.decode)
 }
 
-// Load returns what this process has outstanding at a target.
+// Load returns the work that this process has in flight at a target.
 func (t *Tracker) Load(target string) Load {
 	if v, ok := t.targets.Load(target); ok {
 		return v.(*outstanding).load()
@@ -85,7 +85,7 @@
 	return Load{}
 }
 
-// Each calls f for each target with outstanding requests.
+// Each calls f for each target with requests in flight.
 func (t *Tracker) Each(f func(target string, l Load)) {
 	t.targets.Range(func(k, v any) bool {
 		if l := v.(*outstanding).load(); l.Requests > 0 {
