--- a/claims/claimant.go
+++ b/claims/claimant.go
@@ -42,8 +42,8 @@
 	peers Peers
 }
 
-// NewClaimant returns a claimant that finds the holders of a key in the table
-// that the store of its process has adopted.
+// NewClaimant sets up the acquisition of keys for the process of s. The holders of
+// a key are those in the table that s has adopted.
 func NewClaimant(s *Store, p Peers) *Claimant { return &Claimant{store: s, peers: p} }
 
 // Acquire claims a key at all its holders. The request may run only if the
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -23,9 +23,9 @@
 	objects *memstore.Store
 	procs   map[string]*process // by name
 	started int
-	// cut contains the pairs of processes, or of a process and "store", that are
+	// partitions contains the pairs of processes, or of a process and "store", that are
 	// partitioned from each other; see pair.
-	cut map[string]bool
+	partitions map[string]bool
 	// suspected contains the processes that are alive but that the others consider dead.
 	suspected map[string]bool
 	// runs counts how often each key was run.
@@ -33,13 +33,13 @@
 }
 
 type process struct {
-	w      *cluster
-	m      Member
-	store  *Store
-	keeper *Keeper
-	claim  *Claimant
-	seen   objstore.Object // the mirror
-	down   bool
+	cluster  *cluster
+	m        Member
+	store    *Store
+	keeper   *Keeper
+	claim    *Claimant
+	mirrored objstore.Object // the mirror
+	down     bool
 }
 
 const testWindow = time.Hour
@@ -47,12 +47,12 @@
 func (w *cluster) start(i int) {
 	w.started++
 	name := fmt.Sprintf("p%d", i)
-	p := &process{w: w, m: Member{name, fmt.Sprintf("%04d", w.started), fmt.Sprintf("d%d", i%3)}}
+	p := &process{cluster: w, m: Member{name, fmt.Sprintf("%04d", w.started), fmt.Sprintf("d%d", i%3)}}
 	p.store = NewStore(p.m, testWindow)
 	p.claim = NewClaimant(p.store, p)
 	p.keeper = NewKeeper(KeeperOptions{
 		Store: p.store, Peers: p, Objects: p, Logger: log.NewNopLogger(), Live: w.live,
-		Mirrored: func() (objstore.Object, bool) { return p.seen, p.seen.Version > 0 },
+		Mirrored: func() (objstore.Object, bool) { return p.mirrored, p.mirrored.Version > 0 },
 		// Every process may change the table, which tests more races than a single registrar.
 		Registrar: func() bool { return true },
 	})
@@ -71,21 +71,21 @@
 
 func pair(a, b string) string { return min(a, b) + "|" + max(a, b) }
 
-func (w *cluster) reach(from, to string) bool { return !w.cut[pair(from, to)] }
+func (w *cluster) connected(from, to string) bool { return !w.partitions[pair(from, to)] }
 
 // refresh copies the table from the store, as the mirror does in production.
 func (p *process) refresh() {
-	if !p.w.reach(p.m.Name, "store") {
+	if !p.cluster.connected(p.m.Name, "store") {
 		return
 	}
-	if obj, err := p.w.objects.Get(context.Background(), TableKey); err == nil {
-		p.seen = obj
+	if obj, err := p.cluster.objects.Get(context.Background(), TableKey); err == nil {
+		p.mirrored = obj
 	}
 }
 
 func (p *process) peer(to Member) (*process, error) {
-	other := p.w.procs[to.Name]
-	if other == nil || other.down || other.m != to || !p.w.reach(p.m.Name, to.Name) {
+	other := p.cluster.procs[to.Name]
+	if other == nil || other.down || other.m != to || !p.cluster.connected(p.m.Name, to.Name) {
 		return nil, fault.New(fault.Unavailable, "not reached", "")
 	}
 	return other, nil
@@ -117,15 +117,16 @@
 	return page, more, ready, nil
 }
 
-// process implements objstore.Store as far as the keeper uses it.
+// The following methods implement objstore.Store, as far as writing the table needs it.
+
 func (p *process) Put(ctx context.Context, key string, value []byte, v objstore.Version, id string) (objstore.Object, error) {
-	if !p.w.reach(p.m.Name, "store") {
+	if !p.cluster.connected(p.m.Name, "store") {
 		return objstore.Object{}, fault.New(fault.Unavailable, "cut", "")
 	}
-	return p.w.objects.Put(ctx, key, value, v, id)
+	return p.cluster.objects.Put(ctx, key, value, v, id)
 }
 func (p *process) Get(ctx context.Context, key string) (objstore.Object, error) {
-	return p.w.objects.Get(ctx, key)
+	return p.cluster.objects.Get(ctx, key)
 }
 func (p *process) List(context.Context, string) ([]objstore.Object, objstore.Revision, error) {
 	panic("not used")
@@ -150,7 +151,7 @@
 func TestKeysRunAtMostOnce(t *testing.T) {
 	granted := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := &cluster{t: t, objects: memstore.New(), procs: map[string]*process{}, cut: map[string]bool{}, suspected: map[string]bool{}, runs: map[string]int{}}
+		w := &cluster{t: t, objects: memstore.New(), procs: map[string]*process{}, partitions: map[string]bool{}, suspected: map[string]bool{}, runs: map[string]int{}}
 		for i := range 3 {
 			w.start(i)
 		}
@@ -205,9 +206,9 @@
 			case "suspect":
 				w.suspected[name("p")] = true
 			case "cut":
-				w.cut[pair(name("a"), rapid.SampledFrom([]string{"store", "p0", "p1", "p2"}).Draw(t, "b"))] = true
+				w.partitions[pair(name("a"), rapid.SampledFrom([]string{"store", "p0", "p1", "p2"}).Draw(t, "b"))] = true
 			case "heal":
-				clear(w.cut)
+				clear(w.partitions)
 				clear(w.suspected)
 			}
 		}
@@ -255,7 +256,7 @@
 	return ms
 }
 
-func TestHoldersAreInDifferentDomainsAndSpread(t *testing.T) {
+func TestHoldersAreInDifferentDomainsAndBalanced(t *testing.T) {
 	table, changed := Next(nil, members(9), false)
 	require.True(t, changed)
 	per := map[string]int{}
@@ -272,7 +273,7 @@
 	require.False(t, changed, "all holders are live")
 }
 
-func TestTwoLostHoldersStartAfreshOnlyWhenGivenUp(t *testing.T) {
+func TestShardWithTwoLostHoldersIsResetOnlyWithGiveUp(t *testing.T) {
 	table, _ := Next(nil, members(3), false)
 	live := append(members(3)[:1], Member{"x", "1", "d1"}, Member{"y", "1", "d2"})
 	_, changed := Next(table, live, false)
@@ -291,7 +292,7 @@
 	require.Equal(t, Granted, s.Claim(c).Verdict)
 }
 
-func TestOneLostHolderIsReplacedByOneThatAbstainsUntilItHasCopied(t *testing.T) {
+func TestReplacementHolderAbstainsUntilSynced(t *testing.T) {
 	table, _ := Next(nil, members(3), false)
 	live := append(members(3)[:2], Member{"x", "1", "d2"})
 	next, changed := Next(table, live, false)
@@ -328,7 +329,7 @@
 	require.Equal(t, 1, s.Held())
 }
 
-func TestClaimsEndWithTheirWindow(t *testing.T) {
+func TestClaimsExpireAfterTheWindow(t *testing.T) {
 	m := members(1)
 	table, _ := Next(nil, m, false)
 	s := NewStore(m[0], time.Nanosecond)
@@ -341,7 +342,7 @@
 	require.Zero(t, s.Held())
 }
 
-func TestContestedKeysAreFreeOnlyWhenAllHaveWithdrawn(t *testing.T) {
+func TestKeyWithRivalsIsFreeOnlyWhenAllHaveWithdrawn(t *testing.T) {
 	m := members(1)
 	table, _ := Next(nil, m, false)
 	s := NewStore(m[0], time.Hour)
--- a/claims/grow_test.go
+++ b/claims/grow_test.go
@@ -6,11 +6,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestHolderIsLostWhileAShardGrows covers a fleet that starts slowly: the table is
+// TestHolderLostWhileShardGrowsCausesNoReset covers a fleet that starts slowly: the table is
 // created with two live members, and one of them fails while a third copies the
 // claims. Both of the first two granted every claim, so the remaining one knows all
 // of them and the shard must not be reset.
-func TestHolderIsLostWhileAShardGrows(t *testing.T) {
+func TestHolderLostWhileShardGrowsCausesNoReset(t *testing.T) {
 	a, b, c, d := Member{Name: "a", Domain: "1"}, Member{Name: "b", Domain: "2"}, Member{Name: "c", Domain: "3"}, Member{Name: "d", Domain: "2"}
 	table, _ := Next(nil, []Member{a, b}, false)
 	table, changed := Next(table, []Member{a, b, c}, false)
--- a/claims/holder.go
+++ b/claims/holder.go
@@ -267,9 +267,9 @@
 }
 
 // Page returns the next claims of a shard in key order, starting behind the key
-// after, for a new holder to copy. It returns ready false if this store does not
-// hold the shard, or has not adopted the epoch yet: until then it may still grant
-// claims that the page would not contain.
+// after, for a new holder to copy. It returns ready false if this store is not a
+// synced holder of the shard, or has not adopted the epoch yet: until then it may
+// still grant claims that the page would not contain.
 func (s *Store) Page(shard int, epoch int64, after string) (page []Record, more, ready bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/claims/keeper.go
+++ b/claims/keeper.go
@@ -24,7 +24,7 @@
 	writeTimeout = 2 * time.Second
 )
 
-// KeeperOptions configures a Keeper.
+// KeeperOptions contains the dependencies of the reconciliation.
 type KeeperOptions struct {
 	Store *Store
 	Peers Peers
@@ -73,7 +73,7 @@
 	at     bootclock.Instant
 }
 
-// NewKeeper returns a keeper, which does nothing until Run is called.
+// NewKeeper sets up the reconciliation, which starts when Run is called.
 func NewKeeper(o KeeperOptions) *Keeper {
 	return &Keeper{o: o, logger: log.With(o.Logger, "component", "claims")}
 }
