--- a/confstore/confstore.go
+++ b/confstore/confstore.go
@@ -133,7 +133,7 @@
 	return a, nil
 }
 
-// ReadHead reads the current head. It returns the zero Accepted if there is none.
+// ReadHead reads the current head. It returns the zero value if there is none.
 func ReadHead(ctx context.Context, s objstore.Store) (Accepted, error) {
 	obj, err := s.Get(ctx, HeadKey)
 	if fault.Is(err, fault.NotFound) {
--- a/confstore/confstore_test.go
+++ b/confstore/confstore_test.go
@@ -37,7 +37,7 @@
 	return a, c.Config
 }
 
-func TestManyWorkspacesAreSplitAndOnlyChangedPartsAreWritten(t *testing.T) {
+func TestOnlyChangedChunksAreWritten(t *testing.T) {
 	ctx := context.Background()
 	s := memstore.New()
 	c := testConfig()
@@ -56,7 +56,7 @@
 	require.Len(t, got.Workspaces, 38000)
 }
 
-func TestEditsOfDifferentThingsAllTakeEffect(t *testing.T) {
+func TestConcurrentEditsAllTakeEffect(t *testing.T) {
 	ctx := context.Background()
 	s := memstore.New()
 	_, err := NewWriter(s).Apply(ctx, Accepted{}, testConfig(), Change{})
@@ -78,7 +78,7 @@
 	require.Len(t, c.Engines[1].Labels, 4)
 }
 
-func TestEditsThatBreakTheConfigurationChangeNothing(t *testing.T) {
+func TestInvalidEditsChangeNothing(t *testing.T) {
 	ctx := context.Background()
 	s := memstore.New()
 	_, err := NewWriter(s).Apply(ctx, Accepted{}, testConfig(), Change{})
@@ -97,7 +97,7 @@
 	require.Equal(t, config.Active, c.Engines[1].State)
 }
 
-func TestDamagedChunkIsAskedForElsewhere(t *testing.T) {
+func TestDamagedChunkIsFetchedFromNextSource(t *testing.T) {
 	ctx := context.Background()
 	s := memstore.New()
 	a, err := NewWriter(s).Apply(ctx, Accepted{}, testConfig(), Change{})
@@ -174,11 +174,11 @@
 
 func raceOperators(t *testing.T, seed uint64) []porcupine.Operation {
 	s := memstore.New()
-	var fmu sync.Mutex
+	var rngMu sync.Mutex
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s.FailWith(func(op memstore.Op, key string) memstore.Failure {
-		fmu.Lock()
-		defer fmu.Unlock()
+		rngMu.Lock()
+		defer rngMu.Unlock()
 		if op != memstore.OpPut || key != HeadKey || rng.IntN(2) == 0 {
 			return memstore.Works
 		}
