--- a/config/config.go
+++ b/config/config.go
@@ -131,7 +131,7 @@
 	Selector   string         `json:"selector"`
 }
 
-// Workspace is a holder of API keys, with its own limits, weight and placement rules.
+// Workspace is the unit that API keys, limits, a weight and placement rules belong to.
 type Workspace struct {
 	Name              string   `json:"name"`
 	Keys              []string `json:"keys"`
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -26,14 +26,14 @@
 	}
 }
 
-func TestBrokenFilesReportEveryProblem(t *testing.T) {
+func TestInvalidFilesReportEveryProblem(t *testing.T) {
 	for file, want := range map[string][]string{
 		"syntax.json": {"syntax.json:3:19: /"},
 		"fields.json": {
 			`fields.json:2:44: /hosts/0/lables: unknown field "lables" (remedy: did you mean "labels"?)`,
 			`/pools/0/policy: value "fastest" is not known`,
 			`/engines/0/address: value "example.org:80" has the wrong form`,
-			`/engines/0/capacity: value 0 is too small (remedy: give at least 1)`,
+			`/engines/0/capacity: value 0 is too small (remedy: use at least 1)`,
 			`/workspaces/0/keys/0: value "secret" has the wrong form`,
 			`/modles: unknown field "modles" (remedy: did you mean "models"?)`,
 		},
--- a/jsonc/check.go
+++ b/jsonc/check.go
@@ -57,7 +57,7 @@
 			offset = nameOffset(obj, name)
 		}
 	}
-	remedy := "remove it; the fields here are " + strings.Join(known, ", ")
+	remedy := "remove it; the valid fields here are " + strings.Join(known, ", ")
 	if near := closestName(name, known); near != "" {
 		remedy = "did you mean " + strconv.Quote(near) + "?"
 	}
@@ -77,21 +77,21 @@
 func explain(k jsonschema.ErrorKind) (msg, remedy string) {
 	switch k := k.(type) {
 	case *kind.Type:
-		return "value is a " + k.Got, "give a " + strings.Join(k.Want, " or a ")
+		return "value has type " + k.Got, "use type " + strings.Join(k.Want, " or ")
 	case *kind.Required:
 		return "field " + strings.Join(k.Missing, ", ") + " is missing", "add it"
 	case *kind.Enum:
-		return fmt.Sprintf("value %q is not known", fmt.Sprint(k.Got)), "give one of " + quotedList(k.Want)
+		return fmt.Sprintf("value %q is not known", fmt.Sprint(k.Got)), "use one of " + quotedList(k.Want)
 	case *kind.Pattern:
-		return fmt.Sprintf("value %q has the wrong form", k.Got), "write it so that it matches " + k.Want
+		return fmt.Sprintf("value %q has the wrong form", k.Got), "use a value that matches " + k.Want
 	case *kind.Minimum:
-		return "value " + k.Got.RatString() + " is too small", "give at least " + k.Want.RatString()
+		return "value " + k.Got.RatString() + " is too small", "use at least " + k.Want.RatString()
 	case *kind.Maximum:
-		return "value " + k.Got.RatString() + " is too large", "give at most " + k.Want.RatString()
+		return "value " + k.Got.RatString() + " is too large", "use at most " + k.Want.RatString()
 	case *kind.MinLength:
-		return "value is empty or too short", fmt.Sprintf("give at least %d character(s)", k.Want)
+		return "value is empty or too short", fmt.Sprintf("use at least %d character(s)", k.Want)
 	case *kind.MinItems:
-		return "list is too short", fmt.Sprintf("give at least %d item(s)", k.Want)
+		return "list is too short", fmt.Sprintf("use at least %d item(s)", k.Want)
 	}
 	return k.LocalizedString(message.NewPrinter(language.English)), "correct the value"
 }
--- a/jsonc/jsonc.go
+++ b/jsonc/jsonc.go
@@ -53,7 +53,7 @@
 func Decode(file string, text []byte, s *Schema, out any) (*Document, error) {
 	doc := &Document{file: file, text: text}
 	if depth(text) > MaxDepth {
-		return nil, Problems{doc.problemAt(0, "", "document is nested too deeply", "flatten it")}.Err()
+		return nil, Problems{doc.problemAt(0, "", "document is nested too deeply", "reduce the nesting")}.Err()
 	}
 	root, err := hujson.Parse(text)
 	if err != nil {
--- a/jsonc/jsonc_test.go
+++ b/jsonc/jsonc_test.go
@@ -33,14 +33,14 @@
 
 var compiled = MustCompile("test.json", []byte(testSchema))
 
-func TestDecodeFillsInDefaultsAlsoBesideReferences(t *testing.T) {
+func TestDecodeFillsInDefaultsNextToReferences(t *testing.T) {
 	var d testDoc
 	_, err := Decode("f", []byte(`{"name": "a", /* comment */ "parts": [{}, {"size": 2}],}`), compiled, &d)
 	require.NoError(t, err)
 	require.Equal(t, testDoc{Name: "a", Count: 3, Part: testPart{7}, Parts: []testPart{{7}, {2}}}, d)
 }
 
-func TestDecodeReportsAllProblemsWithPlaceAndRemedy(t *testing.T) {
+func TestDecodeReportsAllProblemsWithPositionAndRemedy(t *testing.T) {
 	text := "{\n  \"nam\": \"a\",\n  \"count\": 0,\n  \"parts\": [{\"size\": \"x\"}]\n}"
 	_, err := Decode("f.json", []byte(text), compiled, &testDoc{})
 	require.True(t, fault.Is(err, fault.Invalid))
@@ -51,18 +51,18 @@
 	require.Equal(t, []string{
 		`f.json:1:1: /: field name is missing (remedy: add it)`,
 		`f.json:2:3: /nam: unknown field "nam" (remedy: did you mean "name"?)`,
-		`f.json:3:12: /count: value 0 is too small (remedy: give at least 1)`,
-		`f.json:4:22: /parts/0/size: value is a string (remedy: give a integer)`,
+		`f.json:3:12: /count: value 0 is too small (remedy: use at least 1)`,
+		`f.json:4:22: /parts/0/size: value has type string (remedy: use type integer)`,
 	}, lines)
 }
 
-func TestDecodeRefusesDamagedDocuments(t *testing.T) {
+func TestDecodeRejectsInvalidDocuments(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"syntax":     {"{\n \"name\": }", "f:2:"},
 		"empty":      {"", "f:1:1"},
 		"twice":      {`{"name": "a", "name": "b"}`, "is given twice"},
 		"too deep":   {strings.Repeat("[", MaxDepth+1), "nested too deeply"},
-		"wrong type": {`[]`, "value is a array"},
+		"wrong type": {`[]`, "value has type array"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Decode("f", []byte(c.text), compiled, &testDoc{})
