--- a/objstore/httpapi/httpapi.go
+++ b/objstore/httpapi/httpapi.go
@@ -49,7 +49,7 @@
 	return &Client{base: base, http: &http.Client{Transport: tr}}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Get implements objstore.Store.
--- a/objstore/httpcall/httpcall.go
+++ b/objstore/httpcall/httpcall.go
@@ -28,7 +28,7 @@
 }
 
 // DoHeaded is like Do, but passes the header of the response to head first. If head returns an
-// error, DoHeaded returns that error and ignores the response.
+// error, that error is returned and the response is ignored.
 func DoHeaded(ctx context.Context, client *http.Client, method, url string, body []byte, out any, head func(http.Header) error) error {
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }})
--- a/objstore/limited.go
+++ b/objstore/limited.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Reachable reports whether the circuit breaker is closed, which means that the
-// store has responded recently.
+// Reachable reports whether the circuit breaker is closed, which it is unless the
+// latest calls have failed.
 func (l *Limited) Reachable() bool { return l.breaker.State() == gobreaker.StateClosed }
 
 func call[T any](ctx context.Context, l *Limited, kind string, timeout time.Duration, f func(context.Context) (T, error)) (T, error) {
--- a/objstore/settle_test.go
+++ b/objstore/settle_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-func TestPutSettledSettlesLostAnswers(t *testing.T) {
-	for name, how := range map[string]memstore.Failure{"request lost": memstore.LosesRequest, "answer lost": memstore.LosesAnswer} {
+func TestPutSettledRetriesAfterLostResponse(t *testing.T) {
+	for name, how := range map[string]memstore.Failure{"request lost": memstore.LosesRequest, "response lost": memstore.LosesAnswer} {
 		t.Run(name, func(t *testing.T) {
 			s := memstore.New()
 			s.FailWith(failOnce(memstore.OpPut, how))
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestPutSettledSaysUnknownWhenOverwritten(t *testing.T) {
+func TestPutSettledReturnsUnknownWhenOverwritten(t *testing.T) {
 	s := memstore.New()
 	first := true
 	s.FailWith(func(op memstore.Op, _ string) memstore.Failure {
@@ -69,7 +69,7 @@
 	return obj, err
 }
 
-func TestPutSettledSaysConflictOnlyWithoutEffect(t *testing.T) {
+func TestPutSettledReturnsConflictWithoutEffect(t *testing.T) {
 	s := memstore.New()
 	_, err := s.Put(context.Background(), "k", []byte("old"), 0, "w0")
 	require.NoError(t, err)
@@ -77,7 +77,7 @@
 	require.True(t, fault.Is(err, fault.Conflict))
 }
 
-func TestPutSettledSaysUnknownInAnOutage(t *testing.T) {
+func TestPutSettledReturnsUnknownInAnOutage(t *testing.T) {
 	s := memstore.New()
 	n := 0
 	s.FailWith(func(memstore.Op, string) memstore.Failure {
@@ -92,7 +92,7 @@
 	require.True(t, fault.Is(err, fault.Unknown), "%v", err)
 }
 
-func TestLimitedStopsCallingAStoreThatFails(t *testing.T) {
+func TestLimitedOpensTheCircuitBreaker(t *testing.T) {
 	s := memstore.New()
 	s.FailWith(memstore.Down)
 	l := objstore.NewLimited(s, objstore.Budget{CallsPerSecond: 1000, Burst: 100, CallTimeout: time.Second}, metrics.NewRegistry())
@@ -104,7 +104,7 @@
 	require.False(t, l.Reachable())
 }
 
-func TestLimitedKeepsToItsBudget(t *testing.T) {
+func TestLimitedEnforcesTheCallRate(t *testing.T) {
 	s := memstore.New()
 	l := objstore.NewLimited(s, objstore.Budget{CallsPerSecond: 0.001, Burst: 3, CallTimeout: time.Second}, metrics.NewRegistry())
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
