--- a/selector/selector_test.go
+++ b/selector/selector_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestParseNamesTheRemedy(t *testing.T) {
+func TestParseErrorsNameTheRemedy(t *testing.T) {
 	for _, text := range []string{"zone in", "=a", "zone=a b", strings.Repeat("a", selector.MaxBytes+1)} {
 		_, err := selector.Parse(text)
 		require.True(t, fault.Is(err, fault.Invalid), text)
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestAllNamesTheRuleThatRejects(t *testing.T) {
+func TestAllReturnsTheRuleThatRejects(t *testing.T) {
 	gold, err := selector.Parse("tier=gold")
 	require.NoError(t, err)
 	rules := selector.All{{Rule: "model m", Selector: gold}}
