--- a/routing/policies.go
+++ b/routing/policies.go
@@ -120,7 +120,8 @@
 const (
 	// latePenaltySeconds is the penalty for one request whose tokens are delayed.
 	latePenaltySeconds = 0.5
-	// typicalLongPromptTokens converts pending prefill tokens to a number of long prompts.
+	// typicalLongPromptTokens is the assumed length of a long prompt, by which pending
+	// prefill tokens are converted to a number of long prompts.
 	typicalLongPromptTokens = 2000
 )
 
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -46,7 +46,7 @@
 	StepPerRequest time.Duration
 }
 
-// DefaultRates are used until the rates of a target have been measured.
+// DefaultRates are used for a target whose own rates are not known.
 var DefaultRates = Rates{PrefillPerSecond: 20000, StepBase: 12 * time.Millisecond, StepPerRequest: 250 * time.Microsecond}
 
 // Candidate is a permitted target with its load and speed.
@@ -55,7 +55,7 @@
 	Load   Load
 	Rates  Rates
 	// Broken means that the circuit breaker of the target is open because of recent
-	// failures. Such a target is chosen only if all candidates are Broken.
+	// failures. Such a target is chosen only if the breakers of all candidates are.
 	Broken bool
 }
 
@@ -79,7 +79,7 @@
 	ReasonBest Reason = "best-score"
 	// ReasonOnly means that the target was the only candidate.
 	ReasonOnly Reason = "only-permitted"
-	// ReasonLastResort means that all candidates are Broken.
+	// ReasonLastResort means that the circuit breakers of all candidates are open.
 	ReasonLastResort Reason = "last-resort"
 	// ReasonNone means that there was no candidate.
 	ReasonNone Reason = "none-permitted"
@@ -97,10 +97,10 @@
 	Considered int
 }
 
-// Choose chooses the candidate with the lowest score, out of at most MaxSample that
-// it samples. Candidates that failed recently rank behind all others. Ties are broken
-// at random, so that processes that see the same loads don't all choose the same
-// target. Choose reorders cands.
+// Choose samples at most MaxSample of the candidates and chooses the one with the
+// lowest score among them. Candidates whose circuit breaker is open rank behind all
+// others. Ties are broken at random, so that processes that see the same loads do
+// not all choose the same target. Choose reorders cands.
 func Choose(p Policy, cost Cost, cands []Candidate) Decision {
 	d := Decision{Score: math.Inf(1), RunnerUpScore: math.Inf(1), Reason: ReasonNone}
 	shuffleFront(cands)
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -26,7 +26,7 @@
 	return cs
 }
 
-func TestPermitNamesTheRuleOfEachRejection(t *testing.T) {
+func TestPermitReportsTheRuleOfEachRejection(t *testing.T) {
 	ts := targets(3)
 	ts[2].State = config.Draining
 	even, err := selector.Parse("n=0")
@@ -37,7 +37,7 @@
 	require.Equal(t, []Rejection{{"e1", "model m n=0"}, {"e2", "state is not active but draining"}}, why)
 }
 
-func TestChooseTakesTheLeastLoaded(t *testing.T) {
+func TestChooseSelectsTheLeastLoaded(t *testing.T) {
 	for _, name := range []string{CompletionTime, LeastOutstanding} {
 		p, err := New(name)
 		require.NoError(t, err)
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestBrokenTargetsAreTheLastChoiceButStayOne(t *testing.T) {
+func TestBrokenTargetsAreChosenOnlyAsLastResort(t *testing.T) {
 	p, _ := New(LeastOutstanding)
 	cs := candidates(targets(2), func(i int) Load { return Load{Requests: i * 10} })
 	cs[0].Broken = true
@@ -61,7 +61,7 @@
 	require.Equal(t, ReasonNone, Choose(p, Cost{}, nil).Reason)
 }
 
-func TestRoundRobinGivesEachATurn(t *testing.T) {
+func TestRoundRobinChoosesEachTargetEquallyOften(t *testing.T) {
 	p, _ := New(RoundRobin)
 	got := map[string]int{}
 	for range 12 {
@@ -70,7 +70,7 @@
 	require.Equal(t, map[string]int{"e0": 3, "e1": 3, "e2": 3, "e3": 3}, got)
 }
 
-func TestEqualProcessesDoNotAllChooseTheSame(t *testing.T) {
+func TestTiesAreBrokenAtRandom(t *testing.T) {
 	p, _ := New(CompletionTime)
 	got := map[string]bool{}
 	for range 200 {
