--- a/internal/daemon/codec.go
+++ b/internal/daemon/codec.go
@@ -61,13 +61,13 @@
 
 func encodeOutcome(o entry.Outcome) *peerpb.ClaimOutcomeReply {
 	return &peerpb.ClaimOutcomeReply{
-		State: string(o.State), Kept: o.Kept, Status: int32(o.Status), ContentType: o.ContentType, Body: o.Body, Outcome: o.Outcome,
+		State: string(o.State), Kept: o.Stored, Status: int32(o.Status), ContentType: o.ContentType, Body: o.Body, Outcome: o.Outcome,
 	}
 }
 
 func decodeOutcome(o *peerpb.ClaimOutcomeReply) entry.Outcome {
 	return entry.Outcome{
-		State: entry.OutcomeState(o.GetState()), Kept: o.GetKept(), Status: int(o.GetStatus()), ContentType: o.GetContentType(),
+		State: entry.OutcomeState(o.GetState()), Stored: o.GetKept(), Status: int(o.GetStatus()), ContentType: o.GetContentType(),
 		Body: o.GetBody(), Outcome: o.GetOutcome(),
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -403,7 +403,7 @@
 	ctx, cancel := context.WithTimeout(background, d.set.Limits.StopTimeout.Std())
 	defer cancel()
 	if err := d.callers.Shutdown(ctx); err != nil {
-		level.Warn(d.logger).Log("msg", "requests were still in hand at the end of stopTimeout", "requests", d.entry.InHand())
+		level.Warn(d.logger).Log("msg", "requests were still in hand at the end of stopTimeout", "requests", d.entry.InFlight())
 	}
 	uctx, ucancel := context.WithTimeout(background, unregisterTime)
 	defer ucancel()
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -16,7 +16,7 @@
 	"github.com/rockdoor/rockdoor/statechart"
 )
 
-// Codes of errors that callers see, besides the kinds of package fault.
+// Error codes in replies to clients, in addition to the kinds of package fault.
 const (
 	codeNoTarget     = "no_permitted_target"
 	codeOverloaded   = "overloaded"
@@ -36,28 +36,29 @@
 	codeClaimMissing = "claim_not_granted"
 )
 
-// reply is a final answer that rockdoor itself gives.
+// reply is a final response that rockdoor generates itself.
 type reply struct {
 	status int
 	code   string
 	err    error
 	// outcome is a final state of the request chart.
 	outcome statechart.State
-	// retryAfter is when asking again makes sense, 0 if it does not.
+	// retryAfter is the time after which the client may retry, 0 if a retry is
+	// pointless.
 	retryAfter time.Duration
 }
 
-// refusal is a reply of rockdoor itself. Its outcome is that of a request that was never
-// attempted; run.do puts the true one in its place after attempts.
-func refusal(status int, code string, err error, retryAfter time.Duration) *reply {
+// errorReply returns a reply with the outcome of a request that was never attempted.
+// run.do replaces that outcome by the actual one.
+func errorReply(status int, code string, err error, retryAfter time.Duration) *reply {
 	return &reply{status: status, code: code, err: err, outcome: charts.RequestNotRun, retryAfter: retryAfter}
 }
 
-// refusalFor maps an error found before the request ran.
-func refusalFor(err error) *reply {
+// errorReplyFor maps an error that occurred before the request ran to a reply.
+func errorReplyFor(err error) *reply {
 	var limited *limits.RejectionError
 	if errors.As(err, &limited) {
-		return refusal(http.StatusTooManyRequests, string(limited.Err.Kind), limited.Err, limited.RetryAfter)
+		return errorReply(http.StatusTooManyRequests, string(limited.Err.Kind), limited.Err, limited.RetryAfter)
 	}
 	kind := fault.KindOf(err)
 	status := map[fault.Kind]int{
@@ -71,10 +72,10 @@
 	if status == 0 {
 		status = http.StatusInternalServerError
 	}
-	return refusal(status, string(kind), err, 0)
+	return errorReply(status, string(kind), err, 0)
 }
 
-// errorType is the coarse type that clients of the completion API know.
+// errorType returns the error type of the completion API for a status.
 func errorType(status int) string {
 	switch {
 	case status == http.StatusUnauthorized:
@@ -94,8 +95,8 @@
 	return append(b, '\n')
 }
 
-// setRetryAfter states when to come back, in whole seconds and, for callers that
-// can wait less, in milliseconds.
+// setRetryAfter sets the Retry-After header, in whole seconds, and Retry-After-Ms,
+// for clients that support a shorter wait.
 func setRetryAfter(h http.Header, d time.Duration) {
 	if d <= 0 {
 		return
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// keepAlive is a client that reuses its connections, as callers' clients do.
+// keepAlive is a client that reuses its connections, as real clients do.
 var keepAlive = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 
 func get(b *testing.B, url string) {
@@ -30,8 +30,8 @@
 	resp.Body.Close()
 }
 
-// BenchmarkAddedLatency sends the same open-loop load straight to a service and
-// through one entry server, in turns, and reports what the latter adds.
+// BenchmarkAddedLatency alternates the same open-loop load between direct requests
+// to a service and requests through one entry server, and reports the added latency.
 func BenchmarkAddedLatency(b *testing.B) {
 	f := startBench(b)
 	straight := "http://" + f.snapshot.Config.Targets["s0"].Address + "/flags/x"
@@ -72,8 +72,9 @@
 	wg.Wait()
 }
 
-// BenchmarkRequests measures throughput and allocations of plain calls, and the
-// memory that is held after them. The stand-ins' own records are dropped first.
+// BenchmarkRequests measures throughput and allocations of requests to a plain
+// service, and the memory that remains allocated afterwards, without the records of
+// the stand-ins.
 func BenchmarkRequests(b *testing.B) {
 	f := startBench(b)
 	get(b, f.url+"/flags/x")
@@ -101,8 +102,8 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkTokens measures streams of 1,000 tokens each, and what a token costs
-// beyond what the stand-in itself costs.
+// BenchmarkTokens measures streams of 1,000 tokens each, directly from the stand-in
+// and through the entry server. The difference is the cost of the entry server.
 func BenchmarkTokens(b *testing.B) {
 	const tokens = 1000
 	f := startBench(b)
--- a/internal/entry/breaker.go
+++ b/internal/entry/breaker.go
@@ -11,42 +11,44 @@
 )
 
 const (
-	// breakAfter is how many attempts in a row fail before a target is passed over.
-	breakAfter = 3
-	// breakFor is how long a target is passed over before it is tried again.
-	breakFor = 2 * time.Second
+	// tripAfterFailures is the number of consecutive failed attempts that open the
+	// breaker of a target.
+	tripAfterFailures = 3
+	// openDuration is how long a breaker stays open before an attempt probes the
+	// target.
+	openDuration = 2 * time.Second
 )
 
-// breakers hold a circuit breaker for each target. An open breaker only makes a
-// target the last choice; it never takes the last permitted target away.
+// breakers holds a circuit breaker for each target. An open breaker only ranks a
+// target last: the target still gets the request if no other one is available.
 type breakers struct {
 	targets sync.Map // name to *gobreaker.TwoStepCircuitBreaker[any]
 }
 
 func newBreakers() *breakers { return &breakers{} }
 
-func (b *breakers) of(target string) *gobreaker.TwoStepCircuitBreaker[any] {
+func (b *breakers) breakerFor(target string) *gobreaker.TwoStepCircuitBreaker[any] {
 	if v, ok := b.targets.Load(target); ok {
 		return v.(*gobreaker.TwoStepCircuitBreaker[any])
 	}
 	v, _ := b.targets.LoadOrStore(target, gobreaker.NewTwoStepCircuitBreaker[any](gobreaker.Settings{
 		Name:        target,
-		Timeout:     breakFor,
-		ReadyToTrip: func(c gobreaker.Counts) bool { return c.ConsecutiveFailures >= breakAfter },
+		Timeout:     openDuration,
+		ReadyToTrip: func(c gobreaker.Counts) bool { return c.ConsecutiveFailures >= tripAfterFailures },
 	}))
 	return v.(*gobreaker.TwoStepCircuitBreaker[any])
 }
 
-// broken reports whether attempts at the target have failed lately.
+// broken reports whether the breaker of the target is open.
 func (b *breakers) broken(target string) bool {
-	return b.of(target).State() == gobreaker.StateOpen
+	return b.breakerFor(target).State() == gobreaker.StateOpen
 }
 
 // begin returns a function that records how an attempt ended.
 func (b *breakers) begin(target string) func(statechart.State, error) {
-	done, err := b.of(target).Allow()
+	done, err := b.breakerFor(target).Allow()
 	if err != nil {
-		return func(statechart.State, error) {} // a last resort is not counted again
+		return func(statechart.State, error) {} // the breaker is open: an attempt on a target of last resort is not counted
 	}
 	return func(s statechart.State, err error) {
 		if s == charts.AttemptComplete || s == charts.AttemptFailed {
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -1,6 +1,7 @@
-// Package entry serves callers: it reads and checks a request, admits it, finds
-// the targets that its rules permit, sends it to one of them, tries again where
-// that is safe, and gives the caller one whole answer or a truthful refusal.
+// Package entry handles client requests. It validates and admits a request,
+// selects the targets that the request's rules permit, sends the request to one
+// of them and retries where a retry is safe. The client gets either one complete
+// response or an error that states whether the request may have run.
 package entry
 
 import (
@@ -21,42 +22,44 @@
 	"github.com/rockdoor/rockdoor/selector"
 )
 
-// Headers that callers may send.
+// Request headers.
 const (
 	// HeaderSelector restricts where the request may run.
 	HeaderSelector = "Rockdoor-Selector"
 	// HeaderPriority is urgent, normal or batch.
 	HeaderPriority = "Rockdoor-Priority"
-	// HeaderDeadline is how long the caller waits, such as 2s.
+	// HeaderDeadline is the client timeout, such as 2s.
 	HeaderDeadline = "Rockdoor-Deadline"
 	// HeaderIdempotent is true or false and overrides the route's setting.
 	HeaderIdempotent = "Rockdoor-Idempotent"
-	// HeaderKey makes retries of a request at any entry host run at most once.
+	// HeaderKey is the idempotency key. Requests with the same key run at most
+	// once, whichever entry hosts receive them.
 	HeaderKey = "Idempotency-Key"
-	// HeaderWorkspace names the workspace where workspaces have no keys.
+	// HeaderWorkspace names the workspace if that workspace has no API keys.
 	HeaderWorkspace = "Rockdoor-Workspace"
 )
 
-// Headers of answers.
+// Response headers.
 const (
-	// HeaderOutcome tells what became of the request: complete, not_run,
-	// unknown or failed. For a stream it is a trailer.
+	// HeaderOutcome is the final state of the request: complete, not_run, unknown
+	// or failed. For a stream it is a trailer.
 	HeaderOutcome = "Rockdoor-Outcome"
 	// HeaderRequest is the id under which the request is logged.
 	HeaderRequest = "Rockdoor-Request"
-	// HeaderRevision is the configuration revision that placed the request.
+	// HeaderRevision is the configuration revision under which the target was
+	// chosen.
 	HeaderRevision = "Rockdoor-Revision"
 )
 
 const (
-	maxDeadline   = 10 * time.Minute
-	bytesPerToken = 4
-	defaultOutput = 128
-	maxKeyBytes   = 255
-	bearerPrefix  = "Bearer "
+	maxDeadline         = 10 * time.Minute
+	bytesPerToken       = 4
+	defaultOutputTokens = 128
+	maxKeyBytes         = 255
+	bearerPrefix        = "Bearer "
 )
 
-// call is one request of a caller, read and checked.
+// call is one validated client request.
 type call struct {
 	id        string
 	snapshot  *control.Snapshot
@@ -65,15 +68,15 @@
 	class   string
 	targets []*config.Target
 	rules   selector.All
-	// own is the selector that the request brings.
-	own        selector.Selector
-	policy     string
-	pool       string // empty for a call to a plain service
-	idempotent bool
-	priority   config.Priority
-	deadline   time.Time
-	key        string
-	cost       routing.Cost
+	// requestSelector comes from HeaderSelector.
+	requestSelector selector.Selector
+	policy          string
+	pool            string // empty for a call to a plain service
+	idempotent      bool
+	priority        config.Priority
+	deadline        time.Time
+	key             string
+	cost            routing.Cost
 
 	method string
 	uri    string
@@ -84,13 +87,14 @@
 }
 
 func newCall(r *http.Request, s *control.Snapshot) *call {
-	return &call{id: ulid.Make().String(), snapshot: s, method: r.Method, uri: r.URL.RequestURI(), header: forwarded(r.Header)}
+	return &call{id: ulid.Make().String(), snapshot: s, method: r.Method, uri: r.URL.RequestURI(), header: endToEndHeaders(r.Header)}
 }
 
-// stream reports whether the answer is a stream of events.
+// stream reports whether the response is a stream of events.
 func (c *call) stream() bool { return c.completion != nil && c.completion.Stream }
 
-// hopHeaders concern one connection, or rockdoor itself, and are not forwarded.
+// hopHeaders are hop-by-hop headers and headers addressed to rockdoor itself.
+// They are not forwarded.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Authorization", "Content-Length", "Expect", "Accept-Encoding",
@@ -99,7 +103,7 @@
 	openai.PhaseHeader, openai.KVHeader, openai.KVTokensHeader, openai.NotRunHeader,
 }
 
-func forwarded(h http.Header) http.Header {
+func endToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, name := range strings.Split(h.Get("Connection"), ",") {
 		if name = strings.TrimSpace(name); name != "" {
@@ -112,9 +116,9 @@
 	return out
 }
 
-// identify finds the workspace of a request by its API key, or by name for
-// workspaces without keys.
-func identify(r *http.Request, c *config.Compiled) (*config.CompiledWorkspace, error) {
+// identifyWorkspace finds the workspace of a request by its API key, or by name
+// for workspaces without keys.
+func identifyWorkspace(r *http.Request, c *config.Compiled) (*config.CompiledWorkspace, error) {
 	if key, ok := strings.CutPrefix(r.Header.Get("Authorization"), bearerPrefix); ok {
 		sum := sha256.Sum256([]byte(key))
 		if w := c.WorkspaceByKey(hex.EncodeToString(sum[:])); w != nil {
@@ -126,12 +130,13 @@
 			return w, nil
 		}
 	}
-	return nil, fault.New(fault.Denied, "workspace is not known", "send the workspace's API key as Authorization: Bearer KEY")
+	return nil, fault.New(fault.Denied, "workspace is unknown", "send the workspace's API key as Authorization: Bearer KEY")
 }
 
-// preferences reads the headers by which a caller steers a request. The call
-// holds the defaults of its model or route already.
-func (c *call) preferences(h http.Header, now time.Time, timeout time.Duration) error {
+// applyHeaders sets priority, idempotency, deadline, idempotency key and selector
+// from the request headers. The call must already hold the defaults of its model
+// or route.
+func (c *call) applyHeaders(h http.Header, now time.Time, timeout time.Duration) error {
 	if p := config.Priority(h.Get(HeaderPriority)); p != "" {
 		if p != config.Urgent && p != config.Normal && p != config.Batch {
 			return fault.Newf(fault.Invalid, "use urgent, normal or batch", "%s %q is not known", HeaderPriority, p)
@@ -148,7 +153,7 @@
 	if text := h.Get(HeaderDeadline); text != "" {
 		d, err := time.ParseDuration(text)
 		if err != nil || d <= 0 || d > maxDeadline {
-			return fault.Newf(fault.Invalid, "give a time from 1ms to "+maxDeadline.String()+", such as 2s", "%s %q is not usable", HeaderDeadline, text)
+			return fault.Newf(fault.Invalid, "give a time from 1ms to "+maxDeadline.String()+", such as 2s", "%s %q is invalid", HeaderDeadline, text)
 		}
 		timeout = d
 	}
@@ -159,26 +164,27 @@
 	return c.restrict(h.Get(HeaderSelector))
 }
 
-// restrict adds the selector of the request to the rules.
+// restrict parses a selector and adds it to the rules of the call.
 func (c *call) restrict(text string) error {
 	own, err := selector.Parse(text)
 	if err != nil {
 		return err
 	}
-	c.own = own
-	c.addOwnRule()
+	c.requestSelector = own
+	c.addRequestRule()
 	return nil
 }
 
-func (c *call) addOwnRule() {
-	if !c.own.Empty() {
-		c.rules = append(c.rules[:len(c.rules):len(c.rules)], selector.Named{Rule: "request", Selector: c.own})
+func (c *call) addRequestRule() {
+	if !c.requestSelector.Empty() {
+		c.rules = append(c.rules[:len(c.rules):len(c.rules)], selector.Named{Rule: "request", Selector: c.requestSelector})
 	}
 }
 
-// rebase decides the call's place anew under a newer configuration: a retry or a
-// resumed stream must not run where it was permitted only before.
-func (c *call) rebase(s *control.Snapshot) error {
+// applyConfig recomputes targets and rules under a newer configuration, so that
+// a retry or a resumed stream does not run on a target that is no longer
+// permitted.
+func (c *call) applyConfig(s *control.Snapshot) error {
 	older := c.snapshot.Revision
 	c.snapshot = s
 	if s.Revision == older {
@@ -192,22 +198,22 @@
 		if m == nil {
 			return fault.New(fault.NotFound, "model has been removed", "GET /v1/models lists the models")
 		}
-		c.placeModel(m)
+		c.setModelTargets(m)
 	} else {
 		rt := s.Config.RouteFor(c.class)
 		if rt == nil || rt.Path != c.class {
 			return fault.New(fault.NotFound, "route has been removed", "rockdoor config get lists the routes")
 		}
-		c.placeRoute(rt)
+		c.setRouteTargets(rt)
 	}
-	c.addOwnRule()
+	c.addRequestRule()
 	return nil
 }
 
 // permitted returns the active targets that all rules permit.
 func (c *call) permitted() []*config.Target {
 	find := func() []*config.Target { return routing.Permit(c.targets, c.rules, nil) }
-	if !c.own.Empty() {
+	if !c.requestSelector.Empty() {
 		return find()
 	}
 	return c.snapshot.Config.Permitted(c.class, c.rules, find)
@@ -220,16 +226,16 @@
 		return fault.Newf(fault.NotFound, "GET /v1/models lists the models", "model %q does not exist", req.Model)
 	}
 	c.completion, c.class = req, m.Name
-	c.placeModel(m)
+	c.setModelTargets(m)
 	c.idempotent, c.priority = m.Idempotent, m.Priority
 	c.cost = routing.Cost{PrefillTokens: req.PromptBytes()/bytesPerToken + 1, DecodeTokens: req.MaxTokens}
 	if req.MaxTokens == 0 {
-		c.cost.DecodeTokens = l.expect(c.workspace.Name, m.Name)
+		c.cost.DecodeTokens = l.estimate(c.workspace.Name, m.Name)
 	}
 	return nil
 }
 
-func (c *call) placeModel(m *config.CompiledModel) {
+func (c *call) setModelTargets(m *config.CompiledModel) {
 	c.targets, c.pool, c.policy = m.Engines, m.Pool, c.snapshot.Config.Pools[m.Pool].Policy
 	c.rules = append(m.Rules[:len(m.Rules):len(m.Rules)], c.workspace.Rules...)
 }
@@ -237,11 +243,11 @@
 // forRoute fills in the call from a route to a plain service.
 func (c *call) forRoute(rt *config.CompiledRoute) {
 	c.class = rt.Path
-	c.placeRoute(rt)
+	c.setRouteTargets(rt)
 	c.idempotent, c.priority = rt.Idempotent, rt.Priority
 }
 
-func (c *call) placeRoute(rt *config.CompiledRoute) {
+func (c *call) setRouteTargets(rt *config.CompiledRoute) {
 	c.targets, c.policy = rt.Servers, routing.LeastOutstanding
 	c.rules = append(rt.Rules[:len(rt.Rules):len(rt.Rules)], c.workspace.Rules...)
 }
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -16,29 +16,32 @@
 	"github.com/rockdoor/rockdoor/statechart"
 )
 
-// Claims grants requests with an idempotency key.
+// Claims grants the right to run a request under an idempotency key to one
+// claimant.
 type Claims interface {
 	Acquire(ctx context.Context, c claims.Claim) claims.Result
 	// Abandon withdraws a claim whose request has not run.
 	Abandon(c claims.Claim)
-	// Outcome asks the process that runs a claimed request what became of it.
+	// Outcome asks the process that claimed a request for the request's outcome.
 	Outcome(ctx context.Context, process, claimant string) (Outcome, error)
 }
 
 const (
-	claimTries   = 4
-	claimBackoff = 15 * time.Millisecond
-	claimWait    = time.Second
-	outcomeTime  = time.Second
-	// HeaderReplayed marks an answer that was given before.
+	maxClaimAttempts = 4
+	claimBackoff     = 15 * time.Millisecond
+	claimRetryAfter  = time.Second
+	outcomeTimeout   = time.Second
+	// HeaderReplayed marks the stored response of an earlier request with the same
+	// idempotency key.
 	HeaderReplayed = "Rockdoor-Replayed"
 	digestBytes    = 16
 )
 
-// claimed reports whether the call must be claimed before it runs.
+// claimed reports whether the call needs a claim before it runs.
 func (c *call) claimed() bool { return c.key != "" && !c.idempotent }
 
-// digest identifies the content of the call.
+// digest returns a hash of the method, URI and body, by which a reuse of the
+// idempotency key for another request is detected.
 func (c *call) digest() string {
 	h := sha256.New()
 	h.Write([]byte(c.method + "\x00" + c.uri + "\x00"))
@@ -46,21 +49,21 @@
 	return hex.EncodeToString(h.Sum(nil)[:digestBytes])
 }
 
-// Outcome returns what this process knows of a claimed request.
+// Outcome returns the state of a claimed request at this process.
 func (s *Server) Outcome(claimant string) Outcome { return s.outcomes.get(claimant) }
 
-// serveClaimed runs the call if its key is granted, and otherwise answers as the
-// request that holds the key was answered.
+// serveClaimed runs the call if its idempotency key is granted. Otherwise it
+// replies with the outcome of the request that holds the key.
 func (r *run) serveClaimed() {
 	claim := claims.Claim{
 		Key: r.claimKey(), Claimant: r.c.id, Digest: r.c.digest(), Process: r.s.o.Process,
 	}
 	var res claims.Result
-	for range claimTries {
+	for range maxClaimAttempts {
 		r.s.outcomes.begin(claim.Claimant)
 		if res = r.s.o.Claims.Acquire(r.ctx, claim); res.Granted {
 			r.claim = &claim
-			r.record()
+			r.recordResponse()
 			r.finish(r.do())
 			return
 		}
@@ -77,19 +80,21 @@
 	}
 	r.life.Fire(charts.Refused)
 	level.Info(r.s.o.Logger).Log("msg", "claim not granted", "request", r.c.id, "grants", res.Grants, "holders", res.Holders, "seen", res.Seen)
-	r.finish(refusal(http.StatusServiceUnavailable, codeClaimMissing,
-		fault.New(fault.Unavailable, "not enough holders of the idempotency key can vouch that it is new", "ask again after the time in Retry-After"), claimWait+rand.N(claimWait)))
+	r.finish(errorReply(http.StatusServiceUnavailable, codeClaimMissing,
+		fault.New(fault.Unavailable, "too few claim holders confirmed that the idempotency key is unused", "ask again after the time in Retry-After"), claimRetryAfter+rand.N(claimRetryAfter)))
 }
 
-// claimKey is the key as the holders know it: each workspace has its own.
+// claimKey returns the key under which the claim is stored. Idempotency keys are
+// scoped to the workspace.
 func (r *run) claimKey() string { return r.c.workspace.Name + "\x00" + r.c.key }
 
-// record keeps a copy of the answer for callers that ask again.
-func (r *run) record() { r.w = &recorder{ResponseWriter: r.w} }
+// recordResponse captures the response, so that it can be replayed to duplicates
+// of the request.
+func (r *run) recordResponse() { r.w = &recorder{ResponseWriter: r.w} }
 
-// settleClaim remembers the outcome, or withdraws the claim of a call that has
-// not run, so that it may be sent again.
-func (r *run) settleClaim(outcome statechart.State) {
+// completeClaim stores the outcome of a call that may have run. It withdraws the
+// claim of a call that has not run, so that the client may send it again.
+func (r *run) completeClaim(outcome statechart.State) {
 	if outcome == charts.RequestNotRun {
 		r.s.outcomes.withdraw(r.claim.Claimant)
 		r.s.o.Claims.Abandon(*r.claim)
@@ -98,50 +103,50 @@
 	r.s.outcomes.finish(r.claim.Claimant, r.w.(*recorder).outcome(string(outcome)))
 }
 
-// duplicate answers a call whose key another request holds. It returns false if
-// that request turns out to have been withdrawn, so that the key may be claimed
-// again.
+// duplicate replies to a call whose idempotency key is held by another request.
+// It returns false without a reply if that request has been withdrawn, so that
+// the key may be claimed again.
 func (r *run) duplicate(res claims.Result) bool {
 	if res.Mismatch {
-		r.answerDuplicate(refusal(http.StatusUnprocessableEntity, codeKeyMismatch,
+		r.replyToDuplicate(errorReply(http.StatusUnprocessableEntity, codeKeyMismatch,
 			fault.New(fault.Invalid, "idempotency key was used for another request", "use a new key for each request"), 0))
 		return true
 	}
-	out := r.askOutcome(res)
+	out := r.fetchOutcome(res)
 	switch {
 	case out.State == OutcomeWithdrawn:
-		// Its own process says so, but a holder that had copied the claim has not
-		// heard of it.
+		// The claiming process withdrew the claim, but a holder with a replica of
+		// the claim has not received the withdrawal.
 		r.s.o.Claims.Abandon(claims.Claim{Key: r.claimKey(), Claimant: res.Claimant})
 		return false
 	case out.State == OutcomeRunning:
-		r.answerDuplicate(&reply{status: http.StatusConflict, code: codeKeyInUse, outcome: charts.RequestUnknown, retryAfter: claimWait,
-			err: fault.New(fault.Conflict, "a request with this idempotency key is running", "ask again after the time in Retry-After for its answer")})
-	case out.State == OutcomeDone && out.Kept:
+		r.replyToDuplicate(&reply{status: http.StatusConflict, code: codeKeyInUse, outcome: charts.RequestUnknown, retryAfter: claimRetryAfter,
+			err: fault.New(fault.Conflict, "a request with this idempotency key is running", "ask again after the time in Retry-After for its response")})
+	case out.State == OutcomeDone && out.Stored:
 		r.replay(out)
 	case out.State == OutcomeDone:
-		r.answerDuplicate(&reply{status: http.StatusConflict, code: codeKeyInUse, outcome: statechart.State(out.Outcome),
-			err: fault.New(fault.Conflict, "a request with this idempotency key has ended, its answer was too large to be kept", "do not send it again; its outcome is in the header "+HeaderOutcome)})
+		r.replyToDuplicate(&reply{status: http.StatusConflict, code: codeKeyInUse, outcome: statechart.State(out.Outcome),
+			err: fault.New(fault.Conflict, "a request with this idempotency key has ended, its response was too large to be stored", "do not send it again; its outcome is in the header "+HeaderOutcome)})
 	default:
 		r.duplicateUnknown()
 	}
 	return true
 }
 
-// duplicateUnknown answers a call whose key is held by a request that nobody can
-// tell the outcome of.
+// duplicateUnknown replies to a call whose idempotency key is held by a request
+// whose outcome cannot be determined.
 func (r *run) duplicateUnknown() {
-	r.answerDuplicate(&reply{status: http.StatusBadGateway, code: codeUnknown, outcome: charts.RequestUnknown,
-		err: fault.New(fault.Unknown, "a request with this idempotency key may have run and its outcome is not known", "find out by other means whether it took effect")})
+	r.replyToDuplicate(&reply{status: http.StatusBadGateway, code: codeUnknown, outcome: charts.RequestUnknown,
+		err: fault.New(fault.Unknown, "a request with this idempotency key may have run and its outcome is unknown", "find out by other means whether it took effect")})
 }
 
-// askOutcome asks the process that claimed the key. The zero state means that
-// nobody can tell.
-func (r *run) askOutcome(res claims.Result) Outcome {
+// fetchOutcome asks the process that claimed the key for the outcome. It returns
+// the zero Outcome if the outcome cannot be determined.
+func (r *run) fetchOutcome(res claims.Result) Outcome {
 	if res.Process == "" {
 		return Outcome{}
 	}
-	ctx, cancel := context.WithTimeout(r.ctx, outcomeTime)
+	ctx, cancel := context.WithTimeout(r.ctx, outcomeTimeout)
 	defer cancel()
 	out, err := r.s.o.Claims.Outcome(ctx, res.Process, res.Claimant)
 	if err != nil {
@@ -150,16 +155,16 @@
 	return out
 }
 
-func (r *run) answerDuplicate(rep *reply) {
+func (r *run) replyToDuplicate(rep *reply) {
 	r.life.Fire(charts.Duplicate)
 	r.finish(rep)
 }
 
-// replay gives the answer that the request with the same key got.
+// replay sends the stored response of the request with the same key.
 func (r *run) replay(out Outcome) {
 	r.life.Fire(charts.Duplicate)
 	h := r.w.Header()
-	r.identify(h)
+	r.setResponseHeaders(h)
 	h.Set(HeaderReplayed, "true")
 	h.Set(HeaderOutcome, out.Outcome)
 	if out.ContentType != "" {
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -69,7 +69,7 @@
 	for range 3 {
 		g := f.chat("notes", false, HeaderSelector, "domain=d0")
 		require.Equal(t, 503, g.status)
-		require.Equal(t, codeUnknown, g.code(t), "it ran there, so nobody may say not run")
+		require.Equal(t, codeUnknown, g.code(t), "the request may have run, so the outcome must not be not_run")
 	}
 	require.Empty(t, f.engines[1].Runs())
 }
@@ -114,13 +114,13 @@
 				g := f.chat("notes", true)
 				got, done := text(t, g.body)
 				require.True(t, done, g.body)
-				require.Equal(t, answer.Text("hello", 6), got, "no token lost or repeated")
+				require.Equal(t, answer.Text("hello", 6), got, "no token may be lost or repeated")
 			}
 		})
 	}
 }
 
-func TestRefusalOfAnEngineIsNotARun(t *testing.T) {
+func TestRejectionByEngineIsNotARun(t *testing.T) {
 	f := start(t)
 	f.engines[0].SetFaults(engined.Faults{Refuse: true})
 	for range 6 {
@@ -133,8 +133,8 @@
 	require.Equal(t, 6, f.runs())
 }
 
-// A server that closes a kept-alive connection after reading a call makes
-// HTTP clients send a GET, or a call with an Idempotency-Key, once more.
+// By default net/http resends a GET, or a request with an Idempotency-Key, if the
+// server closes a keep-alive connection after it has read the request.
 func TestTransportNeverRepeatsACall(t *testing.T) {
 	f := start(t)
 	for i, s := range f.services {
@@ -229,7 +229,7 @@
 	require.Zero(t, f.runs())
 }
 
-func TestDeadlineGivesAFinalAnswer(t *testing.T) {
+func TestOutcomeAfterDeadlineIsUnknown(t *testing.T) {
 	f := start(t)
 	f.engineFaults(engined.Faults{Silent: true})
 	g := f.chat("notes", false, HeaderDeadline, "50ms")
@@ -238,7 +238,7 @@
 	require.Equal(t, "unknown", g.header.Get(HeaderOutcome))
 }
 
-func TestCallerThatVanishesCancelsTheEngine(t *testing.T) {
+func TestClientDisconnectCancelsEngineRequest(t *testing.T) {
 	f := start(t)
 	f.engineFaults(engined.Faults{Silent: true})
 	conn, err := net.Dial("tcp", strings.TrimPrefix(f.url, "http://"))
@@ -252,7 +252,7 @@
 		for _, e := range f.engines {
 			for _, r := range e.Runs() {
 				if r.Cancelled {
-					return f.entry.InHand() == 0
+					return f.entry.InFlight() == 0
 				}
 			}
 		}
@@ -264,11 +264,11 @@
 	f := start(t)
 	f.engineFaults(engined.Faults{Silent: true})
 	var wg sync.WaitGroup
-	for i := range 12 { // 2 engines, capacity 4, and half as much queued
+	for i := range 12 { // 2 engines with a capacity of 4 and a queue factor of 1.5
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			// One workspace alone may not take the last of the room.
+			// Several workspaces, since each is held to its share.
 			f.chat("review", false, HeaderDeadline, "1s", HeaderWorkspace, []string{"w", "flood", "third", "fourth"}[i%4])
 		}()
 	}
@@ -280,7 +280,7 @@
 	wg.Wait()
 }
 
-func TestWorkspaceRateIsRefusedWithATime(t *testing.T) {
+func TestWorkspaceRateLimitRejects(t *testing.T) {
 	f := start(t)
 	statuses := map[int]int{}
 	for range 5 {
@@ -289,15 +289,15 @@
 	require.Equal(t, map[int]int{200: 2, 429: 3}, statuses)
 }
 
-func TestModelsListsWhatTheWorkspaceMayUse(t *testing.T) {
+func TestModelsListsPermittedModels(t *testing.T) {
 	f := start(t)
 	g := f.do(http.MethodGet, "/v1/models", "", HeaderWorkspace, "d1only")
 	var list openai.ModelList
 	require.NoError(t, json.Unmarshal([]byte(g.body), &list))
-	require.Len(t, list.Data, 2, "local may not run where this workspace may")
+	require.Len(t, list.Data, 2, "model local is not permitted on the targets of this workspace")
 }
 
-func TestExplainSaysWhereAndWhyNotElsewhere(t *testing.T) {
+func TestExplainNamesTargetAndExclusions(t *testing.T) {
 	f := start(t)
 	e, err := f.entry.Explain(Question{Workspace: "d1only", Model: "review"})
 	require.NoError(t, err)
@@ -313,7 +313,7 @@
 	require.Zero(t, f.runs())
 }
 
-func TestKeyedRequestRunsOnceAndIsAnsweredAgain(t *testing.T) {
+func TestKeyedRequestRunsOnceAndIsReplayed(t *testing.T) {
 	f := start(t)
 	for _, stream := range []bool{false, true} {
 		key := fmt.Sprint("k", stream)
@@ -325,13 +325,13 @@
 		require.Equal(t, "true", second.header.Get(HeaderReplayed))
 		require.Equal(t, before+1, f.runs())
 		other := f.chat("review", stream, HeaderKey, key, HeaderWorkspace, "d1only")
-		require.Equal(t, 200, other.status, "another workspace has its own keys")
+		require.Equal(t, 200, other.status, "idempotency keys are scoped to the workspace")
 		reused := f.do(http.MethodPost, pathChat, `{"model": "review", "messages": [{"role": "user", "content": "else"}]}`, HeaderKey, key)
 		require.Equal(t, codeKeyMismatch, reused.code(t))
 	}
 }
 
-func TestKeyedRequestThatDidNotRunMayBeSentAgain(t *testing.T) {
+func TestKeyedRequestThatDidNotRunCanBeResent(t *testing.T) {
 	f := start(t)
 	f.engineFaults(engined.Faults{Refuse: true})
 	g := f.chat("review", false, HeaderKey, "k")
@@ -341,7 +341,7 @@
 	require.Equal(t, 1, f.runs())
 }
 
-func TestKeyedRequestWithoutAKnownOutcomeIsNeverCalledNotRun(t *testing.T) {
+func TestKeyedRequestWithUnknownOutcomeIsNeverNotRun(t *testing.T) {
 	f := start(t)
 	lost := claims.Claim{Key: "w\x00k", Claimant: "c", Digest: "d", Process: "crashed/1", Epoch: 1}
 	body := `{"model": "review", "messages": [{"role": "user", "content": "hi"}]}`
@@ -353,7 +353,7 @@
 	require.Zero(t, f.runs())
 }
 
-func TestKeyOfAWithdrawnClaimThatAHolderMissedIsFreedAgain(t *testing.T) {
+func TestWithdrawalMissedByHolderFreesKey(t *testing.T) {
 	f := start(t)
 	stale := claims.Claim{Key: "w\x00k", Claimant: "c", Process: "entry/1", Epoch: 1}
 	body := `{"model": "review", "messages": [{"role": "user", "content": "hi"}]}`
@@ -380,7 +380,7 @@
 	require.Equal(t, 1, f.runs())
 }
 
-func TestLongPromptIsReadByAnEngineInThePrefillRole(t *testing.T) {
+func TestLongPromptIsPrefilledByPrefillEngine(t *testing.T) {
 	f := startWith(t, 4)
 	f.engines[0].SetRole(engine.RolePrefill)
 	f.snapshot.Reports = map[string]control.Report{"e0": {Status: engine.Status{Role: engine.RolePrefill}}}
@@ -395,20 +395,20 @@
 
 	f.engines[0].SetFaults(engined.Faults{CutBeforeHeaders: true})
 	_, done = text(t, send().body)
-	require.True(t, done, "a prompt that could not be read apart is read where the request runs")
+	require.True(t, done, "if separate prefill fails, the target of the request prefills the prompt")
 	require.Len(t, f.engines[1].Runs(), 2)
 }
 
-func TestLengthOfAnswersIsLearned(t *testing.T) {
+func TestResponseLengthIsLearned(t *testing.T) {
 	f := start(t)
-	require.Equal(t, defaultOutput, f.entry.lengths.expect("w", "notes"))
+	require.Equal(t, defaultOutputTokens, f.entry.lengths.estimate("w", "notes"))
 	require.Equal(t, 200, f.chat("notes", true).status)
-	require.Equal(t, 7, f.entry.lengths.expect("w", "notes"), "6 pieces and the event that says why it stopped")
-	require.Equal(t, defaultOutput, f.entry.lengths.expect("w", "review"))
+	require.Equal(t, 7, f.entry.lengths.estimate("w", "notes"), "6 text events and the event with the finish reason")
+	require.Equal(t, defaultOutputTokens, f.entry.lengths.estimate("w", "review"))
 }
 
-// A stream is cut after the configuration has taken away the only other engine's
-// permission: it must not be resumed there.
+// A stream is interrupted after a new configuration has excluded the only other
+// engine. The stream must not be resumed there.
 func TestRetryIsPlacedByTheNewestConfiguration(t *testing.T) {
 	f := start(t)
 	f.engines[0].SetFaults(engined.Faults{Silent: true})
@@ -428,13 +428,13 @@
 	narrow.Config, err = config.Compile(&cfg)
 	require.NoError(t, err)
 	f.set(&narrow)
-	f.engines[0].Close() // cuts the request
+	f.engines[0].Close() // interrupts the request
 	g := <-answers
 	require.Equal(t, codeUnknown, g.code(t))
 	require.Empty(t, f.engines[1].Runs())
 }
 
-func TestCallersCannotSpeakToEnginesBehindTheEntry(t *testing.T) {
+func TestInternalHeadersOfClientsAreNotForwarded(t *testing.T) {
 	f := start(t)
 	g := f.chat("review", false, openai.PhaseHeader, openai.PhasePrefill, openai.KVHeader, "x", openai.ResumeHeader, "3", openai.AttemptHeader, "y")
 	require.Contains(t, g.body, answer.Text("hello", 6))
--- a/internal/entry/explain.go
+++ b/internal/entry/explain.go
@@ -11,39 +11,43 @@
 	"github.com/rockdoor/rockdoor/routing"
 )
 
-// Question asks where a request would run. Model or Path is set.
+// Question describes a request whose placement is to be explained. Either Model
+// or Path is set.
 type Question struct {
 	Workspace string `json:"workspace"`
 	Model     string `json:"model,omitempty"`
 	Path      string `json:"path,omitempty"`
 	Selector  string `json:"selector,omitempty"`
-	// PromptTokens and OutputTokens describe the request's size.
+	// PromptTokens and OutputTokens are the size of the request.
 	PromptTokens int `json:"promptTokens,omitempty"`
 	OutputTokens int `json:"outputTokens,omitempty"`
 }
 
-// Verdict on one target.
+// Verdict says whether one target could serve the request, and with which score.
 type Verdict struct {
 	Target string  `json:"target"`
 	Domain string  `json:"domain"`
 	Score  float64 `json:"score"`
 	Load   int     `json:"load"`
 	Broken bool    `json:"broken"`
-	// Rule is what does not permit the target; empty if it is permitted.
+	// Rule is the rule that excludes the target, empty if the target is permitted.
 	Rule string `json:"rule,omitempty"`
 }
 
-// Explanation says where a request would run, and why not elsewhere.
+// Explanation names the target that a request would be sent to and says why the
+// other targets are excluded or rank lower.
 type Explanation struct {
 	Revision int64     `json:"revision"`
 	Policy   string    `json:"policy"`
 	Chosen   string    `json:"chosen"`
 	Targets  []Verdict `json:"targets"`
-	// Entry is the rule that keeps this entry host from carrying the request.
+	// Entry is the rule by which this entry host must not handle the request,
+	// empty if it may.
 	Entry string `json:"entry,omitempty"`
 }
 
-// Explain answers a question with the present loads. Nothing is run.
+// Explain evaluates the placement of a request under the current loads, without
+// sending it.
 func (s *Server) Explain(q Question) (*Explanation, error) {
 	snap := s.o.Snapshot()
 	c, err := s.callFor(snap, q)
@@ -59,7 +63,7 @@
 	})
 	p := s.policy(c.policy)
 	for _, t := range permitted {
-		if why := s.unfit(snap, t); why != "" {
+		if why := s.unavailableReason(snap, t); why != "" {
 			e.Targets = append(e.Targets, Verdict{Target: t.Name, Domain: t.Domain, Rule: why})
 			continue
 		}
@@ -75,32 +79,33 @@
 	return e, nil
 }
 
-// unfit says why a permitted target runs no whole requests now, or nothing.
-func (s *Server) unfit(snap *control.Snapshot, t *config.Target) string {
+// unavailableReason says why a permitted target accepts no complete requests at
+// present. It is empty if the target accepts them.
+func (s *Server) unavailableReason(snap *control.Snapshot, t *config.Target) string {
 	switch {
 	case !snap.Available(t):
-		return "an order is open, it is changing, or its host is leaving"
+		return "an order is open, a change is in progress, or its host is shutting down"
 	case snap.Reports[t.Name].Status.Role == engine.RolePrefill:
-		return "role is prefill: it reads prompts only"
+		return "role is prefill: it accepts only prefill requests"
 	}
 	return ""
 }
 
-// compareVerdicts puts the target that would be chosen first and those that are
-// not permitted last.
+// compareVerdicts sorts by preference: the target that would be chosen comes
+// first, targets that are not permitted come last.
 func compareVerdicts(a, b Verdict) int {
 	switch {
 	case (a.Rule == "") != (b.Rule == ""):
-		return order(a.Rule == "")
+		return compareFirst(a.Rule == "")
 	case a.Broken != b.Broken:
-		return order(!a.Broken)
+		return compareFirst(!a.Broken)
 	case a.Score != b.Score:
-		return order(a.Score < b.Score)
+		return compareFirst(a.Score < b.Score)
 	}
 	return 0
 }
 
-func order(first bool) int {
+func compareFirst(first bool) int {
 	if first {
 		return -1
 	}
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -31,11 +31,11 @@
 )
 
 func TestMain(m *testing.M) {
-	// The metrics library keeps one goroutine for the whole program.
+	// The metrics library runs one goroutine until the process exits.
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/rcrowley/go-metrics.(*meterArbiter).tick"))
 }
 
-// fleet is one entry server before stand-ins.
+// fleet is one entry server with stand-ins for its targets.
 type fleet struct {
 	t        testing.TB
 	engines  []*engined.Server
@@ -78,7 +78,7 @@
 
 func start(t *testing.T) *fleet { return startWith(t, 4) }
 
-// startBench starts a fleet whose targets never are full.
+// startBench starts a fleet whose targets have enough capacity never to be full.
 func startBench(b *testing.B) *fleet { return startWith(b, 100000) }
 
 func startWith(t testing.TB, capacity int) *fleet {
@@ -112,7 +112,7 @@
 	return f
 }
 
-// The fleet is its own claims, of one holder.
+// Acquire implements Claims with the fleet's single claim holder.
 func (f *fleet) Acquire(ctx context.Context, c claims.Claim) claims.Result {
 	return claims.NewClaimant(f.claims, nil).Acquire(ctx, c)
 }
@@ -138,7 +138,7 @@
 	f.snapshot = s
 }
 
-// reply of the entry server to one request.
+// got is the response of the entry server to one request.
 type got struct {
 	status  int
 	header  http.Header
@@ -176,7 +176,7 @@
 	return f.do(http.MethodPost, pathChat, body, headers...)
 }
 
-// runs returns how often the engines ran.
+// runs returns the total number of runs at the engines.
 func (f *fleet) runs() (n int) {
 	for _, e := range f.engines {
 		n += len(e.Runs())
@@ -197,7 +197,7 @@
 	}
 }
 
-// text joins the pieces of a stream.
+// text joins the deltas of a stream. done is true if the stream is complete.
 func text(t *testing.T, stream string) (out string, done bool) {
 	sc := bufio.NewScanner(strings.NewReader(stream))
 	for sc.Scan() {
--- a/internal/entry/lengths.go
+++ b/internal/entry/lengths.go
@@ -7,14 +7,16 @@
 )
 
 const (
-	// maxLengths bounds the workspaces and models whose answers are remembered.
+	// maxLengths is the max number of pairs of workspace and model for which a
+	// mean is kept.
 	maxLengths = 8192
-	// lengthWeight is the weight of the latest answer in the average.
+	// lengthWeight is the weight of the latest response in the moving average.
 	lengthWeight = 0.1
 )
 
-// lengths learns how long the answers of each workspace and model are, for
-// requests that set no bound. It is safe for concurrent use.
+// lengths tracks the mean response length of each workspace and model. It
+// supplies an estimate for requests that don't set max_tokens. It is safe for
+// concurrent use.
 type lengths struct {
 	mu   sync.Mutex
 	mean *lru.Cache[lengthKey, float64]
@@ -30,18 +32,18 @@
 	return &lengths{mean: mean}
 }
 
-// expect returns the expected number of tokens of an answer.
-func (l *lengths) expect(workspace, model string) int {
+// estimate returns the expected number of tokens of a response.
+func (l *lengths) estimate(workspace, model string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if mean, ok := l.mean.Get(lengthKey{workspace, model}); ok {
 		return max(1, int(mean))
 	}
-	return defaultOutput
+	return defaultOutputTokens
 }
 
-// learn takes in the length of a whole answer.
-func (l *lengths) learn(workspace, model string, tokens int) {
+// record updates the mean with the length of a complete response.
+func (l *lengths) record(workspace, model string, tokens int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := lengthKey{workspace, model}
--- a/internal/entry/notice.go
+++ b/internal/entry/notice.go
@@ -10,25 +10,25 @@
 	"github.com/rockdoor/rockdoor/internal/attempt"
 )
 
-// heed takes in what the target of an attempt says of itself: whether it asks for rest, and whether it
-// limits the rate of requests.
-func (r *run) heed(t *config.Target, a *attempt.Attempt, sent bootclock.Instant) {
-	if rest := a.RequestedBackoff(); rest > 0 {
-		r.s.notices.RecordBackoff(t.Name, r.c.id, rest)
+// recordSignals records the backoff and the rate limit that a target announces in its
+// response to an attempt.
+func (r *run) recordSignals(t *config.Target, a *attempt.Attempt, sent bootclock.Instant) {
+	if backoff := a.RequestedBackoff(); backoff > 0 {
+		r.s.notices.RecordBackoff(t.Name, r.c.id, backoff)
 	}
-	if l, answered := a.RateLimit(); answered {
+	if l, responded := a.RateLimit(); responded {
 		r.s.limits.RecordResponse(t.Name, r.c.id, l, sent)
 	}
 }
 
-// limited reports whether some of the targets limit their rate.
-func (r *run) limited(permitted []*config.Target) bool {
+// anyRateLimited reports whether any of the targets limits its rate.
+func (r *run) anyRateLimited(permitted []*config.Target) bool {
 	return slices.ContainsFunc(permitted, func(t *config.Target) bool { return r.s.limits.Limited(t.Name) })
 }
 
-// wantedAgain returns when the first of the targets that rest or limit their rate wants calls again,
-// otherwise if none does.
-func (r *run) wantedAgain(permitted []*config.Target, otherwise time.Duration) time.Duration {
+// retryAfter returns the shortest time until a target that is in backoff or limits its rate accepts
+// calls again. It returns otherwise if there is no such target.
+func (r *run) retryAfter(permitted []*config.Target, otherwise time.Duration) time.Duration {
 	var names []string
 	first := time.Duration(0)
 	for _, t := range permitted {
@@ -37,8 +37,8 @@
 			first = after
 		}
 	}
-	if rest := r.s.notices.ShortestBackoff(names); rest > 0 && (first == 0 || rest < first) {
-		first = rest
+	if backoff := r.s.notices.ShortestBackoff(names); backoff > 0 && (first == 0 || backoff < first) {
+		first = backoff
 	}
 	return cmp.Or(first, otherwise)
 }
--- a/internal/entry/outcomes.go
+++ b/internal/entry/outcomes.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// maxOutcomes bounds the requests with a key whose outcome is remembered.
+	// maxOutcomes is the max number of requests with an idempotency key whose
+	// outcome is stored.
 	maxOutcomes = 65536
-	// maxKept bounds the answers that are kept, in bytes, and maxAnswerKept one
-	// of them.
-	maxKept       = 16 << 20
-	maxAnswerKept = 256 << 10
+	// maxStoredBytes limits the total size of the stored responses, in bytes.
+	// maxStoredResponse limits the size of each.
+	maxStoredBytes    = 16 << 20
+	maxStoredResponse = 256 << 10
 )
 
-// OutcomeState is how far a request with an idempotency key is.
+// OutcomeState is the state of a request with an idempotency key at one process.
 type OutcomeState string
 
-// States of a request with a key.
+// States of a request with an idempotency key.
 const (
-	// OutcomeNone: this process knows nothing of the request (any more).
+	// OutcomeNone: this process has no record of the request, or no longer has one.
 	OutcomeNone OutcomeState = "none"
 	// OutcomeWithdrawn: the request has not run and will not run.
 	OutcomeWithdrawn OutcomeState = "withdrawn"
@@ -29,11 +30,11 @@
 	OutcomeDone      OutcomeState = "done"
 )
 
-// Outcome is what became of a request with an idempotency key.
+// Outcome is the outcome of a request with an idempotency key.
 type Outcome struct {
 	State OutcomeState
-	// Kept is true if the answer follows.
-	Kept        bool
+	// Stored is true if Status, ContentType and Body hold the response.
+	Stored      bool
 	Status      int
 	ContentType string
 	Body        []byte
@@ -41,46 +42,47 @@
 	Outcome string
 }
 
-// outcomes remembers what became of this process's requests with a key. It is
-// safe for concurrent use.
+// outcomes stores the outcomes of this process's requests with an idempotency key.
+// It is safe for concurrent use.
 type outcomes struct {
-	mu   sync.Mutex
-	all  *simplelru.LRU[string, *Outcome] // by claimant
-	kept int
+	mu          sync.Mutex
+	byClaimant  *simplelru.LRU[string, *Outcome] // by claimant
+	storedBytes int
 }
 
 func newOutcomes() *outcomes {
 	o := &outcomes{}
-	all, err := simplelru.NewLRU(maxOutcomes, func(_ string, v *Outcome) { o.kept -= len(v.Body) })
+	all, err := simplelru.NewLRU(maxOutcomes, func(_ string, v *Outcome) { o.storedBytes -= len(v.Body) })
 	if err != nil {
 		panic(err) // only for a size that is not positive
 	}
-	o.all = all
+	o.byClaimant = all
 	return o
 }
 
 func (o *outcomes) begin(claimant string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.all.Add(claimant, &Outcome{State: OutcomeRunning})
+	o.byClaimant.Add(claimant, &Outcome{State: OutcomeRunning})
 }
 
 func (o *outcomes) withdraw(claimant string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.all.Add(claimant, &Outcome{State: OutcomeWithdrawn})
+	o.byClaimant.Add(claimant, &Outcome{State: OutcomeWithdrawn})
 }
 
-// finish records an outcome. Older answers are dropped if there is no room.
+// finish stores an outcome. It evicts the oldest ones while the stored responses
+// exceed maxStoredBytes.
 func (o *outcomes) finish(claimant string, out Outcome) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	out.State = OutcomeDone
-	o.all.Remove(claimant)
-	o.kept += len(out.Body)
-	o.all.Add(claimant, &out)
-	for o.kept > maxKept {
-		if _, _, ok := o.all.RemoveOldest(); !ok {
+	o.byClaimant.Remove(claimant)
+	o.storedBytes += len(out.Body)
+	o.byClaimant.Add(claimant, &out)
+	for o.storedBytes > maxStoredBytes {
+		if _, _, ok := o.byClaimant.RemoveOldest(); !ok {
 			return
 		}
 	}
@@ -89,18 +91,18 @@
 func (o *outcomes) get(claimant string) Outcome {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if v, ok := o.all.Get(claimant); ok {
+	if v, ok := o.byClaimant.Get(claimant); ok {
 		return *v
 	}
 	return Outcome{State: OutcomeNone}
 }
 
-// recorder keeps a copy of an answer while it is written to the caller.
+// recorder copies a response while it is written to the client.
 type recorder struct {
 	http.ResponseWriter
 	status int
 	body   []byte
-	// overflow is true if the answer is too large to be kept.
+	// overflow is true if the response is too large to be stored.
 	overflow bool
 }
 
@@ -118,7 +120,7 @@
 	if r.status == 0 {
 		r.status = http.StatusOK
 	}
-	if !r.overflow && len(r.body)+len(p) <= maxAnswerKept {
+	if !r.overflow && len(r.body)+len(p) <= maxStoredResponse {
 		r.body = append(r.body, p...)
 	} else {
 		r.overflow, r.body = true, nil
@@ -126,7 +128,7 @@
 	return r.ResponseWriter.Write(p)
 }
 
-// outcome returns what was written.
+// outcome returns the recorded response with the final state of the request.
 func (r *recorder) outcome(final string) Outcome {
-	return Outcome{Kept: !r.overflow, Status: r.status, ContentType: r.Header().Get("Content-Type"), Body: r.body, Outcome: final}
+	return Outcome{Stored: !r.overflow, Status: r.status, ContentType: r.Header().Get("Content-Type"), Body: r.body, Outcome: final}
 }
--- a/internal/entry/phases.go
+++ b/internal/entry/phases.go
@@ -18,18 +18,19 @@
 	"github.com/rockdoor/rockdoor/routing"
 )
 
-// Phases of a request, for the log.
+// Phases of a request, as logged with each decision.
 const (
 	phaseRun     = "run"
 	phasePrefill = "prefill"
 )
 
-// maxPrefillWait is how much work, as time, an engine in the prefill role may
-// have ahead for another prompt to be sent there. It leaves half of the bound on
-// the first token for the rest.
+// maxPrefillWait is the queueing delay from which a prefill engine gets no further
+// prompts. It leaves half of the time limit on the first token for the remaining
+// steps.
 const maxPrefillWait = 400 * time.Millisecond
 
-// role returns the role that an engine last reported; mixed if it is not known.
+// role returns the role that an engine last reported, RoleMixed if it reported
+// none.
 func (r *run) role(t *config.Target) engine.Role {
 	if role := r.c.snapshot.Reports[t.Name].Status.Role; role != "" {
 		return role
@@ -37,9 +38,9 @@
 	return engine.RoleMixed
 }
 
-// runsWhole reports whether a target can run the call, apart from a prompt that
-// was read elsewhere.
-func (r *run) runsWhole(t *config.Target) bool {
+// canServe reports whether a target can run the call. A decode engine can run it
+// only if the prompt has been prefilled elsewhere or is short.
+func (r *run) canServe(t *config.Target) bool {
 	switch r.role(t) {
 	case engine.RolePrefill:
 		return false
@@ -49,17 +50,18 @@
 	return true
 }
 
-func (r *run) readsPrompts(t *config.Target) bool { return r.role(t) == engine.RolePrefill }
+func (r *run) isPrefillEngine(t *config.Target) bool { return r.role(t) == engine.RolePrefill }
 
-// readApart has a long prompt read by an engine in the prefill role, if one is
-// permitted and not behind with its work. Reading a prompt gives no answer, so it
-// is not a run: it may be repeated, and if it fails the call runs whole elsewhere.
-func (r *run) readApart() {
-	if r.whole || r.kv.KV != "" || r.c.completion == nil || r.c.cost.PrefillTokens <= openai.MaxDecodePrompt {
+// prefillSeparately sends a long prompt to a prefill engine, if one is permitted and
+// its queue is short. Prefill produces no output for the client, so it doesn't count
+// as a run: it may be repeated, and if it fails, the target of the call prefills the
+// prompt itself.
+func (r *run) prefillSeparately() {
+	if r.noSeparatePrefill || r.kv.KV != "" || r.c.completion == nil || r.c.cost.PrefillTokens <= openai.MaxDecodePrompt {
 		return
 	}
-	r.whole = true
-	work, t, _ := r.pick(r.c.permitted(), routing.Cost{PrefillTokens: r.c.cost.PrefillTokens}, r.readsInTime, phasePrefill)
+	r.noSeparatePrefill = true
+	work, t, _ := r.chooseAndCount(r.c.permitted(), routing.Cost{PrefillTokens: r.c.cost.PrefillTokens}, r.acceptsPrefill, phasePrefill)
 	if work == nil {
 		return
 	}
@@ -68,21 +70,22 @@
 	header.Set(openai.PriorityHeader, enginePriority(r.c.priority))
 	header.Set(openai.PhaseHeader, openai.PhasePrefill)
 	sentAt := bootclock.Now()
-	a := r.s.runner.Start(r.ctx, attempt.Request{
+	a := r.s.sender.Start(r.ctx, attempt.Request{
 		ID: r.c.id + "-p" + strconv.Itoa(r.attempts), Address: t.Address,
 		Method: r.c.method, URI: r.c.uri, Header: header, Body: r.c.body,
 	})
-	r.heed(t, a, sentAt)
+	r.recordSignals(t, a, sentAt)
 	if a.State() == charts.AttemptAnswering {
-		_, _ = a.ReadAll(bufferedAnswer, func(body []byte) error { return r.takeExport(a, body) })
+		_, _ = a.ReadAll(maxBufferedResponse, func(body []byte) error { return r.decodeKVExport(a, body) })
 	}
 	if a.State() != charts.AttemptComplete {
-		level.Info(r.s.o.Logger).Log("msg", "prompt not read apart", "request", r.c.id, "target", t.Name, "state", a.State(), "err", a.Err())
+		level.Info(r.s.o.Logger).Log("msg", "separate prefill failed", "request", r.c.id, "target", t.Name, "state", a.State(), "err", a.Err())
 	}
 }
 
-// countDemand counts the work of a completion, by which engines get their roles.
-// Short prompts are not counted, since they are not read apart.
+// countDemand adds the work of a completion to the demand from which the roles of
+// the engines are decided. Short prompts don't count as prefill demand, since they
+// are not prefilled separately.
 func (r *run) countDemand() {
 	if r.c.completion == nil {
 		return
@@ -94,21 +97,23 @@
 	r.s.o.Tracker.Demand.Add(r.c.pool, prefill, r.c.cost.DecodeTokens)
 }
 
-// readsInTime reports whether a target reads prompts apart and is not so far
-// behind that the prompt is better read where the call runs.
-func (r *run) readsInTime(t *config.Target) bool {
-	if !r.readsPrompts(t) {
+// acceptsPrefill reports whether a target is a prefill engine whose queueing delay
+// is below maxPrefillWait. With a longer queue, prefill on the target of the call is
+// faster.
+func (r *run) acceptsPrefill(t *config.Target) bool {
+	if !r.isPrefillEngine(t) {
 		return false
 	}
 	ahead := float64(r.s.load(t, r.c).PrefillTokens) / routing.DefaultRates.PrefillPerSecond
 	return ahead < maxPrefillWait.Seconds()
 }
 
-// takeExport reads the name of an exported KV cache.
-func (r *run) takeExport(a *attempt.Attempt, body []byte) error {
+// decodeKVExport decodes the response to a prefill request and stores the exported
+// KV cache in the run.
+func (r *run) decodeKVExport(a *attempt.Attempt, body []byte) error {
 	var kv openai.KVExport
 	if err := json.Unmarshal(body, &kv); err != nil || kv.KV == "" || a.Status() != http.StatusOK {
-		return fault.New(fault.Unavailable, "engine exported no KV cache", "the prompt is read where the request runs")
+		return fault.New(fault.Unavailable, "engine exported no KV cache", "the target of the request prefills the prompt")
 	}
 	r.kv = kv
 	return nil
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -11,14 +11,15 @@
 	"github.com/rockdoor/rockdoor/statechart"
 )
 
-// fingerprint returns what is the same in each try of the call.
+// fingerprint returns the quarantine fingerprint of the call, which is the same for
+// every attempt and for every retry by the client.
 func (r *run) fingerprint() quarantine.Fingerprint {
 	return quarantine.FingerprintOf(r.c.workspace.Name, r.c.method, "", r.c.uri, r.c.body)
 }
 
-// quarantined returns the refusal of a call that ends the targets that run it, nil if it may
-// be sent.
-func (r *run) quarantined() *reply {
+// rejectQuarantined returns an error reply if the call is quarantined because it crashes the targets
+// that run it, nil if it may be sent.
+func (r *run) rejectQuarantined() *reply {
 	if r.s.o.Quarantine.Empty() {
 		return nil
 	}
@@ -26,17 +27,18 @@
 	if !v.Refused {
 		return nil
 	}
-	return refusal(http.StatusServiceUnavailable, codeQuarantined, suspects.QuarantinedError(strings.Join(v.CrashedInstances, ", ")), v.RetryAfter)
+	return errorReply(http.StatusServiceUnavailable, codeQuarantined, suspects.QuarantinedError(strings.Join(v.CrashedInstances, ", ")), v.RetryAfter)
 }
 
-// observe takes in how an attempt at the target ended that was sent at a time. A target that was
-// leaving has ended as planned.
-func (r *run) observe(s statechart.State, sent time.Time) {
+// recordResult reports the end of an attempt to the quarantine table and to the crash detector. A
+// connection that breaks while the target is shutting down or carrying out an order does not count as a
+// crash.
+func (r *run) recordResult(s statechart.State, sent time.Time) {
 	switch {
 	case s == charts.AttemptComplete && !r.s.o.Quarantine.Empty():
 		r.s.o.Quarantine.RecordSuccess(r.fingerprint())
 	case s == charts.AttemptUnknown && r.ctx.Err() == nil && r.s.o.Snapshot().Available(r.target):
-		r.s.watch.ReportBroken(suspects.BrokenConnection{
+		r.s.crashes.ReportBroken(suspects.BrokenConnection{
 			Request: r.c.id, Fingerprint: r.fingerprint(), Instance: r.target.Name, Address: r.target.Address, RunTime: time.Since(sent),
 		})
 	}
--- a/internal/entry/ratelimit_test.go
+++ b/internal/entry/ratelimit_test.go
@@ -15,8 +15,8 @@
 	"github.com/rockdoor/rockdoor/internal/standin/serviced"
 )
 
-// TestTargetThatLimitsItsRate has a target name a rate limit in its answers. It got as many calls as
-// the other one.
+// A target announces a rate limit in its responses. Without the limit it would get as many calls as
+// the other target.
 func TestTargetThatLimitsItsRate(t *testing.T) {
 	const during, most = 2 * time.Second, 1 + 1.2*5*2
 	limits := map[string]struct {
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestAllTargetsLimitTheirRate refuses calls at once, with a time to come back.
-func TestAllTargetsLimitTheirRate(t *testing.T) {
+// If all targets limit their rate, calls over the limits must be rejected with Retry-After.
+func TestAllTargetsRateLimited(t *testing.T) {
 	f := start(t)
 	for _, s := range f.services {
 		s.SetFaults(serviced.Faults{RateLimit: "0.5"})
@@ -68,7 +68,7 @@
 	require.Greater(t, refused, 10)
 }
 
-// TestReaderThatLimitsItsRate has the engine that reads prompts apart name a rate limit.
+// A rate limit of a prefill engine must hold for separate prefill too.
 func TestReaderThatLimitsItsRate(t *testing.T) {
 	f := start(t)
 	f.engines[0].SetRole(engine.RolePrefill)
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -18,63 +18,66 @@
 )
 
 const (
-	// bufferedAnswer is the largest answer that is held back until it is whole.
-	bufferedAnswer = 8 << 20
-	// writeTimeout is how long a caller may take to read a part of an answer.
+	// maxBufferedResponse is the size of the largest response that is buffered until
+	// it is complete.
+	maxBufferedResponse = 8 << 20
+	// writeTimeout limits one write to the client.
 	writeTimeout = 30 * time.Second
 	eventStream  = "text/event-stream"
 )
 
-// relay passes the answer of an attempt on to the caller.
+// relay forwards the response of an attempt to the client.
 func (r *run) relay(a *attempt.Attempt, work *routing.Work) {
 	switch {
 	case r.c.completion == nil:
-		r.relayPlain(a)
+		r.relayServiceResponse(a)
 	case a.Status() >= http.StatusInternalServerError:
 		a.Fail(fault.Newf(fault.Unavailable, "see the log of the engine", "engine %s answered %d", r.target.Name, a.Status()))
 	case r.c.stream() && strings.HasPrefix(a.Header().Get("Content-Type"), eventStream):
 		r.relayStream(a, work)
 	default:
-		r.relayWhole(a)
+		r.relayBuffered(a)
 	}
 }
 
-// relayPlain passes on the answer of a plain service. An answer of moderate
-// size is held back until it is whole, so that a cut one can be asked for again.
-func (r *run) relayPlain(a *attempt.Attempt) {
-	if n := a.Length(); n < 0 || n > bufferedAnswer {
-		r.begin(a)
+// relayServiceResponse forwards the response of a plain service. A response of at
+// most maxBufferedResponse is buffered until it is complete, so that the request can
+// be retried if the response is truncated.
+func (r *run) relayServiceResponse(a *attempt.Attempt) {
+	if n := a.Length(); n < 0 || n > maxBufferedResponse {
+		r.startResponse(a)
 		_ = a.Copy(&deadlineWriter{w: r.w})
 		return
 	}
-	r.relayWhole(a)
+	r.relayBuffered(a)
 }
 
-// relayWhole passes on an answer once all of it has arrived.
-func (r *run) relayWhole(a *attempt.Attempt) {
-	body, err := a.ReadAll(bufferedAnswer, func(body []byte) error { return r.check(a, body) })
+// relayBuffered forwards a response once it has been received completely.
+func (r *run) relayBuffered(a *attempt.Attempt) {
+	body, err := a.ReadAll(maxBufferedResponse, func(body []byte) error { return r.validateCompletion(a, body) })
 	if err != nil {
 		return
 	}
 	r.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	r.w.Header().Set(HeaderOutcome, string(charts.RequestComplete))
-	r.begin(a)
+	r.startResponse(a)
 	_, _ = (&deadlineWriter{w: r.w}).Write(body)
 }
 
-// check refuses an engine's answer that is no answer.
-func (r *run) check(a *attempt.Attempt, body []byte) error {
+// validateCompletion returns an error if an engine's successful response is not
+// valid JSON.
+func (r *run) validateCompletion(a *attempt.Attempt, body []byte) error {
 	if r.c.completion == nil || a.Status() != http.StatusOK || json.Valid(body) {
 		return nil
 	}
-	return fault.Newf(fault.Unknown, "check the engine", "engine %s answered with something that is no completion", r.target.Name)
+	return fault.Newf(fault.Unknown, "check the engine", "engine %s sent a response that is not valid JSON", r.target.Name)
 }
 
-// begin writes the head of the answer.
-func (r *run) begin(a *attempt.Attempt) {
-	r.begun = true
+// startResponse sends the response header.
+func (r *run) startResponse(a *attempt.Attempt) {
+	r.responseStarted = true
 	h := r.w.Header()
-	for name, values := range forwarded(a.Header()) {
+	for name, values := range endToEndHeaders(a.Header()) {
 		if name != "Content-Length" || h.Get(name) == "" {
 			h[name] = values
 		}
@@ -82,43 +85,43 @@
 	if n := a.Length(); n >= 0 && h.Get("Content-Length") == "" {
 		h.Set("Content-Length", strconv.FormatInt(n, 10))
 	}
-	r.identify(h)
+	r.setResponseHeaders(h)
 	r.w.WriteHeader(a.Status())
 }
 
-// identify adds the headers that every answer carries.
-func (r *run) identify(h http.Header) {
+// setResponseHeaders sets the headers that every response carries.
+func (r *run) setResponseHeaders(h http.Header) {
 	h.Set(HeaderRequest, r.c.id)
 	h.Set(HeaderRevision, strconv.FormatInt(r.c.snapshot.Revision, 10))
 }
 
-// relayStream passes on each event of a stream.
+// relayStream forwards a stream, event by event.
 func (r *run) relayStream(a *attempt.Attempt, work *routing.Work) {
 	err := a.Events(func(data string) error {
 		work.Token()
-		if err := r.event(data); err != nil {
-			return fault.Wrap(err, fault.Unknown, "caller is gone", "none")
+		if err := r.writeEvent(data); err != nil {
+			return fault.Wrap(err, fault.Unknown, "client disconnected", "none")
 		}
 		r.delivered++
 		return nil
 	})
 	if err == nil {
-		r.s.lengths.learn(r.c.workspace.Name, r.c.class, r.delivered)
-		_ = r.event(openai.Done)
+		r.s.lengths.record(r.c.workspace.Name, r.c.class, r.delivered)
+		_ = r.writeEvent(openai.Done)
 		r.w.Header().Set(HeaderOutcome, string(charts.RequestComplete))
 	}
 }
 
-// event writes one event to the caller, with the head of the answer before the
-// first one.
-func (r *run) event(data string) error {
-	if !r.begun {
-		r.begun = true
+// writeEvent sends one event to the client. The first event is preceded by the
+// response header.
+func (r *run) writeEvent(data string) error {
+	if !r.responseStarted {
+		r.responseStarted = true
 		h := r.w.Header()
 		h.Set("Content-Type", eventStream)
 		h.Set("Cache-Control", "no-cache")
 		h.Set("Trailer", HeaderOutcome)
-		r.identify(h)
+		r.setResponseHeaders(h)
 		r.w.WriteHeader(http.StatusOK)
 	}
 	m := &sse.Message{}
@@ -129,23 +132,23 @@
 	return http.NewResponseController(r.w).Flush()
 }
 
-// deliver gives the caller a reply of rockdoor's own. If a part of the answer
-// has been passed on, a stream ends with an error event and any other answer is
-// broken off, so that the caller sees that it is not whole.
-func (r *run) deliver(rep *reply) {
-	if !r.begun {
-		r.identify(r.w.Header())
+// sendReply sends a reply that rockdoor generated. If a part of a target's response
+// has been forwarded already, a stream ends with an error event, and any other
+// response is aborted, so that the client can tell that it is incomplete.
+func (r *run) sendReply(rep *reply) {
+	if !r.responseStarted {
+		r.setResponseHeaders(r.w.Header())
 		rep.write(r.w, r.c.id)
 		return
 	}
 	if !r.c.stream() {
 		panic(http.ErrAbortHandler)
 	}
-	_ = r.event(string(rep.body()))
+	_ = r.writeEvent(string(rep.body()))
 	r.w.Header().Set(HeaderOutcome, string(rep.outcome))
 }
 
-// deadlineWriter gives the caller a fresh time limit for each write.
+// deadlineWriter sets a new write deadline before each write.
 type deadlineWriter struct{ w http.ResponseWriter }
 
 func (d *deadlineWriter) Write(p []byte) (int, error) {
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -24,52 +24,56 @@
 )
 
 const (
-	// maxAttempts bounds how often one request is sent.
+	// maxAttempts is the max number of attempts of one request.
 	maxAttempts = 6
-	// noTargetWait is when to ask again while no permitted target is active.
-	noTargetWait = 2 * time.Second
-	// queueFactor is how many times its capacity a target may have in hand.
-	queueUrgent = 2.0
-	queueNormal = 1.5
-	queueBatch  = 1.0
+	// noTargetRetryAfter is the Retry-After time while no permitted target is
+	// active.
+	noTargetRetryAfter = 2 * time.Second
+	// The queue factors limit the in-flight requests of a target, as a multiple of
+	// its capacity, for calls of each priority.
+	queueFactorUrgent = 2.0
+	queueFactorNormal = 1.5
+	queueFactorBatch  = 1.0
 )
 
-// run is the work on one call. It belongs to one goroutine.
+// run executes one call. It is confined to one goroutine.
 type run struct {
-	s     *Server
-	c     *call
-	w     http.ResponseWriter
-	ctx   context.Context
-	stop  context.CancelFunc
-	life  *lifecycle.Request
-	start time.Time
+	s      *Server
+	c      *call
+	w      http.ResponseWriter
+	ctx    context.Context
+	cancel context.CancelFunc
+	life   *lifecycle.Request
+	start  time.Time
 
 	attempts int
-	avoid    map[string]bool // targets that have failed this call
-	// delivered is how many events of a stream the caller has got.
+	avoid    map[string]bool // targets on which an attempt of this call failed
+	// delivered is the number of stream events sent to the client.
 	delivered int
-	// begun is true once the caller has got a part of the answer.
-	begun bool
+	// responseStarted is true once the response header has been sent to the client.
+	responseStarted bool
 	// kv is an exported KV cache of the prompt, to be imported by the target.
 	kv openai.KVExport
-	// whole is true if the prompt is not to be read apart (any more).
-	whole bool
-	// claim is held if the call has an idempotency key.
+	// noSeparatePrefill is true once prefill on a separate engine has been tried,
+	// so that it is tried at most once.
+	noSeparatePrefill bool
+	// claim is the granted claim of a call with an idempotency key, nil without one.
 	claim *claims.Claim
-	// waiting is true while the call waits for the rate limits of its targets.
+	// waiting is true while the call waits for a rate limit grant.
 	waiting bool
-	// target of the last attempt, and the work that it is there.
+	// target is the target of the latest attempt, and work is its entry in the
+	// load tracker.
 	target *config.Target
 	work   *routing.Work
 }
 
 func newRun(s *Server, c *call, w http.ResponseWriter, r *http.Request) *run {
 	ctx, stop := context.WithDeadline(r.Context(), c.deadline)
-	return &run{s: s, c: c, w: w, ctx: ctx, stop: stop, life: lifecycle.New(c.id, s.o.Logger), start: time.Now(), avoid: map[string]bool{}}
+	return &run{s: s, c: c, w: w, ctx: ctx, cancel: stop, life: lifecycle.New(c.id, s.o.Logger), start: time.Now(), avoid: map[string]bool{}}
 }
 
-// do sends the call until it has a final state. It returns the reply that is
-// still owed to the caller, or nil if the answer was passed on.
+// do makes attempts until the call has a final state. It returns the error reply
+// to send to the client, or nil if a response has been forwarded.
 func (r *run) do() *reply {
 	r.s.retries.RecordRequest()
 	r.countDemand()
@@ -86,21 +90,22 @@
 
 // RefreshConfig implements lifecycle.Steps.
 func (r *run) RefreshConfig() *reply {
-	if err := r.c.rebase(r.s.o.Snapshot()); err != nil {
-		return refusalFor(err)
+	if err := r.c.applyConfig(r.s.o.Snapshot()); err != nil {
+		return errorReplyFor(err)
 	}
-	return r.s.mayCarry(r.c)
+	return r.s.checkEntryHost(r.c)
 }
 
-// ChooseTarget implements lifecycle.Steps. It counts the call at the target that it finds.
+// ChooseTarget implements lifecycle.Steps. It adds the call to the load of the
+// chosen target.
 func (r *run) ChooseTarget() *reply {
-	r.readApart()
-	if rep := r.quarantined(); rep != nil {
+	r.prefillSeparately()
+	if rep := r.rejectQuarantined(); rep != nil {
 		return rep
 	}
 	if r.ctx.Err() != nil {
-		return refusal(http.StatusGatewayTimeout, codeDeadline,
-			fault.New(fault.Exhausted, "deadline passed before a target was found", "allow more time with "+HeaderDeadline), noTargetWait)
+		return errorReply(http.StatusGatewayTimeout, codeDeadline,
+			fault.New(fault.Exhausted, "deadline passed before a target was found", "allow more time with "+HeaderDeadline), noTargetRetryAfter)
 	}
 	permitted := r.c.permitted()
 	cost := r.c.cost
@@ -108,7 +113,7 @@
 		cost.PrefillTokens = 0
 	}
 	full, rep := r.place(permitted, cost)
-	for waited := time.Duration(0); rep == nil && r.work == nil && r.limited(permitted) && waited < ratelimit.MaxGrantWait; waited += ratelimit.GrantPollInterval {
+	for waited := time.Duration(0); rep == nil && r.work == nil && r.anyRateLimited(permitted) && waited < ratelimit.MaxGrantWait; waited += ratelimit.GrantPollInterval {
 		time.Sleep(ratelimit.GrantPollInterval)
 		r.waiting = true
 		full, rep = r.place(permitted, cost)
@@ -120,49 +125,51 @@
 	return rep
 }
 
-// place finds a target, counts the call there, and returns how many targets are full. It returns
-// a reply if the workspace is over its share. Calls look at the shares one at a time: those of a
-// flood that look together would each see the room that the others take.
+// place chooses a target, adds the call to its load, and returns how many targets are full. It
+// returns a reply if the workspace is over its share. First attempts are placed one at a time:
+// concurrent calls of one workspace would otherwise each see the same free capacity, and together
+// exceed the share.
 func (r *run) place(permitted []*config.Target, cost routing.Cost) (int, *reply) {
 	if r.attempts == 0 {
-		r.s.placing.Lock()
-		defer r.s.placing.Unlock()
+		r.s.placementMu.Lock()
+		defer r.s.placementMu.Unlock()
 	}
-	if rep := r.shareOut(permitted); rep != nil {
+	if rep := r.checkShare(permitted); rep != nil {
 		return 0, rep
 	}
 	var full int
-	r.work, r.target, full = r.pick(permitted, cost, r.runsWhole, phaseRun)
+	r.work, r.target, full = r.chooseAndCount(permitted, cost, r.canServe, phaseRun)
 	return full, nil
 }
 
-// shortFrom is the share of the room at the permitted targets in use from which
-// workspaces are held to their shares.
-const shortFrom = 0.8
+// shareThreshold is the utilization of the permitted targets from which the shares
+// of the workspaces are enforced.
+const shareThreshold = 0.8
 
-// shareOut refuses the first attempt of a call of a workspace that is over its
-// share while the permitted targets are short.
-func (r *run) shareOut(permitted []*config.Target) *reply {
+// checkShare rejects the first attempt of a call if its workspace is over its
+// share while utilization is at or above shareThreshold.
+func (r *run) checkShare(permitted []*config.Target) *reply {
 	if r.attempts > 0 {
 		return nil
 	}
 	used, room := 0, 0
 	for _, t := range routing.Sample(permitted) {
 		used += r.s.load(t, r.c).Requests
-		room += r.room(t)
+		room += r.maxInFlight(t)
 	}
-	if float64(used) < shortFrom*float64(room) {
+	if float64(used) < shareThreshold*float64(room) {
 		return nil
 	}
-	if err := r.s.gate.OverShare(&r.c.workspace.Workspace); err != nil {
-		return refusalFor(err)
+	if err := r.s.admission.OverShare(&r.c.workspace.Workspace); err != nil {
+		return errorReplyFor(err)
 	}
 	return nil
 }
 
-// pick chooses among the permitted targets of fitting roles and counts the cost
-// there. It returns no work if there is none, and how many are full.
-func (r *run) pick(permitted []*config.Target, cost routing.Cost, fits func(*config.Target) bool, phase string) (*routing.Work, *config.Target, int) {
+// chooseAndCount chooses among the permitted targets that fits accepts and adds the
+// cost to the load of the chosen one. The work is nil if no target is available. The
+// last result is the number of full targets.
+func (r *run) chooseAndCount(permitted []*config.Target, cost routing.Cost, fits func(*config.Target) bool, phase string) (*routing.Work, *config.Target, int) {
 	for {
 		cands, full := r.candidates(routing.Sample(permitted), fits)
 		if len(cands) == 0 && len(permitted) > routing.MaxSample {
@@ -176,7 +183,7 @@
 			return nil, nil, full
 		}
 		t := d.Chosen.Target
-		limit := r.room(t) - r.c.snapshot.PeerLoads[t.Name].Requests
+		limit := r.maxInFlight(t) - r.c.snapshot.PeerLoads[t.Name].Requests
 		work := r.s.o.Tracker.Begin(t.Name, cost, limit)
 		if work == nil {
 			continue
@@ -190,35 +197,35 @@
 	}
 }
 
-// noTarget returns the reply to a call for which there is no target.
+// noTarget returns the reply to a call for which no target is available.
 func (r *run) noTarget(permitted []*config.Target, full int) *reply {
 	switch {
 	case len(permitted) == 0:
-		return refusal(http.StatusServiceUnavailable, codeNoTarget,
-			fault.New(fault.Unavailable, "no active target is permitted for this request", "see why with: rockdoor explain"), noTargetWait)
+		return errorReply(http.StatusServiceUnavailable, codeNoTarget,
+			fault.New(fault.Unavailable, "no active target is permitted for this request", "see why with: rockdoor explain"), noTargetRetryAfter)
 	case full > 0:
-		return refusal(http.StatusServiceUnavailable, codeOverloaded,
-			fault.New(fault.Exhausted, "all permitted targets are full", "ask again after the time in Retry-After"), r.s.drainTime(r.c))
+		return errorReply(http.StatusServiceUnavailable, codeOverloaded,
+			fault.New(fault.Exhausted, "all permitted targets are full", "ask again after the time in Retry-After"), r.s.estimateWait(r.c))
 	}
-	return refusal(http.StatusServiceUnavailable, codeNoTarget,
-		fault.New(fault.Unavailable, "all permitted targets failed, rest or limit their rate", "ask again after the time in Retry-After"), r.wantedAgain(permitted, noTargetWait))
+	return errorReply(http.StatusServiceUnavailable, codeNoTarget,
+		fault.New(fault.Unavailable, "all permitted targets failed, asked for a backoff or limit their rate", "ask again after the time in Retry-After"), r.retryAfter(permitted, noTargetRetryAfter))
 }
 
-// room returns how many requests a target may have in hand for the call to be
-// sent there.
-func (r *run) room(t *config.Target) int {
+// maxInFlight returns the limit on the in-flight requests of a target for calls of
+// this priority.
+func (r *run) maxInFlight(t *config.Target) int {
 	return int(float64(t.Capacity) * queueFactor(r.c.priority))
 }
 
-// candidates returns the permitted targets that have room and have not failed
-// this call, and how many have no room.
+// candidates returns the permitted targets that have free capacity and on which no
+// attempt of this call has failed, and the number of full targets.
 func (r *run) candidates(permitted []*config.Target, fits func(*config.Target) bool) (cands []routing.Candidate, full int) {
 	for _, t := range permitted {
 		if r.avoid[t.Name] || r.s.notices.Backoff(t.Name) > 0 || !fits(t) {
 			continue
 		}
 		load := r.s.load(t, r.c)
-		if load.Requests >= r.room(t) {
+		if load.Requests >= r.maxInFlight(t) {
 			full++
 			continue
 		}
@@ -233,20 +240,20 @@
 func queueFactor(p config.Priority) float64 {
 	switch p {
 	case config.Urgent:
-		return queueUrgent
+		return queueFactorUrgent
 	case config.Batch:
-		return queueBatch
+		return queueFactorBatch
 	}
-	return queueNormal
+	return queueFactorNormal
 }
 
-// load is what this process and its peers have outstanding at a target.
+// load returns the load that this process and its peers have placed on a target.
 func (s *Server) load(t *config.Target, c *call) routing.Load {
 	return s.o.Tracker.Load(t.Name).Add(c.snapshot.PeerLoads[t.Name])
 }
 
-// Attempt implements lifecycle.Steps: it sends the call to the chosen target and passes
-// the answer on.
+// Attempt implements lifecycle.Steps: it sends the call to the chosen target and
+// forwards the response.
 func (r *run) Attempt() (lifecycle.Outcome, error) {
 	r.attempts++
 	t := r.target
@@ -262,16 +269,16 @@
 		header.Set(openai.ResumeHeader, strconv.Itoa(r.delivered))
 	}
 	sent, sentAt := time.Now(), bootclock.Now()
-	a := r.s.runner.Start(r.ctx, attempt.Request{
+	a := r.s.sender.Start(r.ctx, attempt.Request{
 		ID: r.c.id + "-" + strconv.Itoa(r.attempts), Address: t.Address,
 		Method: r.c.method, URI: r.c.uri, Header: header, Body: r.c.body,
 	})
-	r.heed(t, a, sentAt)
+	r.recordSignals(t, a, sentAt)
 	if a.State() == charts.AttemptAnswering {
 		r.relay(a, r.work)
 	}
 	done(a.State(), a.Err())
-	r.observe(a.State(), sent)
+	r.recordResult(a.State(), sent)
 	r.s.count("attempts."+string(a.State()), r.c)
 	return outcomeOf(a.State()), a.Err()
 }
@@ -288,7 +295,7 @@
 	return lifecycle.Lost
 }
 
-// enginePriority is the number that engines know for a priority.
+// enginePriority returns the value of openai.PriorityHeader for a priority.
 func enginePriority(p config.Priority) string {
 	switch p {
 	case config.Urgent:
@@ -299,10 +306,11 @@
 	return "1"
 }
 
-// CanRetryAfterRun implements lifecycle.Steps: nothing has reached the caller, or a stream
-// of which whole events have.
+// CanRetryAfterRun implements lifecycle.Steps. An idempotent call can be retried
+// after a run if nothing has reached the client yet, or if the response is a
+// stream, which resumes after the last complete event.
 func (r *run) CanRetryAfterRun() bool {
-	return r.c.idempotent && r.ctx.Err() == nil && (!r.begun || r.c.stream())
+	return r.c.idempotent && r.ctx.Err() == nil && (!r.responseStarted || r.c.stream())
 }
 
 // FinalReply implements lifecycle.Steps.
@@ -311,36 +319,36 @@
 	case lifecycle.Delivered:
 		return nil
 	case lifecycle.Failed:
-		return refusal(http.StatusBadGateway, codeFailed, err, 0)
+		return errorReply(http.StatusBadGateway, codeFailed, err, 0)
 	}
-	return refusal(http.StatusBadGateway, codeUnknown, err, 0)
+	return errorReply(http.StatusBadGateway, codeUnknown, err, 0)
 }
 
 // PrepareRetry implements lifecycle.Steps.
 func (r *run) PrepareRetry(err error) *reply {
 	r.avoid[r.target.Name] = true
-	r.kv = openai.KVExport{} // the import may be what failed
+	r.kv = openai.KVExport{} // the import of the KV cache may have caused the failure
 	level.Info(r.s.o.Logger).Log("msg", "attempt failed", "request", r.c.id, "attempt", r.attempts, "target", r.target.Name, "state", r.life.State(), "err", err)
 	if r.attempts >= maxAttempts || !r.s.retries.TakeRetry() {
-		return refusal(http.StatusServiceUnavailable, codeOverloaded,
-			fault.Wrap(err, fault.Unavailable, "attempts failed and no more are made", "ask again after the time in Retry-After"), noTargetWait)
+		return errorReply(http.StatusServiceUnavailable, codeOverloaded,
+			fault.Wrap(err, fault.Unavailable, "attempts failed and no further retry is allowed", "ask again after the time in Retry-After"), noTargetRetryAfter)
 	}
 	return nil
 }
 
-// finish gives the caller what is owed and records the outcome.
+// finish sends the reply, if there is one, and records the outcome.
 func (r *run) finish(rep *reply) {
-	defer r.stop()
+	defer r.cancel()
 	outcome := r.life.State()
 	code := "ok"
 	if rep != nil {
 		code = rep.code
 	}
 	if r.claim != nil {
-		r.settleClaim(outcome)
+		r.completeClaim(outcome)
 	}
 	if rep != nil {
-		r.deliver(rep)
+		r.sendReply(rep)
 	}
 	took := time.Since(r.start)
 	r.s.count("outcome."+string(outcome), r.c)
@@ -349,25 +357,25 @@
 		"outcome", outcome, "code", code, "attempts", r.attempts, "took", took)
 }
 
-// drainTime estimates when a full target has room again for the call: the time
-// that its requests in hand take, divided by how many there are.
-func (s *Server) drainTime(c *call) time.Duration {
+// estimateWait estimates when one of the full targets accepts a call again: the
+// mean duration of a request, divided by the total capacity of the targets.
+func (s *Server) estimateWait(c *call) time.Duration {
 	t := metrics.GetOrRegisterTimer("entry.duration."+string(c.priority), s.o.Metrics)
 	perRequest := time.Duration(t.Mean())
 	capacity := 0
 	for _, target := range c.targets {
 		capacity += target.Capacity
 	}
-	wait := max(perRequest/time.Duration(max(capacity, 1)), minDrainWait)
-	return min(wait, maxDrainWait)
+	wait := max(perRequest/time.Duration(max(capacity, 1)), minRetryAfter)
+	return min(wait, maxRetryAfter)
 }
 
 const (
-	minDrainWait = 200 * time.Millisecond
-	maxDrainWait = 10 * time.Second
+	minRetryAfter = 200 * time.Millisecond
+	maxRetryAfter = 10 * time.Second
 )
 
-// logDecision writes the line that says why a call goes where it goes.
+// logDecision logs the routing decision, if the settings enable that.
 func (r *run) logDecision(d routing.Decision, permitted int, phase string) {
 	if !r.s.o.Settings.Log.Decisions {
 		return
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -29,10 +29,11 @@
 )
 
 const (
-	// notReadyWait is when to ask again while a process starts or is cut off.
-	notReadyWait = time.Second
-	pathChat     = "/v1/chat/completions"
-	pathText     = "/v1/completions"
+	// notReadyRetryAfter is the Retry-After time while the process starts or its
+	// configuration is stale.
+	notReadyRetryAfter = time.Second
+	pathChat           = "/v1/chat/completions"
+	pathText           = "/v1/completions"
 )
 
 // Options of a Server.
@@ -41,36 +42,36 @@
 	// Snapshot returns the latest control state.
 	Snapshot func() *control.Snapshot
 	Tracker  *routing.Tracker
-	// Process identifies this run of the process to the others.
+	// Process identifies this run of the process to its peers.
 	Process string
 	// Claims grants requests with an idempotency key.
 	Claims Claims
-	// Quarantine knows which calls end the targets that run them; without one this process
-	// alone learns it.
+	// Quarantine records which requests crash the targets that run them. If it is nil, the server
+	// uses a table that is not shared with peers.
 	Quarantine *quarantine.Table
-	// Limits are the rates that targets limit themselves to; without any this process alone
-	// keeps them.
+	// Limits records the rate limits that targets announce. If it is nil, the server uses a table
+	// that is not shared with peers.
 	Limits  *ratelimit.Table
 	Metrics metrics.Registry
 	Logger  log.Logger
 }
 
-// Server is the handler of callers' requests.
+// Server handles client requests.
 type Server struct {
-	o        Options
-	router   *mux.Router
-	gate     *limits.AdmissionController
-	runner   *attempt.Sender
-	breakers *breakers
-	watch    *suspects.CrashDetector
-	notices  *notice.Table
-	limits   *ratelimit.Table
-	retries  *limits.RetryBudget
-	outcomes *outcomes
-	lengths  *lengths
+	o         Options
+	router    *mux.Router
+	admission *limits.AdmissionController
+	sender    *attempt.Sender
+	breakers  *breakers
+	crashes   *suspects.CrashDetector
+	notices   *notice.Table
+	limits    *ratelimit.Table
+	retries   *limits.RetryBudget
+	outcomes  *outcomes
+	lengths   *lengths
 
-	// placing is held while the share of a call's workspace is looked at and the call is counted.
-	placing sync.Mutex
+	// placementMu makes the check of a workspace's share and the counting of its call one step.
+	placementMu sync.Mutex
 
 	policyMu sync.Mutex
 	policies map[string]routing.Policy
@@ -85,18 +86,18 @@
 		o.Limits = ratelimit.NewTable(o.Process, o.Metrics, o.Logger)
 	}
 	s := &Server{
-		o:        o,
-		gate:     limits.NewAdmissionController(o.Settings.Limits.Requests, o.Settings.Limits.UrgentReserve),
-		runner:   attempt.NewSender(o.Metrics),
-		breakers: newBreakers(),
-		notices:  notice.NewTable(o.Logger),
-		limits:   o.Limits,
-		retries:  limits.NewRetryBudget(),
-		outcomes: newOutcomes(),
-		lengths:  newLengths(),
-		policies: map[string]routing.Policy{},
+		o:         o,
+		admission: limits.NewAdmissionController(o.Settings.Limits.Requests, o.Settings.Limits.UrgentReserve),
+		sender:    attempt.NewSender(o.Metrics),
+		breakers:  newBreakers(),
+		notices:   notice.NewTable(o.Logger),
+		limits:    o.Limits,
+		retries:   limits.NewRetryBudget(),
+		outcomes:  newOutcomes(),
+		lengths:   newLengths(),
+		policies:  map[string]routing.Policy{},
 	}
-	s.watch = &suspects.CrashDetector{Table: o.Quarantine, RefusesConnections: s.runner.RefusesConnections, Logger: o.Logger}
+	s.crashes = &suspects.CrashDetector{Table: o.Quarantine, RefusesConnections: s.sender.RefusesConnections, Logger: o.Logger}
 	r := mux.NewRouter().SkipClean(true)
 	r.HandleFunc("/v1/models", s.models).Methods(http.MethodGet)
 	r.HandleFunc(pathChat, s.complete).Methods(http.MethodPost)
@@ -110,28 +111,28 @@
 	return s
 }
 
-// InHand returns the number of requests that are being served.
-func (s *Server) InHand() int { return s.gate.InFlight() }
+// InFlight returns the number of in-flight requests.
+func (s *Server) InFlight() int { return s.admission.InFlight() }
 
-// Close drops idle connections to the targets.
-func (s *Server) Close() { s.runner.Close() }
+// Close closes the idle connections to the targets.
+func (s *Server) Close() { s.sender.Close() }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.router.ServeHTTP(w, r) }
 
 func (s *Server) noRoute(w http.ResponseWriter, r *http.Request) {
 	err := fault.New(fault.NotFound, "no route for "+r.URL.Path, "check the path, or add it to routes in the configuration")
-	refusal(http.StatusNotFound, codeNoRoute, err, 0).write(w, "")
+	errorReply(http.StatusNotFound, codeNoRoute, err, 0).write(w, "")
 }
 
 func (s *Server) wrongMethod(w http.ResponseWriter, r *http.Request) {
-	err := fault.New(fault.Invalid, "method "+r.Method+" is not allowed for "+r.URL.Path, "use a method that the route takes")
-	refusal(http.StatusMethodNotAllowed, codeMethod, err, 0).write(w, "")
+	err := fault.New(fault.Invalid, "method "+r.Method+" is not allowed for "+r.URL.Path, "use a method that the route allows")
+	errorReply(http.StatusMethodNotAllowed, codeMethod, err, 0).write(w, "")
 }
 
-// models lists the models that the caller's workspace may use.
+// models lists the models that the client's workspace may use.
 func (s *Server) models(w http.ResponseWriter, r *http.Request) {
-	c, rep := s.open(r)
+	c, rep := s.openCall(r)
 	if rep != nil {
 		rep.write(w, "")
 		return
@@ -148,36 +149,37 @@
 	_ = json.NewEncoder(w).Encode(list)
 }
 
-// open starts a call: the process must be ready and know the configuration, the
-// workspace must be known, and its data may be carried by this entry host.
-func (s *Server) open(r *http.Request) (*call, *reply) {
+// openCall creates the call for a request. It fails if the process has no
+// configuration yet, if the workspace is unknown, or if this entry host must not
+// handle the workspace's data.
+func (s *Server) openCall(r *http.Request) (*call, *reply) {
 	snap := s.o.Snapshot()
 	if snap.Config == nil {
 		err := fault.New(fault.Unavailable, "no configuration yet", "ask again, or accept one with: rockdoor config apply")
-		return nil, refusal(http.StatusServiceUnavailable, codeNotReady, err, notReadyWait)
+		return nil, errorReply(http.StatusServiceUnavailable, codeNotReady, err, notReadyRetryAfter)
 	}
 	c := newCall(r, snap)
 	var err error
-	if c.workspace, err = identify(r, snap.Config); err != nil {
-		return nil, refusalFor(err)
+	if c.workspace, err = identifyWorkspace(r, snap.Config); err != nil {
+		return nil, errorReplyFor(err)
 	}
-	if rep := s.mayCarry(c); rep != nil {
+	if rep := s.checkEntryHost(c); rep != nil {
 		return nil, rep
 	}
 	return c, nil
 }
 
-// mayCarry refuses a call that this entry host may not carry, as far as it knows
-// or because it cannot know. The caller sets the outcome of the reply if the
-// call has been attempted before.
-func (s *Server) mayCarry(c *call) *reply {
+// checkEntryHost rejects a call if the workspace doesn't permit this entry host, or
+// if the configuration is too stale to decide that. If the call has been attempted
+// before, the caller of checkEntryHost must set the outcome of the reply.
+func (s *Server) checkEntryHost(c *call) *reply {
 	if !c.snapshot.Fresh() {
-		err := fault.New(fault.Unavailable, "this entry host is cut off and cannot know where requests may run", "ask again; the balancer leads to another entry host")
-		return refusal(http.StatusServiceUnavailable, codeStale, err, notReadyWait)
+		err := fault.New(fault.Unavailable, "this entry host has a stale configuration and cannot decide where requests may run", "ask again; the balancer routes to another entry host")
+		return errorReply(http.StatusServiceUnavailable, codeStale, err, notReadyRetryAfter)
 	}
 	if !c.workspace.Entry.Matches(s.hostLabels(c.snapshot)) {
-		err := fault.New(fault.Denied, "this entry host may not carry data of workspace "+c.workspace.Name, "use an entry host that matches the workspace's entrySelector")
-		return refusal(http.StatusMisdirectedRequest, codeWrongEntry, err, 0)
+		err := fault.New(fault.Denied, "this entry host may not handle data of workspace "+c.workspace.Name, "use an entry host that matches the workspace's entrySelector")
+		return errorReply(http.StatusMisdirectedRequest, codeWrongEntry, err, 0)
 	}
 	return nil
 }
@@ -189,9 +191,9 @@
 	return selector.Labels{"host": s.o.Settings.Host, "domain": s.o.Settings.Domain}
 }
 
-// complete serves the completion API.
+// complete handles requests of the completion API.
 func (s *Server) complete(w http.ResponseWriter, r *http.Request) {
-	c, rep := s.open(r)
+	c, rep := s.openCall(r)
 	if rep != nil {
 		rep.write(w, "")
 		return
@@ -206,18 +208,18 @@
 	}
 	if err == nil {
 		m := c.snapshot.Config.Models[c.class]
-		err = c.preferences(r.Header, time.Now(), m.Timeout.Std())
+		err = c.applyHeaders(r.Header, time.Now(), m.Timeout.Std())
 	}
 	if err != nil {
-		refusalFor(err).write(w, c.id)
+		errorReplyFor(err).write(w, c.id)
 		return
 	}
 	s.serve(w, r, c)
 }
 
-// service serves the routes to plain services.
+// service handles requests to plain services.
 func (s *Server) service(w http.ResponseWriter, r *http.Request) {
-	c, rep := s.open(r)
+	c, rep := s.openCall(r)
 	if rep != nil {
 		rep.write(w, "")
 		return
@@ -232,8 +234,8 @@
 		return
 	}
 	c.forRoute(rt)
-	if err := c.preferences(r.Header, time.Now(), rt.Timeout.Std()); err != nil {
-		refusalFor(err).write(w, c.id)
+	if err := c.applyHeaders(r.Header, time.Now(), rt.Timeout.Std()); err != nil {
+		errorReplyFor(err).write(w, c.id)
 		return
 	}
 	if rep := s.readBody(w, r, c); rep != nil {
@@ -243,10 +245,10 @@
 	s.serve(w, r, c)
 }
 
-// readBody reads the whole body within the limits on size and time. After a
+// readBody reads the complete body within the limits on size and time. After a
 // failure the read deadline stays in force and the connection is closed, since
-// the HTTP server would otherwise wait for the rest of the body before it sends
-// the answer.
+// the HTTP server would otherwise wait for the remaining body before it sends the
+// response.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request, c *call) *reply {
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(time.Now().Add(s.o.Settings.Limits.BodyTimeout.Std()))
@@ -261,21 +263,21 @@
 	switch {
 	case errors.As(err, &large):
 		e := fault.Newf(fault.Invalid, "send less", "request body is larger than %d bytes", large.Limit)
-		return refusal(http.StatusRequestEntityTooLarge, codeTooLarge, e, 0)
+		return errorReply(http.StatusRequestEntityTooLarge, codeTooLarge, e, 0)
 	default:
-		e := fault.Wrap(err, fault.Invalid, "request body did not arrive whole", "send it faster than the limit bodyTimeout")
-		return refusal(http.StatusRequestTimeout, codeSlowBody, e, 0)
+		e := fault.Wrap(err, fault.Invalid, "request body was not received completely", "send it within the limit bodyTimeout")
+		return errorReply(http.StatusRequestTimeout, codeSlowBody, e, 0)
 	}
 }
 
-// serve admits a call and runs it.
+// serve admits a call, runs it and sends the reply.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, c *call) {
 	s.count("requests", c)
 	run := newRun(s, c, w, r)
-	release, err := s.gate.Admit(&c.workspace.Workspace, c.priority, c.snapshot.Serving)
+	release, err := s.admission.Admit(&c.workspace.Workspace, c.priority, c.snapshot.Serving)
 	if err != nil {
 		run.life.Fire(charts.Refused)
-		run.finish(refusalFor(err))
+		run.finish(errorReplyFor(err))
 		return
 	}
 	defer release()
--- a/internal/entry/share_test.go
+++ b/internal/entry/share_test.go
@@ -24,7 +24,7 @@
 	}
 	require.Eventually(t, func() bool { return f.runs() >= 8 }, 5*time.Second, time.Millisecond)
 	g := f.chat("review", false, HeaderDeadline, "300ms")
-	require.Equal(t, codeUnknown, g.code(t), "it was sent, though the other workspace floods the engines")
+	require.Equal(t, codeUnknown, g.code(t), "the request was sent although another workspace floods the engines")
 	refused := 0
 	for range 40 {
 		if g := <-answers; g.header.Get(HeaderOutcome) == "not_run" {
@@ -32,12 +32,12 @@
 			require.NotEmpty(t, g.header.Get("Retry-After"))
 		}
 	}
-	require.GreaterOrEqual(t, refused, 28, "the engines have room for 12")
+	require.GreaterOrEqual(t, refused, 28, "the engines accept 12 requests")
 }
 
-// TestSharesHoldForCallsThatComeTogether has the calls of a flood look for a target at the same
-// moment: together they leave others the room that each of them would.
-func TestSharesHoldForCallsThatComeTogether(t *testing.T) {
+// Concurrent calls of one workspace must not exceed its share together. Without placementMu each of
+// them would see the same free capacity.
+func TestConcurrentCallsStayWithinShare(t *testing.T) {
 	const calls, room = 40, 12
 	f := start(t)
 	for range 50 {
@@ -61,21 +61,21 @@
 				placed++
 				r.work.End()
 			}
-			r.stop()
+			r.cancel()
 		}
-		require.LessOrEqual(t, float64(placed), math.Ceil(shortFrom*room))
-		f.entry.gate = limits.NewAdmissionController(f.entry.o.Settings.Limits.Requests, f.entry.o.Settings.Limits.UrgentReserve)
+		require.LessOrEqual(t, float64(placed), math.Ceil(shareThreshold*room))
+		f.entry.admission = limits.NewAdmissionController(f.entry.o.Settings.Limits.Requests, f.entry.o.Settings.Limits.UrgentReserve)
 	}
 }
 
-// admitted returns the work on a call of a workspace that has been admitted.
+// admitted returns the run of an admitted call of a workspace.
 func (f *fleet) admitted(t *testing.T, workspace string) *run {
 	req := httptest.NewRequest(http.MethodPost, pathChat, nil)
 	c := newCall(req, f.current())
 	c.workspace = c.snapshot.Config.Workspaces[workspace]
 	require.NoError(t, c.forModel(&openai.Request{Model: "review"}, f.entry.lengths))
 	c.deadline = time.Now().Add(time.Minute)
-	_, err := f.entry.gate.Admit(&c.workspace.Workspace, c.priority, 1)
+	_, err := f.entry.admission.Admit(&c.workspace.Workspace, c.priority, 1)
 	require.NoError(t, err)
 	return newRun(f.entry, c, httptest.NewRecorder(), req)
 }
