--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -23,16 +23,16 @@
 )
 
 const (
-	eventQueue   = 1024
-	publishEvery = 100 * time.Millisecond
-	// statesEvery is how often the list of members is joined with what is known
-	// about them, unless the list itself changes.
-	statesEvery    = 500 * time.Millisecond
-	loadTimeout    = 10 * time.Second
-	loadRetryDelay = 200 * time.Millisecond
-	// loadsKeptFor is how long the loads of a member that is no longer heard
-	// still count, in heartbeat intervals.
-	loadsKeptFor = 6
+	eventQueueSize  = 1024
+	publishInterval = 100 * time.Millisecond
+	// memberStateInterval is how often the member states are recomputed while the
+	// list of members does not change.
+	memberStateInterval = 500 * time.Millisecond
+	loadTimeout         = 10 * time.Second
+	loadRetryDelay      = 200 * time.Millisecond
+	// loadRetentionIntervals is how long the loads of an unresponsive member still
+	// count, in heartbeat intervals.
+	loadRetentionIntervals = 6
 )
 
 // Options of a Loop.
@@ -46,61 +46,62 @@
 	Logger     log.Logger
 }
 
-// Loop is the goroutine that owns the control state.
+// Loop owns the control state. Only the goroutine of Run changes it.
 type Loop struct {
 	o        Options
 	logger   log.Logger
 	events   chan any
 	snapshot atomic.Pointer[Snapshot]
 
-	// The rest belongs to the goroutine of Run.
-	registered []members.Member
-	orders     map[string]orders.Record
-	leaving    map[string]bool
-	contacts   map[string]*contact
-	neighbours map[string]bool
-	said       map[string]saidSilent
-	states     []MemberState
-	statesAt   bootclock.Instant
-	reports    map[string]Report
-	cfg        *config.Compiled
-	head       confstore.Head
-	loading    int64 // revision being loaded, 0 if none
-	// decided is the version of the head whose configuration is in force, or was left out.
-	decided objstore.Version
-	// provenAt is the last instant at which the configuration in force is known to have been the
+	// The fields below are used only by the goroutine of Run.
+	registered          []members.Member
+	orders              map[string]orders.Record
+	leaving             map[string]bool
+	contacts            map[string]*contact
+	gossipPeers         map[string]bool
+	unresponsiveReports map[string]unresponsiveReport
+	states              []MemberState
+	statesAt            bootclock.Instant
+	reports             map[string]Report
+	cfg                 *config.Compiled
+	head                confstore.Head
+	loading             int64 // revision being loaded, 0 if none
+	// decidedVersion is the version of the latest head whose configuration was either put in force
+	// or skipped.
+	decidedVersion objstore.Version
+	// freshAt is the latest instant at which the configuration in force is known to have been the
 	// newest one.
-	provenAt bootclock.Instant
-	dirty    bool
+	freshAt bootclock.Instant
+	dirty   bool
 }
 
-// New returns a loop that has to be run.
+// New returns a loop. The caller must call Run.
 func New(o Options) *Loop {
 	l := &Loop{
-		o:        o,
-		logger:   log.With(o.Logger, "component", "control"),
-		events:   make(chan any, eventQueue),
-		contacts: map[string]*contact{},
-		said:     map[string]saidSilent{},
-		reports:  map[string]Report{},
+		o:                   o,
+		logger:              log.With(o.Logger, "component", "control"),
+		events:              make(chan any, eventQueueSize),
+		contacts:            map[string]*contact{},
+		unresponsiveReports: map[string]unresponsiveReport{},
+		reports:             map[string]Report{},
 	}
 	l.publish()
 	return l
 }
 
-// Snapshot returns the latest snapshot. It never blocks.
+// Snapshot returns the latest snapshot without blocking.
 func (l *Loop) Snapshot() *Snapshot { return l.snapshot.Load() }
 
 // Events of the loop.
 type (
-	heartbeatSeen struct {
+	heartbeatReceived struct {
 		from *peerpb.Identity
 		beat *peerpb.Heartbeat
-		// answer is true for the answer to a heartbeat of this process.
-		answer bool
-		// agreed is an instant at which the sender held nothing newer than this
-		// process, 0 if that is not known.
-		agreed bootclock.Instant
+		// isResponse is true for the response to a heartbeat of this process.
+		isResponse bool
+		// agreedAt is an instant at which the sender held nothing newer than this
+		// process, 0 if no such instant is known.
+		agreedAt bootclock.Instant
 	}
 	heartbeatFailed struct{ name, incarnation string }
 	engineReported  struct {
@@ -109,29 +110,30 @@
 	}
 	configLoaded struct {
 		head confstore.Head
-		// version is that of the head's object.
+		// version is the version of the head object.
 		version objstore.Version
 		cfg     *config.Compiled
 		err     error
 	}
 )
 
-// heartbeatArrived tells the loop of a heartbeat that a member sent. It never
-// blocks; when the loop is overloaded the heartbeat is dropped.
+// heartbeatArrived passes a member's heartbeat to the loop. It never blocks: if the
+// event queue is full, the heartbeat is dropped.
 func (l *Loop) heartbeatArrived(from *peerpb.Identity, beat *peerpb.Heartbeat) {
-	l.send(heartbeatSeen{from: from, beat: beat})
+	l.send(heartbeatReceived{from: from, beat: beat})
 }
 
-// heartbeatAnswered tells the loop of the answer to a heartbeat sent at sent.
-func (l *Loop) heartbeatAnswered(from *peerpb.Identity, beat *peerpb.Heartbeat, sent bootclock.Instant) {
-	e := heartbeatSeen{from: from, beat: beat, answer: true}
+// responseArrived passes the response to a heartbeat that was sent at the instant
+// sent to the loop.
+func (l *Loop) responseArrived(from *peerpb.Identity, beat *peerpb.Heartbeat, sent bootclock.Instant) {
+	e := heartbeatReceived{from: from, beat: beat, isResponse: true}
 	if beat.GetMirrorRevision() <= int64(l.o.Mirror.Revision()) {
-		e.agreed = sent
+		e.agreedAt = sent
 	}
 	l.send(e)
 }
 
-// EngineReported tells the loop of an engine's status.
+// EngineReported passes an engine's status to the loop.
 func (l *Loop) EngineReported(name string, r Report) { l.send(engineReported{name, r}) }
 
 func (l *Loop) send(e any) {
@@ -142,9 +144,9 @@
 	}
 }
 
-// Run owns the state until ctx ends.
+// Run processes events until ctx ends.
 func (l *Loop) Run(ctx context.Context) error {
-	tick := time.NewTicker(publishEvery)
+	tick := time.NewTicker(publishInterval)
 	defer tick.Stop()
 	stale := time.NewTicker(l.o.Heartbeat)
 	defer stale.Stop()
@@ -172,10 +174,10 @@
 func (l *Loop) handle(ctx context.Context, e any) {
 	l.dirty = true
 	switch e := e.(type) {
-	case heartbeatSeen:
-		l.heartbeat(e)
+	case heartbeatReceived:
+		l.recordHeartbeat(e)
 	case heartbeatFailed:
-		l.failed(e)
+		l.recordFailure(e)
 	case engineReported:
 		if e.report.Err != nil {
 			e.report.Status = l.reports[e.name].Status
@@ -183,26 +185,26 @@
 		}
 		l.reports[e.name] = e.report
 	case configLoaded:
-		l.adopt(ctx, e)
+		l.applyConfig(ctx, e)
 	}
 }
 
-func (l *Loop) heartbeat(e heartbeatSeen) {
+func (l *Loop) recordHeartbeat(e heartbeatReceived) {
 	c := l.contact(e.from.GetName(), e.from.GetIncarnation())
 	if c == nil {
-		return // an earlier run of the member
+		return // from an earlier run of the member
 	}
 	c.failures = 0
-	c.heard, c.beat = bootclock.Now(), e.beat
-	if e.answer {
-		c.loads = e.beat
+	c.lastContact, c.lastHeartbeat = bootclock.Now(), e.beat
+	if e.isResponse {
+		c.lastLoads = e.beat
 	}
-	c.agreed = max(c.agreed, e.agreed)
-	l.hearSilent(e.beat.GetSilent())
+	c.agreedAt = max(c.agreedAt, e.agreedAt)
+	l.recordUnresponsive(e.beat.GetSilent())
 }
 
-// contact returns what is known of a run of a member, nil if a later run is
-// known already.
+// contact returns the contact of a run of a member, and creates it if necessary. It
+// returns nil if a later run of the member is known.
 func (l *Loop) contact(name, incarnation string) *contact {
 	c := l.contacts[name]
 	if c == nil || c.incarnation < incarnation {
@@ -215,39 +217,39 @@
 	return c
 }
 
-func (l *Loop) failed(e heartbeatFailed) {
+func (l *Loop) recordFailure(e heartbeatFailed) {
 	if c := l.contact(e.name, e.incarnation); c != nil {
 		c.failures++
 		c.failedAt = bootclock.Now()
 	}
 }
 
-// hearSilent takes in another process's word about silent members.
-func (l *Loop) hearSilent(all []*peerpb.Silent) {
+// recordUnresponsive records another process's reports on unresponsive members.
+func (l *Loop) recordUnresponsive(all []*peerpb.Silent) {
 	for _, s := range all {
 		at := bootclock.Now().Add(-time.Duration(s.GetAgeMs()) * time.Millisecond)
-		if old, ok := l.said[s.GetName()]; ok && old.incarnation == s.GetIncarnation() && old.at >= at {
+		if old, ok := l.unresponsiveReports[s.GetName()]; ok && old.incarnation == s.GetIncarnation() && old.at >= at {
 			continue
 		}
-		l.said[s.GetName()] = saidSilent{s.GetIncarnation(), at}
+		l.unresponsiveReports[s.GetName()] = unresponsiveReport{s.GetIncarnation(), at}
 	}
 }
 
-// silent returns the members that this process, or one that it heard from, has
-// found silent.
-func (l *Loop) silent() []*peerpb.Silent {
+// unresponsive returns the members that are unresponsive according to this process or
+// to reports that it has received.
+func (l *Loop) unresponsive() []*peerpb.Silent {
 	var out []*peerpb.Silent
 	for name, c := range l.contacts {
-		if l.neighbours[name] && c.silent(l.o.Heartbeat) {
+		if l.gossipPeers[name] && c.unresponsive(l.o.Heartbeat) {
 			out = append(out, &peerpb.Silent{Name: name, Incarnation: c.incarnation, AgeMs: millisSince(c.failedAt)})
 		}
 	}
-	for name, s := range l.said {
+	for name, s := range l.unresponsiveReports {
 		c := l.contacts[name]
-		heard := c != nil && c.heard > s.at
-		if heard || bootclock.Since(s.at) > silentKeptFor {
-			delete(l.said, name)
-		} else if c == nil || !c.silent(l.o.Heartbeat) {
+		contacted := c != nil && c.lastContact > s.at
+		if contacted || bootclock.Since(s.at) > unresponsiveReportTTL {
+			delete(l.unresponsiveReports, name)
+		} else if c == nil || !c.unresponsive(l.o.Heartbeat) {
 			out = append(out, &peerpb.Silent{Name: name, Incarnation: s.incarnation, AgeMs: millisSince(s.at)})
 		}
 	}
@@ -256,19 +258,20 @@
 
 func millisSince(at bootclock.Instant) uint32 { return uint32(bootclock.Since(at).Milliseconds()) }
 
-// mirrorChanged takes the members and the configuration head from the mirror.
+// mirrorChanged reads the members, orders, leaving hosts and the configuration head
+// from the mirror.
 func (l *Loop) mirrorChanged(ctx context.Context) {
 	l.registered = members.Parse(l.o.Mirror.List(members.KeyPrefix))
 	names := map[string]bool{}
 	for _, m := range l.registered {
 		names[m.Name] = true
 	}
-	l.neighbours = map[string]bool{}
+	l.gossipPeers = map[string]bool{}
 	for _, m := range members.GossipPeers(l.registered, l.o.Self.Name) {
-		l.neighbours[m.Name] = true
+		l.gossipPeers[m.Name] = true
 	}
 	for name := range l.contacts {
-		if !names[name] && bootclock.Since(l.contacts[name].heard) > loadsKeptFor*l.o.Heartbeat {
+		if !names[name] && bootclock.Since(l.contacts[name].lastContact) > loadRetentionIntervals*l.o.Heartbeat {
 			delete(l.contacts, name)
 		}
 	}
@@ -278,22 +281,22 @@
 	l.publish()
 }
 
-// readState takes the orders and the leaving hosts from the mirror.
+// readState reads the orders and the leaving hosts from the mirror.
 func (l *Loop) readState() {
 	l.readLeaving()
 	l.orders = map[string]orders.Record{}
 	for _, obj := range l.o.Mirror.List(orders.KeyPrefix) {
 		rec, err := orders.ParseRecord(obj)
 		if err != nil {
-			level.Error(l.logger).Log("msg", "order record not understood", "err", err)
+			level.Error(l.logger).Log("msg", "order record cannot be decoded", "err", err)
 			continue
 		}
 		l.orders[rec.Engine] = rec
 	}
 }
 
-// readLeaving takes the leaving hosts from the mirror. A list that cannot be read leaves the last
-// one in force: without one, hosts that leave would get requests again.
+// readLeaving reads the leaving hosts from the mirror. If the list cannot be decoded, the previous
+// one stays in force, since requests would otherwise be sent to leaving hosts again.
 func (l *Loop) readLeaving() {
 	obj, ok := l.o.Mirror.Get(LeavingKey)
 	if !ok {
@@ -302,7 +305,7 @@
 	}
 	hosts, err := ParseLeaving(obj)
 	if err != nil {
-		level.Error(l.logger).Log("msg", "leaving hosts not understood", "version", obj.Version, "err", err)
+		level.Error(l.logger).Log("msg", "list of leaving hosts cannot be decoded", "version", obj.Version, "err", err)
 		return
 	}
 	l.leaving = make(map[string]bool, len(hosts))
@@ -311,8 +314,8 @@
 	}
 }
 
-// loadNewest starts to load the configuration of the mirrored head if it is
-// newer than the one in force and no load is under way.
+// loadNewest starts to load the configuration of the mirrored head, if that is newer
+// than the configuration in force and no load is in progress.
 func (l *Loop) loadNewest(ctx context.Context) {
 	obj, ok := l.o.Mirror.Get(confstore.HeadKey)
 	if !ok || l.loading != 0 {
@@ -320,10 +323,10 @@
 	}
 	a, err := confstore.ParseHead(obj)
 	if err != nil {
-		level.Error(l.logger).Log("msg", "configuration head not understood", "err", err)
+		level.Error(l.logger).Log("msg", "configuration head cannot be decoded", "err", err)
 	}
 	if err != nil || a.Head.Revision <= l.head.Revision {
-		l.decided = obj.Version
+		l.decidedVersion = obj.Version
 		return
 	}
 	l.loading = a.Head.Revision
@@ -338,14 +341,14 @@
 	}()
 }
 
-// adopt puts a loaded configuration in force, if it is newer.
-func (l *Loop) adopt(ctx context.Context, e configLoaded) {
+// applyConfig puts a loaded configuration in force if it is newer than the current one.
+func (l *Loop) applyConfig(ctx context.Context, e configLoaded) {
 	l.loading = 0
-	if !fault.Is(e.err, fault.Unavailable) { // what cannot be used leaves the last one in force
-		l.decided = e.version
+	if !fault.Is(e.err, fault.Unavailable) { // an unusable configuration is skipped for good, and the previous one stays in force
+		l.decidedVersion = e.version
 	}
 	if e.err != nil {
-		level.Warn(l.logger).Log("msg", "configuration not loaded", "revision", e.head.Revision, "err", e.err)
+		level.Warn(l.logger).Log("msg", "cannot load configuration", "revision", e.head.Revision, "err", e.err)
 	} else if e.head.Revision > l.head.Revision {
 		l.cfg, l.head = e.cfg, e.head
 		for name := range l.reports {
@@ -359,25 +362,25 @@
 	l.loadNewest(ctx)
 }
 
-// publish makes the present state visible to the rest of the process.
+// publish stores a snapshot of the current state for the other goroutines.
 func (l *Loop) publish() {
 	l.dirty = false
-	if l.states == nil || bootclock.Since(l.statesAt) >= statesEvery {
+	if l.states == nil || bootclock.Since(l.statesAt) >= memberStateInterval {
 		l.states, l.statesAt = l.memberStates(), bootclock.Now()
 	}
-	silent := l.silent()
+	unresponsive := l.unresponsive()
 	states := l.states
 	s := &Snapshot{
-		Config:    l.cfg,
-		Revision:  l.head.Revision,
-		ChangeID:  l.head.ChangeID,
-		Members:   states,
-		PeerLoads: l.peerLoads(),
-		Demand:    l.peerDemand(),
-		Reports:   make(map[string]Report, len(l.reports)),
-		Orders:    l.orders,
-		Leaving:   l.leaving,
-		Silent:    silent,
+		Config:       l.cfg,
+		Revision:     l.head.Revision,
+		ChangeID:     l.head.ChangeID,
+		Members:      states,
+		PeerLoads:    l.peerLoads(),
+		Demand:       l.peerDemand(),
+		Reports:      make(map[string]Report, len(l.reports)),
+		Orders:       l.orders,
+		Leaving:      l.leaving,
+		Unresponsive: unresponsive,
 	}
 	for name, r := range l.reports {
 		s.Reports[name] = r
@@ -387,27 +390,27 @@
 			s.Serving++
 		}
 	}
-	fresh := l.majorityAgreed(states)
+	fresh := l.majorityAgreedAt(states)
 	if age := l.o.Mirror.Age(); age != mirror.NeverConfirmed {
 		fresh = max(fresh, bootclock.Now().Add(-age))
 	}
-	if !l.behind() {
-		l.provenAt = max(l.provenAt, fresh)
+	if !l.hasUndecidedConfig() {
+		l.freshAt = max(l.freshAt, fresh)
 	}
-	s.FreshUntil = l.provenAt.Add(l.o.StaleAfter)
+	s.FreshUntil = l.freshAt.Add(l.o.StaleAfter)
 	l.snapshot.Store(s)
 }
 
-// behind reports whether the copy of the store has a configuration that is yet to be put in force.
-// That the copy is the newest proves nothing then of the one in force: a process that was paused
-// would serve under it again.
-func (l *Loop) behind() bool {
+// hasUndecidedConfig reports whether the mirror holds a configuration that has been neither put in
+// force nor skipped. As long as it does, a current mirror does not make the configuration in force
+// fresh: a process that was paused would otherwise resume serving under an old configuration.
+func (l *Loop) hasUndecidedConfig() bool {
 	obj, ok := l.o.Mirror.Get(confstore.HeadKey)
-	return ok && obj.Version != l.decided
+	return ok && obj.Version != l.decidedVersion
 }
 
-// kthLatest returns the k-th latest of the instants, or 0 if there are fewer.
-func kthLatest(at []bootclock.Instant, k int) bootclock.Instant {
+// kthMostRecent returns the k-th latest instant, or 0 if there are fewer than k.
+func kthMostRecent(at []bootclock.Instant, k int) bootclock.Instant {
 	if len(at) < k {
 		return 0
 	}
--- a/internal/control/fresh_test.go
+++ b/internal/control/fresh_test.go
@@ -17,22 +17,21 @@
 	"github.com/rockdoor/rockdoor/objstore"
 )
 
-// TestProcessThatIsBehindIsNotFresh has a process learn, after it was paused for longer than it may go
-// without proof, that there is a newer configuration, which it has yet to load. Its copy of the
-// store was the newest then, so that it took itself for fresh, and served under the old
-// configuration: a real process did so once in four runs of all tests ("1" is not greater than
-// or equal to "2").
+// A process is paused beyond its staleness limit, then receives the head of a newer configuration
+// that it has not loaded yet. It must not become fresh: its mirror is current, but it still serves
+// under the old configuration. In one of four runs of all tests a real process did so ("1" is not
+// greater than or equal to "2").
 func TestProcessThatIsBehindIsNotFresh(t *testing.T) {
 	const staleAfter = 150 * time.Millisecond
 	for name, c := range map[string]struct {
-		// next is the newer configuration, err why it is not there.
+		// next is the newer configuration, err the error of its load.
 		next  string
 		err   error
 		fresh bool
 	}{
-		"while it loads":                  {`{"hosts": [ ]}`, nil, false},
-		"while nobody has it":             {`{"hosts": [ ]}`, fault.New(fault.Unavailable, "no peer has it", "wait"), false},
-		"what cannot be used is left out": {`{"hosts": [{"name": ""}]}`, nil, true},
+		"while the load is in progress": {`{"hosts": [ ]}`, nil, false},
+		"while no source has it":        {`{"hosts": [ ]}`, fault.New(fault.Unavailable, "no peer has it", "wait"), false},
+		"an invalid one is skipped":     {`{"hosts": [{"name": ""}]}`, nil, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			release := make(chan struct{})
--- a/internal/control/heartbeat.go
+++ b/internal/control/heartbeat.go
@@ -21,14 +21,15 @@
 
 const (
 	fetchTimeout = 3 * time.Second
-	// minBeatTimeout lets a heartbeat live longer than its interval on a slow link.
-	minBeatTimeout = time.Second
+	// minHeartbeatTimeout is the min timeout of a heartbeat. With a short interval and
+	// a slow link, a heartbeat may take longer than the interval.
+	minHeartbeatTimeout = time.Second
 )
 
-// Heart exchanges heartbeats with the neighbours. News travels by the same
-// messages: a process whose mirror moves beats at once, and whoever is behind
-// fetches what it lacks.
-type Heart struct {
+// Heartbeater exchanges heartbeats with the gossip peers. Updates of the mirror spread
+// by the same messages: a process sends heartbeats as soon as its mirror changes, and
+// a peer with an older mirror fetches the difference.
+type Heartbeater struct {
 	loop      *Loop
 	mirror    *mirror.Mirror
 	transport *peer.Transport
@@ -40,62 +41,62 @@
 
 	phase    atomic.Int32
 	fetching atomic.Bool
-	// wanted is the highest mirror revision that this process has heard of.
-	wanted atomic.Int64
+	// wantedRevision is the highest mirror revision seen in heartbeats.
+	wantedRevision atomic.Int64
 
 	mu       sync.Mutex
-	inFlight map[string]bool // by address; true if there is news for it
-	rounds   map[string]bool // addresses whose first beat ended
+	inFlight map[string]bool // by address; true if an update is pending for it
+	probed   map[string]bool // addresses whose first heartbeat succeeded or failed
 }
 
-// HeartOptions of a Heart.
-type HeartOptions struct {
+// HeartbeaterOptions of a Heart.
+type HeartbeaterOptions struct {
 	Loop      *Loop
 	Mirror    *mirror.Mirror
 	Transport *peer.Transport
 	Tracker   *routing.Tracker
-	// StoreReachable says whether the last call to the object API was answered.
+	// StoreReachable reports whether the last call to the object API got a response.
 	StoreReachable func() bool
-	// Seeds are asked as long as no member is known.
+	// Seeds are the addresses that get heartbeats as long as no member is known.
 	Seeds    []string
 	Interval time.Duration
 	Logger   log.Logger
 }
 
-// NewHeart returns a Heart that has to be run.
-func NewHeart(o HeartOptions) *Heart {
-	h := &Heart{
+// NewHeartbeater returns a Heartbeater. The caller must call Run.
+func NewHeartbeater(o HeartbeaterOptions) *Heartbeater {
+	h := &Heartbeater{
 		loop: o.Loop, mirror: o.Mirror, transport: o.Transport, tracker: o.Tracker,
 		reachable: o.StoreReachable, seeds: o.Seeds, interval: o.Interval,
 		logger:   log.With(o.Logger, "component", "heartbeat"),
-		inFlight: map[string]bool{}, rounds: map[string]bool{},
+		inFlight: map[string]bool{}, probed: map[string]bool{},
 	}
 	h.phase.Store(int32(peerpb.Phase_PHASE_STARTING))
 	return h
 }
 
-// SetPhase changes what the heartbeats say about this process and beats at once.
-func (h *Heart) SetPhase(ctx context.Context, p peerpb.Phase) {
+// SetPhase changes the phase that the heartbeats report and sends them at once.
+func (h *Heartbeater) SetPhase(ctx context.Context, p peerpb.Phase) {
 	h.phase.Store(int32(p))
-	h.beatAll(ctx, true)
+	h.sendAll(ctx, true)
 }
 
-// ownBeat returns the heartbeat of this process.
-func (h *Heart) ownBeat() *peerpb.Heartbeat {
+// heartbeat returns the heartbeat of this process.
+func (h *Heartbeater) heartbeat() *peerpb.Heartbeat {
 	return &peerpb.Heartbeat{
 		Phase:          peerpb.Phase(h.phase.Load()),
 		MirrorRevision: int64(h.mirror.Revision()),
 		MirrorAgeMs:    ageMillis(h.mirror.Age()),
 		ConfigRevision: h.loop.Snapshot().Revision,
 		StoreReachable: h.reachable(),
-		Silent:         h.loop.Snapshot().Silent,
+		Silent:         h.loop.Snapshot().Unresponsive,
 	}
 }
 
-// answerBeat is ownBeat with the loads. They go only into answers, so that each
-// pair of processes sends them once an interval each way.
-func (h *Heart) answerBeat() *peerpb.Heartbeat {
-	b := h.ownBeat()
+// heartbeatWithLoads returns the heartbeat of this process with its loads. Loads are sent
+// only in responses, so that each process of a pair sends them once an interval.
+func (h *Heartbeater) heartbeatWithLoads() *peerpb.Heartbeat {
+	b := h.heartbeat()
 	s := h.loop.Snapshot()
 	if s.Config == nil {
 		return b
@@ -125,28 +126,28 @@
 	return time.Duration(millis) * time.Millisecond
 }
 
-// Run beats until ctx ends.
-func (h *Heart) Run(ctx context.Context) error {
+// Run sends heartbeats until ctx ends.
+func (h *Heartbeater) Run(ctx context.Context) error {
 	tick := time.NewTicker(h.interval)
 	defer tick.Stop()
-	news := false
+	update := false
 	for {
 		changed := h.mirror.Changed()
-		h.beatAll(ctx, news)
+		h.sendAll(ctx, update)
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-			news = false
+			update = false
 		case <-changed:
-			news = true
+			update = true
 		}
 	}
 }
 
-// whom returns the members to beat: the neighbours, or the seeds, of which only
-// the address is known, if there are none.
-func (h *Heart) whom() []members.Member {
+// recipients returns the gossip peers. If there are none, it returns the seeds, for
+// which only the address is set.
+func (h *Heartbeater) recipients() []members.Member {
 	var ms []members.Member
 	for _, m := range h.loop.Snapshot().Members {
 		ms = append(ms, m.Member)
@@ -163,78 +164,81 @@
 	return out
 }
 
-// beatAll beats all neighbours. News is sent again to those that a beat without
-// it is on its way to.
-func (h *Heart) beatAll(ctx context.Context, news bool) {
-	for _, m := range h.whom() {
-		if h.start(m.Peer, news) {
-			go h.beat(ctx, m)
+// sendAll sends a heartbeat to every recipient. If update is true, a recipient whose
+// previous heartbeat is still in flight gets another one afterwards, since that one
+// does not carry the update.
+func (h *Heartbeater) sendAll(ctx context.Context, update bool) {
+	for _, m := range h.recipients() {
+		if h.beginSend(m.Peer, update) {
+			go h.send(ctx, m)
 		}
 	}
 }
 
-// start claims the right to beat an address; a slow peer gets one beat at a time.
-func (h *Heart) start(address string, news bool) bool {
+// beginSend reports whether a heartbeat may be sent to an address. At most one is in
+// flight to each address.
+func (h *Heartbeater) beginSend(address string, update bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if _, beating := h.inFlight[address]; beating {
-		h.inFlight[address] = h.inFlight[address] || news
+	if _, sending := h.inFlight[address]; sending {
+		h.inFlight[address] = h.inFlight[address] || update
 		return false
 	}
 	h.inFlight[address] = false
 	return true
 }
 
-// finish ends a beat. It returns true if there has been news since it began.
-func (h *Heart) finish(address string) (again bool) {
+// endSend ends the sending of a heartbeat. It returns true if an update has become
+// pending for the address in the meantime.
+func (h *Heartbeater) endSend(address string) (again bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	again = h.inFlight[address]
 	delete(h.inFlight, address)
-	h.rounds[address] = true
+	h.probed[address] = true
 	return again
 }
 
-// Asked reports whether every process that is to be beaten has answered or
-// failed to answer at least once.
-func (h *Heart) Asked() bool {
-	all := h.whom()
+// ProbedAll reports whether at least one heartbeat to every recipient has succeeded or
+// failed.
+func (h *Heartbeater) ProbedAll() bool {
+	all := h.recipients()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, m := range all {
-		if !h.rounds[m.Peer] {
+		if !h.probed[m.Peer] {
 			return false
 		}
 	}
 	return true
 }
 
-func (h *Heart) beat(ctx context.Context, to members.Member) {
+func (h *Heartbeater) send(ctx context.Context, to members.Member) {
 	defer func() {
-		if h.finish(to.Peer) && ctx.Err() == nil && h.start(to.Peer, false) {
-			go h.beat(ctx, to)
+		if h.endSend(to.Peer) && ctx.Err() == nil && h.beginSend(to.Peer, false) {
+			go h.send(ctx, to)
 		}
 	}()
-	bctx, cancel := context.WithTimeout(ctx, max(h.interval, minBeatTimeout))
+	bctx, cancel := context.WithTimeout(ctx, max(h.interval, minHeartbeatTimeout))
 	defer cancel()
 	sent := bootclock.Now()
-	resp, err := h.transport.Call(bctx, to.Peer, &peerpb.Request{Body: &peerpb.Request_Heartbeat{Heartbeat: h.ownBeat()}})
+	resp, err := h.transport.Call(bctx, to.Peer, &peerpb.Request{Body: &peerpb.Request_Heartbeat{Heartbeat: h.heartbeat()}})
 	if err != nil {
-		level.Debug(h.logger).Log("msg", "no heartbeat", "peer", to.Peer, "err", err)
+		level.Debug(h.logger).Log("msg", "heartbeat failed", "peer", to.Peer, "err", err)
 		if to.Name != "" {
 			h.loop.send(heartbeatFailed{to.Name, to.Incarnation})
 		}
 		return
 	}
 	if beat := resp.GetHeartbeat(); beat != nil {
-		h.answered(ctx, resp.GetFrom(), beat, to.Peer, sent)
+		h.handleResponse(ctx, resp.GetFrom(), beat, to.Peer, sent)
 	}
 }
 
-// answered takes in the answer to a heartbeat that was sent at the given
-// instant. Only answers prove anything about the present: a heartbeat that
-// arrives by itself may have waited while this process was paused.
-func (h *Heart) answered(ctx context.Context, from *peerpb.Identity, beat *peerpb.Heartbeat, address string, sent bootclock.Instant) {
+// handleResponse processes the response to a heartbeat that was sent at the given
+// instant. Freshness is derived from responses only: a heartbeat of a peer may have
+// been queued while this process was paused.
+func (h *Heartbeater) handleResponse(ctx context.Context, from *peerpb.Identity, beat *peerpb.Heartbeat, address string, sent bootclock.Instant) {
 	remote := objstore.Revision(beat.GetMirrorRevision())
 	if age := ageOf(beat.GetMirrorAgeMs()); age != mirror.NeverConfirmed {
 		h.mirror.Confirm(remote, age+bootclock.Since(sent))
@@ -242,35 +246,35 @@
 	if remote > h.mirror.Revision() {
 		h.fetch(ctx, address, remote)
 	}
-	h.loop.heartbeatAnswered(from, beat, sent)
+	h.loop.responseArrived(from, beat, sent)
 }
 
-// fetch brings the mirror forward from the process at address. News that
-// arrives while a fetch is under way is fetched right after it.
-func (h *Heart) fetch(ctx context.Context, address string, revision objstore.Revision) {
+// fetch updates the mirror from the process at address. A newer revision that becomes
+// known during a fetch is fetched right afterwards.
+func (h *Heartbeater) fetch(ctx context.Context, address string, revision objstore.Revision) {
 	for {
-		wanted := h.wanted.Load()
-		if int64(revision) <= wanted || h.wanted.CompareAndSwap(wanted, int64(revision)) {
+		wanted := h.wantedRevision.Load()
+		if int64(revision) <= wanted || h.wantedRevision.CompareAndSwap(wanted, int64(revision)) {
 			break
 		}
 	}
 	for h.fetching.CompareAndSwap(false, true) {
 		ok := h.fetchOnce(ctx, address)
 		h.fetching.Store(false)
-		if !ok || int64(h.mirror.Revision()) >= h.wanted.Load() {
+		if !ok || int64(h.mirror.Revision()) >= h.wantedRevision.Load() {
 			return
 		}
 	}
 }
 
-func (h *Heart) fetchOnce(ctx context.Context, address string) bool {
+func (h *Heartbeater) fetchOnce(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), fetchTimeout)
 	defer cancel()
 	req := &peerpb.Request{Body: &peerpb.Request_FetchMirror{FetchMirror: &peerpb.FetchMirror{After: int64(h.mirror.Revision())}}}
 	sent := bootclock.Now()
 	resp, err := h.transport.Call(ctx, address, req)
 	if err != nil {
-		level.Debug(h.logger).Log("msg", "mirror not fetched", "peer", address, "err", err)
+		level.Debug(h.logger).Log("msg", "cannot fetch mirror", "peer", address, "err", err)
 		return false
 	}
 	d := resp.GetMirror()
@@ -285,7 +289,7 @@
 }
 
 // addressOf returns the peer address of a member by name, or "".
-func (h *Heart) addressOf(name string) string {
+func (h *Heartbeater) addressOf(name string) string {
 	for _, m := range h.loop.Snapshot().Members {
 		if m.Name == name {
 			return m.Peer
@@ -294,8 +298,9 @@
 	return ""
 }
 
-// Answer answers the calls that concern the control state, or returns nil.
-func (h *Heart) Answer(req *peerpb.Request) *peerpb.Response {
+// HandleRequest responds to peer calls that concern the control state. It returns nil
+// for any other call.
+func (h *Heartbeater) HandleRequest(req *peerpb.Request) *peerpb.Response {
 	switch b := req.Body.(type) {
 	case *peerpb.Request_Heartbeat:
 		address := h.addressOf(req.GetFrom().GetName())
@@ -303,7 +308,7 @@
 			go h.fetch(context.Background(), address, remote)
 		}
 		h.loop.heartbeatArrived(req.GetFrom(), b.Heartbeat)
-		return &peerpb.Response{Body: &peerpb.Response_Heartbeat{Heartbeat: h.answerBeat()}}
+		return &peerpb.Response{Body: &peerpb.Response_Heartbeat{Heartbeat: h.heartbeatWithLoads()}}
 	case *peerpb.Request_FetchMirror:
 		d := h.mirror.Since(objstore.Revision(b.FetchMirror.GetAfter()))
 		return &peerpb.Response{Body: &peerpb.Response_Mirror{Mirror: encodeDelta(d)}}
@@ -314,9 +319,8 @@
 	return nil
 }
 
-// ChunkFromPeers is a confstore.Source that asks members that have the newest
-// configuration, a few at most.
-func (h *Heart) ChunkFromPeers(ctx context.Context, digest string) ([]byte, error) {
+// ChunkFromPeers is a confstore.Source that requests a chunk from a few live members.
+func (h *Heartbeater) ChunkFromPeers(ctx context.Context, digest string) ([]byte, error) {
 	const maxAsked = 3
 	asked := 0
 	for _, m := range h.loop.Snapshot().Members {
@@ -324,14 +328,14 @@
 			continue
 		}
 		asked++
-		cctx, cancel := context.WithTimeout(ctx, minBeatTimeout)
+		cctx, cancel := context.WithTimeout(ctx, minHeartbeatTimeout)
 		resp, err := h.transport.Call(cctx, m.Peer, &peerpb.Request{Body: &peerpb.Request_FetchChunk{FetchChunk: &peerpb.FetchChunk{Digest: digest}}})
 		cancel()
 		if content := resp.GetChunk().GetContent(); err == nil && len(content) > 0 {
 			return content, nil
 		}
 	}
-	return nil, fault.New(fault.Unavailable, "no peer that was asked has chunk "+digest, "the store is asked next")
+	return nil, fault.New(fault.Unavailable, "no peer that was asked has chunk "+digest, "the store is tried next")
 }
 
 func encodeDelta(d mirror.Delta) *peerpb.MirrorDelta {
--- a/internal/control/leaving_test.go
+++ b/internal/control/leaving_test.go
@@ -10,8 +10,8 @@
 	"github.com/rockdoor/rockdoor/objstore"
 )
 
-// The list of leaving hosts counted as empty while it could not be read, so that one odd value had
-// requests sent to hosts again that were leaving.
+// A list of leaving hosts that cannot be decoded must not count as empty, since requests would then
+// be sent to leaving hosts again.
 func TestAListOfLeavingHostsThatCannotBeReadChangesNothing(t *testing.T) {
 	m := mirror.New("state/")
 	l := &Loop{o: Options{Mirror: m}, logger: log.NewNopLogger()}
--- a/internal/control/loads.go
+++ b/internal/control/loads.go
@@ -6,19 +6,19 @@
 	"github.com/rockdoor/rockdoor/routing"
 )
 
-// peerLoads sums what peers have outstanding. A peer that is no longer heard
-// counts for a while, since its requests may still run. Loads of a peer under
-// another configuration are left out, since its indexes mean other targets.
+// peerLoads sums the loads of all peers by target. An unresponsive peer counts for a
+// while, since its requests may still be running. Peers under another configuration
+// revision are skipped, since their target indexes denote other targets.
 func (l *Loop) peerLoads() map[string]routing.Load {
 	loads := map[string]routing.Load{}
 	if l.cfg == nil {
 		return loads
 	}
 	for _, c := range l.contacts {
-		if bootclock.Since(c.heard) > loadsKeptFor*l.o.Heartbeat || c.loads.GetConfigRevision() != l.head.Revision {
+		if bootclock.Since(c.lastContact) > loadRetentionIntervals*l.o.Heartbeat || c.lastLoads.GetConfigRevision() != l.head.Revision {
 			continue
 		}
-		v := c.loads.GetLoads()
+		v := c.lastLoads.GetLoads()
 		for ; len(v) >= loadFields; v = v[loadFields:] {
 			if int(v[0]) >= len(l.cfg.TargetNames) {
 				continue
@@ -30,11 +30,11 @@
 	return loads
 }
 
-// peerDemand returns what each peer that is heard has admitted to each pool.
+// peerDemand returns the demand that each known peer has admitted, by pool and process.
 func (l *Loop) peerDemand() map[string]map[string]roles.Counter {
 	out := map[string]map[string]roles.Counter{}
 	for name, c := range l.contacts {
-		for _, d := range c.loads.GetDemand() {
+		for _, d := range c.lastLoads.GetDemand() {
 			if out[d.GetPool()] == nil {
 				out[d.GetPool()] = map[string]roles.Counter{}
 			}
@@ -44,5 +44,5 @@
 	return out
 }
 
-// loadFields is how many numbers a heartbeat has for each target.
+// loadFields is how many numbers a heartbeat carries for each target.
 const loadFields = 4
--- a/internal/control/reporter.go
+++ b/internal/control/reporter.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// maxReported bounds how many engines one process asks for their load.
-	maxReported     = 16
-	parallelReports = 16
-	reportTimeout   = time.Second
+	// maxPolledEngines is about the max number of engines that one process polls.
+	maxPolledEngines = 16
+	maxParallelPolls = 16
+	pollTimeout      = time.Second
 )
 
-// Reporter asks engines for their status.
-type Reporter struct {
+// StatusPoller polls engines for their status.
+type StatusPoller struct {
 	loop     *Loop
 	engines  engine.Controller
 	interval time.Duration
 }
 
-// NewReporter returns a reporter that has to be run.
-func NewReporter(l *Loop, c engine.Controller, interval time.Duration) *Reporter {
-	return &Reporter{loop: l, engines: c, interval: interval}
+// NewStatusPoller returns a poller. The caller must call Run.
+func NewStatusPoller(l *Loop, c engine.Controller, interval time.Duration) *StatusPoller {
+	return &StatusPoller{loop: l, engines: c, interval: interval}
 }
 
-// Run asks until ctx ends.
-func (r *Reporter) Run(ctx context.Context) error {
+// Run polls until ctx ends.
+func (r *StatusPoller) Run(ctx context.Context) error {
 	tick := time.NewTicker(r.interval)
 	defer tick.Stop()
 	for {
@@ -44,19 +44,19 @@
 	}
 }
 
-func (r *Reporter) round(ctx context.Context) {
+func (r *StatusPoller) round(ctx context.Context) {
 	s := r.loop.Snapshot()
 	if s.Config == nil {
 		return
 	}
 	var g errgroup.Group
-	g.SetLimit(parallelReports)
+	g.SetLimit(maxParallelPolls)
 	for _, e := range s.Config.Config.Engines {
-		if !r.asks(e.Name, s) {
+		if !r.polls(e.Name, s) {
 			continue
 		}
 		g.Go(func() error {
-			cctx, cancel := context.WithTimeout(ctx, reportTimeout)
+			cctx, cancel := context.WithTimeout(ctx, pollTimeout)
 			defer cancel()
 			st, err := r.engines.Status(cctx, e.Address)
 			r.loop.EngineReported(e.Name, Report{Status: st, Err: err, At: bootclock.Now()})
@@ -66,17 +66,17 @@
 	_ = g.Wait()
 }
 
-// asks reports whether this process asks the engine. In a large deployment each
-// engine is asked by the few processes with the highest hash for it.
-func (r *Reporter) asks(name string, s *Snapshot) bool {
+// polls reports whether this process polls the engine. In a large deployment each
+// engine is polled by a few processes, chosen by rendezvous hashing.
+func (r *StatusPoller) polls(name string, s *Snapshot) bool {
 	engines := len(s.Config.Config.Engines)
-	if engines <= maxReported {
+	if engines <= maxPolledEngines {
 		return true
 	}
 	names := make([]string, len(s.Members))
 	for i, m := range s.Members {
 		names[i] = m.Name
 	}
-	askers := max(1, maxReported*len(names)/engines)
-	return members.Rank(name, r.loop.o.Self.Name, names) < askers
+	pollers := max(1, maxPolledEngines*len(names)/engines)
+	return members.Rank(name, r.loop.o.Self.Name, names) < pollers
 }
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -1,7 +1,7 @@
-// Package control owns the state that all parts of a process decide by: the
-// configuration in force, the members, the loads that peers and engines report.
-// One goroutine changes it and publishes immutable snapshots; the goroutines
-// that carry traffic only read snapshots.
+// Package control owns the state on which the decisions of a process are based: the
+// configuration in force, the members, and the loads that peers and engines report.
+// One goroutine changes the state and publishes immutable snapshots. Goroutines that
+// handle traffic only read snapshots.
 package control
 
 import (
@@ -21,60 +21,60 @@
 	"github.com/rockdoor/rockdoor/routing"
 )
 
-// MemberState is a registered member with what this process knows of it.
+// MemberState is a registered member and its state as known to this process.
 type MemberState struct {
 	members.Member
 	Health members.Health `json:"health"`
-	// Heard is when the member was last heard; zero if never.
-	Heard bootclock.Instant `json:"-"`
-	// ConfigRevision is the configuration in force there when last heard.
+	// LastContact is when the last heartbeat of the member arrived, zero if none has.
+	LastContact bootclock.Instant `json:"-"`
+	// ConfigRevision is the revision of the configuration in force at the member, as of
+	// LastContact.
 	ConfigRevision int64 `json:"configRevision"`
-	// MirrorRevision is how far its copy of the object API was when last heard.
+	// MirrorRevision is the revision of the member's mirror as of LastContact.
 	MirrorRevision objstore.Revision `json:"mirrorRevision"`
 	Self           bool              `json:"self"`
 }
 
-// Report is the last status that an engine gave this process.
+// Report is the last status of an engine that this process received.
 type Report struct {
 	Status engine.Status
-	// Err is why the last attempt to get a status failed, if it did.
+	// Err is the error of the last poll, nil if it succeeded.
 	Err error
 	At  bootclock.Instant
-	// Failures counts the attempts that failed in a row.
+	// Failures counts consecutive failed polls.
 	Failures int
 }
 
-// Snapshot is the state at one moment. It is immutable.
+// Snapshot is the control state at one instant. It is immutable.
 type Snapshot struct {
-	// Config is nil until the first configuration is adopted.
+	// Config is nil until the first configuration is in force.
 	Config   *config.Compiled
 	Revision int64
 	ChangeID string
 	Members  []MemberState
-	// Serving is the number of members believed to serve, with this one.
+	// Serving is the number of members believed to be alive, including this one.
 	Serving int
-	// PeerLoads is what other processes have outstanding, by target.
+	// PeerLoads is the load that other processes have placed, by target.
 	PeerLoads map[string]routing.Load
 	Reports   map[string]Report
-	// Demand is what other processes have admitted to each pool.
+	// Demand is the demand that other processes have admitted.
 	Demand map[string]map[string]roles.Counter // by pool and process
-	// Orders holds the last order to each engine.
+	// Orders holds the latest order to each engine.
 	Orders map[string]orders.Record
-	// Leaving holds the IP numbers of hosts that the platform says are leaving.
+	// Leaving holds the IP addresses of hosts that the platform lists as leaving.
 	Leaving map[string]bool
-	// Silent is what this process tells others about silent members.
-	Silent []*peerpb.Silent
-	// FreshUntil is when this process can no longer know that the
-	// configuration is the one in force.
+	// Unresponsive lists the unresponsive members, as sent in heartbeats.
+	Unresponsive []*peerpb.Silent
+	// FreshUntil is when the staleness limit of the configuration ends: from then on
+	// a newer one may be in force elsewhere.
 	FreshUntil bootclock.Instant
 }
 
-// Fresh reports whether the configuration is known to be the one in force, up
-// to the staleness limit.
+// Fresh reports whether the configuration is within the staleness limit.
 func (s *Snapshot) Fresh() bool { return bootclock.Now() < s.FreshUntil }
 
-// Available reports whether a target may get new requests: its host is not
-// leaving, no order to it is open and it does not say that it is changing.
+// Available reports whether a target may get new requests: its host is not leaving,
+// no order to it is open, and it reports no change in progress.
 func (s *Snapshot) Available(t *config.Target) bool {
 	if len(s.Leaving) > 0 {
 		if host, _, err := net.SplitHostPort(t.Address); err == nil && s.Leaving[host] {
@@ -84,10 +84,10 @@
 	return !s.Orders[t.Name].Open() && !s.Reports[t.Name].Status.Changing
 }
 
-// LeavingKey is where the IP numbers of leaving hosts are kept, as a JSON list.
+// LeavingKey is the key of the list of leaving hosts: a JSON array of IP addresses.
 const LeavingKey = "state/leaving"
 
-// ParseLeaving reads the list at LeavingKey. The error is of kind Invalid.
+// ParseLeaving decodes the list at LeavingKey. The error is of kind Invalid.
 func ParseLeaving(obj objstore.Object) ([]string, error) {
 	var leaving []string
 	if err := json.Unmarshal(obj.Value, &leaving); err != nil {
@@ -96,39 +96,42 @@
 	return leaving, nil
 }
 
-// contact is what heartbeats have told about one member.
+// contact is the state of one run of a member, as known from heartbeats.
 type contact struct {
 	incarnation string
-	heard       bootclock.Instant
-	// agreed is when the member was last heard to hold nothing newer than this
-	// process does.
-	agreed bootclock.Instant
-	beat   *peerpb.Heartbeat
-	// loads is the last heartbeat that carried loads.
-	loads *peerpb.Heartbeat
-	// failures counts heartbeats in a row that the member did not answer.
+	lastContact bootclock.Instant
+	// agreedAt is the latest instant at which the member is known to have held nothing
+	// newer than this process.
+	agreedAt      bootclock.Instant
+	lastHeartbeat *peerpb.Heartbeat
+	// lastLoads is the latest heartbeat that carried loads.
+	lastLoads *peerpb.Heartbeat
+	// failures counts consecutive heartbeats without a response.
 	failures int
 	failedAt bootclock.Instant
 }
 
-func (c *contact) leaving() bool { return c.beat.GetPhase() == peerpb.Phase_PHASE_LEAVING }
+func (c *contact) shuttingDown() bool {
+	return c.lastHeartbeat.GetPhase() == peerpb.Phase_PHASE_LEAVING
+}
 
-// silent reports whether the member has been beaten in vain. A process that was
-// itself paused has not heard its peers either, but has not beaten them in vain.
-func (c *contact) silent(interval time.Duration) bool {
-	return c.failures >= members.SuspectAfter && bootclock.Since(c.heard) > members.SuspectAfter*interval
+// unresponsive reports whether the member has not responded to recent heartbeats. The
+// time since the last contact alone does not suffice: it also grows while this process
+// is paused itself.
+func (c *contact) unresponsive(interval time.Duration) bool {
+	return c.failures >= members.SuspectAfter && bootclock.Since(c.lastContact) > members.SuspectAfter*interval
 }
 
-// saidSilent is another process's word that a member is silent.
-type saidSilent struct {
+// unresponsiveReport is another process's report that a member is unresponsive.
+type unresponsiveReport struct {
 	incarnation string
 	at          bootclock.Instant
 }
 
-// silentKeptFor is how long such word counts unless it is repeated.
-const silentKeptFor = 5 * time.Second
+// unresponsiveReportTTL is how long such a report counts unless it is repeated.
+const unresponsiveReportTTL = 5 * time.Second
 
-// memberStates joins the registrations with what is known about each member.
+// memberStates returns the state of each registered member and of this process.
 func (l *Loop) memberStates() []MemberState {
 	out := make([]MemberState, 0, len(l.registered)+1)
 	selfListed := false
@@ -148,41 +151,41 @@
 
 func (l *Loop) memberState(m members.Member) MemberState {
 	st := MemberState{Member: m, Health: members.Presumed}
-	if l.neighbours[m.Name] {
+	if l.gossipPeers[m.Name] {
 		st.Health = members.Unheard
 	}
 	c := l.contacts[m.Name]
-	if c != nil && c.incarnation == m.Incarnation && c.beat != nil {
-		st.Heard = c.heard
-		st.ConfigRevision = c.beat.GetConfigRevision()
-		st.MirrorRevision = objstore.Revision(c.beat.GetMirrorRevision())
-		st.Health = members.HealthAt(true, bootclock.Since(c.heard), l.o.Heartbeat, c.leaving())
+	if c != nil && c.incarnation == m.Incarnation && c.lastHeartbeat != nil {
+		st.LastContact = c.lastContact
+		st.ConfigRevision = c.lastHeartbeat.GetConfigRevision()
+		st.MirrorRevision = objstore.Revision(c.lastHeartbeat.GetMirrorRevision())
+		st.Health = members.HealthAt(true, bootclock.Since(c.lastContact), l.o.Heartbeat, c.shuttingDown())
 	}
-	if said, ok := l.said[m.Name]; ok && said.incarnation == m.Incarnation && st.Health != members.Alive && st.Health != members.Leaving {
+	if said, ok := l.unresponsiveReports[m.Name]; ok && said.incarnation == m.Incarnation && st.Health != members.Alive && st.Health != members.Leaving {
 		st.Health = members.Suspected
-		st.Heard = max(st.Heard, said.at.Add(-members.SuspectAfter*l.o.Heartbeat))
+		st.LastContact = max(st.LastContact, said.at.Add(-members.SuspectAfter*l.o.Heartbeat))
 	}
 	return st
 }
 
-// majorityAgreed returns the latest instant at which a majority had been heard
-// to hold nothing newer: of all members in a small fleet, and of this process's
-// neighbours, which are a random sample, in a large one. Members that have said
-// that they leave do not count.
-func (l *Loop) majorityAgreed(states []MemberState) bootclock.Instant {
+// majorityAgreedAt returns the latest instant at which a majority is known to have held
+// nothing newer than this process. In a small fleet it is a majority of all members, in
+// a large one a majority of the gossip peers, which are a random sample. Members that
+// are shutting down do not count.
+func (l *Loop) majorityAgreedAt(states []MemberState) bootclock.Instant {
 	now := bootclock.Now()
 	var agreed []bootclock.Instant
 	for _, s := range states {
-		if s.Health == members.Leaving || !(s.Self || l.neighbours[s.Name]) {
+		if s.Health == members.Leaving || !(s.Self || l.gossipPeers[s.Name]) {
 			continue
 		}
 		at := bootclock.Instant(0)
 		if s.Self {
 			at = now
 		} else if c := l.contacts[s.Name]; c != nil && c.incarnation == s.Incarnation {
-			at = c.agreed
+			at = c.agreedAt
 		}
 		agreed = append(agreed, at)
 	}
-	return kthLatest(agreed, len(agreed)/2+1)
+	return kthMostRecent(agreed, len(agreed)/2+1)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,5 +1,5 @@
-// Package controller carries out role changes. For each pool one process holds
-// the lease and gives the orders; a second one stands by.
+// Package controller carries out role changes. For each pool, one process holds the
+// lease and sends the orders. A second process is on standby.
 package controller
 
 import (
@@ -26,14 +26,14 @@
 )
 
 const (
-	// candidates is how many processes want the lease of a pool.
-	candidates = 2
-	reviewTime = 500 * time.Millisecond
-	pollTime   = 100 * time.Millisecond
-	// stepTimeout bounds one use of the store for a lease.
-	stepTimeout = 2 * time.Second
-	statusTime  = time.Second
-	// retryAfter is how long an engine is left alone after an order failed.
+	// leaseCandidates is how many processes compete for the lease of a pool.
+	leaseCandidates = 2
+	reviewInterval  = 500 * time.Millisecond
+	pollInterval    = 100 * time.Millisecond
+	// stepTimeout limits one lease operation at the store.
+	stepTimeout   = 2 * time.Second
+	statusTimeout = time.Second
+	// retryAfter is the delay before a new order to an engine whose last order failed.
 	retryAfter = 3 * time.Second
 )
 
@@ -47,7 +47,7 @@
 	Tracker  *routing.Tracker
 	Self     members.Member
 	LeaseTTL time.Duration
-	// StaleAfter is when a process that is cut off stops sending requests.
+	// StaleAfter is how long a process without contact keeps sending requests.
 	StaleAfter time.Duration
 	Logger     log.Logger
 }
@@ -61,16 +61,16 @@
 	pools map[string]*controller
 }
 
-// New returns a manager that has to be run.
+// New returns a manager. The caller must call Run.
 func New(o Options) *Manager { return &Manager{o: o, pools: map[string]*controller{}} }
 
 // PoolStatus is the state of one pool's controller at this process.
 type PoolStatus struct {
 	Pool string `json:"pool"`
-	// Held is true if this process gives the orders.
+	// Held is true if this process holds the lease and so sends the orders.
 	Held  bool  `json:"held"`
 	Token int64 `json:"token,omitempty"`
-	// Waiting says what a candidate waits for.
+	// Waiting is the reason why a candidate does not hold the lease.
 	Waiting string `json:"waiting,omitempty"`
 }
 
@@ -91,10 +91,10 @@
 	return out
 }
 
-// Run starts and stops controllers as the pools and members change, until ctx
-// ends, and then releases all leases.
+// Run starts and stops controllers as pools and members change. When ctx ends, it
+// stops all of them and releases their leases.
 func (m *Manager) Run(ctx context.Context) error {
-	tick := time.NewTicker(reviewTime)
+	tick := time.NewTicker(reviewInterval)
 	defer tick.Stop()
 	for {
 		m.review(ctx)
@@ -107,7 +107,8 @@
 	}
 }
 
-// review compares the controllers that run with those that should.
+// review starts the controllers that are missing and stops those that are no longer
+// needed.
 func (m *Manager) review(ctx context.Context) {
 	s := m.o.Snapshot()
 	if s.Config == nil {
@@ -116,7 +117,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for name := range s.Config.Pools {
-		wanted := rank(s.Members, m.o.Self.Name, name) < candidates
+		wanted := rank(s.Members, m.o.Self.Name, name) < leaseCandidates
 		c := m.pools[name]
 		switch {
 		case wanted && c == nil:
@@ -134,7 +135,7 @@
 	}
 }
 
-// rank returns this process's place among those that would control a pool.
+// rank returns this process's rank among the candidates for a pool.
 func rank(ms []control.MemberState, self, pool string) int {
 	var living []string
 	for _, m := range ms {
@@ -163,31 +164,31 @@
 
 // controller is a candidate for one pool.
 type controller struct {
-	m       *Manager
-	pool    string
-	lessee  *lease.Lessee
-	exec    *orders.Executor
-	logger  log.Logger
-	cancel  context.CancelFunc
-	done    chan struct{}
-	planner planner
+	m        *Manager
+	pool     string
+	lessee   *lease.Lessee
+	executor *orders.Executor
+	logger   log.Logger
+	cancel   context.CancelFunc
+	done     chan struct{}
+	planner  planner
 
 	mu sync.Mutex
-	// busy are the engines that this process is giving orders to.
+	// busy holds the engines to which this process is carrying out an order.
 	busy map[string]bool
-	// drains is what is known about the engines that are being drained.
-	drains map[string]*drainState
-	giving sync.WaitGroup
+	// drains holds the drain states by engine.
+	drains        map[string]*drainState
+	pendingOrders sync.WaitGroup
 }
 
-// drainState is what is known about the order record that is being drained for.
+// drainState is the progress of a drain for one version of an order record.
 type drainState struct {
 	version objstore.Version
-	// seen is the revision of the mirror when it first held the record.
-	seen   objstore.Revision
-	spread bool
-	// quiet is since when the engine has reported no requests.
-	quiet time.Time
+	// seenAt is the revision of this process's mirror when it first held the record.
+	seenAt     objstore.Revision
+	propagated bool
+	// idleSince is when the engine began to report no requests, zero if it has some.
+	idleSince time.Time
 }
 
 func (m *Manager) start(ctx context.Context, pool string) *controller {
@@ -196,27 +197,27 @@
 	c.logger = log.With(m.o.Logger, "component", "controller", "pool", pool)
 	c.lessee = lease.New(lease.Options{
 		Store: m.o.Store, Shard: "pool/" + pool, Holder: m.o.Self.Name, Incarnation: m.o.Self.Incarnation, Address: m.o.Self.Peer,
-		TTL: m.o.LeaseTTL, HolderTerminated: m.gone, Logger: m.o.Logger,
+		TTL: m.o.LeaseTTL, HolderTerminated: m.holderTerminated, Logger: m.o.Logger,
 	})
-	c.exec = orders.New(orders.Options{
+	c.executor = orders.New(orders.Options{
 		Store: m.o.Store, Engines: m.o.Engines, Sender: m.o.Sender, Grant: c.lessee.Grant, Holder: m.o.Self.Name,
-		Drained: c.drained, Logger: m.o.Logger, PollInterval: pollTime,
+		Drained: c.drained, Logger: m.o.Logger, PollInterval: pollInterval,
 	})
 	var wg sync.WaitGroup
 	wg.Add(2)
 	go func() { defer wg.Done(); c.keepLease(ctx) }()
-	go func() { defer wg.Done(); c.work(ctx) }()
+	go func() { defer wg.Done(); c.reconcileLoop(ctx) }()
 	go func() {
 		wg.Wait()
-		c.giving.Wait()
+		c.pendingOrders.Wait()
 		close(c.done)
 	}()
 	return c
 }
 
-// gone reports whether a lease holder is proven to be over: a later process is
-// registered at the address where it listened, or an operator has vouched.
-func (m *Manager) gone(rec lease.Record) (string, bool) {
+// holderTerminated reports whether a lease holder has certainly terminated, and why: a later
+// process is registered at its address, or an operator has vouched for it.
+func (m *Manager) holderTerminated(rec lease.Record) (string, bool) {
 	for _, ms := range m.o.Snapshot().Members {
 		if ms.Peer == rec.Address && ms.Incarnation > rec.Incarnation {
 			return "later process " + ms.Name + " listens at " + ms.Peer, true
@@ -228,8 +229,8 @@
 	return "", false
 }
 
-// VouchPrefix is where operators vouch that a run of a process is over. The key
-// ends in the incarnation, the value is who vouches.
+// VouchPrefix is the key prefix of the records by which operators vouch that a run of a
+// process has terminated. The key ends in the incarnation, the value names the operator.
 const VouchPrefix = "state/vouch/"
 
 func (c *controller) keepLease(ctx context.Context) {
@@ -252,7 +253,7 @@
 	}
 }
 
-// stop ends the work and gives the lease up in writing.
+// stop stops the controller and releases its lease at the store.
 func (c *controller) stop() {
 	c.cancel()
 	<-c.done
@@ -263,35 +264,35 @@
 	}
 }
 
-// work gives orders while the lease is held.
-func (c *controller) work(ctx context.Context) {
+// reconcileLoop calls reconcile at intervals while the lease is held.
+func (c *controller) reconcileLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		if _, held := c.lessee.Grant(); held {
-			c.round(ctx)
+			c.reconcile(ctx)
 		}
-		sleep(ctx, reviewTime)
+		sleep(ctx, reviewInterval)
 	}
 }
 
-// round recovers open orders, then brings engines to the roles that operators
-// ask for, and then follows the pool's policy. At most one engine of a failure
+// reconcile recovers open orders, then changes engines to the roles that operators have
+// configured, and then applies the pool's role policy. At most one engine of a failure
 // domain changes at a time.
-func (c *controller) round(ctx context.Context) {
+func (c *controller) reconcile(ctx context.Context) {
 	s := c.m.o.Snapshot()
 	if s.Config == nil {
 		return
 	}
 	for _, e := range c.engines(s) {
 		if s.Orders[e.Name].Open() {
-			c.give(ctx, e.Name, func(ctx context.Context) error {
-				_, err := c.exec.Recover(ctx, c.target(s, e))
+			c.runOrder(ctx, e.Name, func(ctx context.Context) error {
+				_, err := c.executor.Recover(ctx, c.target(s, e))
 				return err
 			})
 		}
 	}
 	for _, e := range c.engines(s) {
 		last := s.Orders[e.Name]
-		if e.Role == "" || e.State == config.Withdrawn || !c.free(s, e.Name) {
+		if e.Role == "" || e.State == config.Withdrawn || !c.domainIsFree(s, e.Name) {
 			continue
 		}
 		if last.State == charts.OrderFailed && time.Since(last.Since) < retryAfter {
@@ -310,16 +311,16 @@
 func (c *controller) changeRole(ctx context.Context, s *control.Snapshot, name string, from, to engine.Role, reason string) {
 	for _, e := range c.engines(s) {
 		if e.Name == name {
-			c.give(ctx, name, func(ctx context.Context) error {
-				return c.exec.ChangeRole(ctx, c.target(s, e), from, to, reason)
+			c.runOrder(ctx, name, func(ctx context.Context) error {
+				return c.executor.ChangeRole(ctx, c.target(s, e), from, to, reason)
 			})
 		}
 	}
 }
 
-// free reports whether no engine of the same failure domain has an open order or
-// is being given one.
-func (c *controller) free(s *control.Snapshot, name string) bool {
+// domainIsFree reports whether no engine in the failure domain of the named engine has an
+// open order or an order that this process is carrying out.
+func (c *controller) domainIsFree(s *control.Snapshot, name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	domain := s.Config.Targets[name].Domain
@@ -331,17 +332,18 @@
 	return true
 }
 
-// give runs an order to an engine unless one is under way.
-func (c *controller) give(ctx context.Context, name string, order func(context.Context) error) {
+// runOrder carries out an order in a new goroutine, unless one to the engine is in
+// progress.
+func (c *controller) runOrder(ctx context.Context, name string, order func(context.Context) error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.busy[name] {
 		return
 	}
 	c.busy[name] = true
-	c.giving.Add(1)
+	c.pendingOrders.Add(1)
 	go func() {
-		defer c.giving.Done()
+		defer c.pendingOrders.Done()
 		if err := order(ctx); err != nil && ctx.Err() == nil {
 			level.Warn(c.logger).Log("msg", "order ended", "engine", name, "err", err)
 		}
@@ -370,7 +372,7 @@
 }
 
 func (c *controller) status(ctx context.Context, address string) (engine.Status, error) {
-	ctx, cancel := context.WithTimeout(ctx, statusTime)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	return c.m.o.Engines.Status(ctx, address)
 }
--- a/internal/controller/drain.go
+++ b/internal/controller/drain.go
@@ -11,61 +11,61 @@
 	"github.com/rockdoor/rockdoor/orders"
 )
 
-// drained reports whether no request can be at an engine any more: its order
-// record is known to every process that may send requests, no process has one
-// outstanding, and since then the engine itself has reported none for longer
-// than its reports lag.
+// drained reports whether an engine certainly has no requests left: every process that
+// may send requests knows the order record, no process has a request in flight there,
+// and the engine itself has since reported none for at least reportLag.
 func (c *controller) drained(ctx context.Context, t orders.Target, since time.Time, written objstore.Version) bool {
 	s := c.m.o.Snapshot()
-	d := c.drainOf(t.Name, written)
-	if !c.spread(s, d, t.Name, since) {
+	d := c.drainStateFor(t.Name, written)
+	if !c.recordPropagated(s, d, t.Name, since) {
 		return false
 	}
 	st, err := c.status(ctx, t.Address)
 	outstanding := s.PeerLoads[t.Name].Requests + c.m.o.Tracker.Load(t.Name).Requests
 	if err != nil || outstanding > 0 || st.Running+st.Waiting > 0 {
-		d.quiet = time.Time{}
+		d.idleSince = time.Time{}
 		return false
 	}
-	if d.quiet.IsZero() {
-		d.quiet = time.Now()
+	if d.idleSince.IsZero() {
+		d.idleSince = time.Now()
 	}
-	return time.Since(d.quiet) >= reportLag
+	return time.Since(d.idleSince) >= reportLag
 }
 
-// drainOf returns what is known about the drain for a record. Only the goroutine
-// that gives the order uses it.
-func (c *controller) drainOf(name string, written objstore.Version) *drainState {
+// drainStateFor returns the drain state for a version of an engine's order record. Only
+// the goroutine that carries out the order uses the state.
+func (c *controller) drainStateFor(name string, written objstore.Version) *drainState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	d := c.drains[name]
 	if d == nil || d.version != written {
-		d = &drainState{version: written, seen: mirror.NoRevision}
+		d = &drainState{version: written, seenAt: mirror.NoRevision}
 		c.drains[name] = d
 	}
 	return d
 }
 
-// spread reports whether every process knows the record: all living members say
-// that they have it, and any other has been cut off for so long that it sends
-// nothing.
-func (c *controller) spread(s *control.Snapshot, d *drainState, name string, since time.Time) bool {
-	if d.spread {
+// recordPropagated reports whether every process that may send requests knows the order
+// record: either the mirrors of all members include it, or the record is so old that a
+// process without it has become stale and has stopped sending.
+func (c *controller) recordPropagated(s *control.Snapshot, d *drainState, name string, since time.Time) bool {
+	if d.propagated {
 		return true
 	}
-	if d.seen == mirror.NoRevision {
+	if d.seenAt == mirror.NoRevision {
 		obj, ok := c.m.o.Mirror.Get(orders.KeyPrefix + name)
 		if !ok || obj.Version != d.version {
 			return false
 		}
-		d.seen = c.m.o.Mirror.Revision()
+		d.seenAt = c.m.o.Mirror.Revision()
 	}
-	d.spread = everywhere(s, d.seen) || time.Since(since) >= c.m.o.StaleAfter+staleMargin
-	return d.spread
+	d.propagated = allMembersHave(s, d.seenAt) || time.Since(since) >= c.m.o.StaleAfter+staleMargin
+	return d.propagated
 }
 
-// everywhere reports whether all members hold a mirror of at least rev.
-func everywhere(s *control.Snapshot, rev objstore.Revision) bool {
+// allMembersHave reports whether the mirror of every other member is at revision rev or
+// later. It is false if any of them is suspected or unheard.
+func allMembersHave(s *control.Snapshot, rev objstore.Revision) bool {
 	for _, m := range s.Members {
 		if !m.Self && (m.MirrorRevision < rev || m.Health == members.Suspected || m.Health == members.Unheard) {
 			return false
@@ -75,8 +75,8 @@
 }
 
 const (
-	// staleMargin covers requests that were being sent when a process became stale.
+	// staleMargin covers requests that are being sent when a process becomes stale.
 	staleMargin = time.Second
-	// reportLag bounds the age of the load that an engine reports.
+	// reportLag is the max age of the load that an engine reports.
 	reportLag = 1500 * time.Millisecond
 )
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -11,14 +11,14 @@
 	"github.com/rockdoor/rockdoor/selector"
 )
 
-// planner holds what a pool's role policy remembers.
+// planner holds the role policy of a pool and the policy's state.
 type planner struct {
 	name   string
 	policy roles.Policy
 	meter  roles.Meter
 }
 
-// plan returns the change of role that the pool's policy decides on, or nil.
+// plan returns the role change that the pool's policy decides on, or nil.
 func (c *controller) plan(ctx context.Context, s *control.Snapshot) *roles.Change {
 	set := s.Config.Pools[c.pool].Roles
 	if c.planner.policy == nil || c.planner.name != set.Policy {
@@ -31,14 +31,14 @@
 	now := time.Now()
 	in := roles.Input{
 		Now:     now,
-		Demand:  c.planner.meter.Update(now, c.counters(s), c.scale(s)),
+		Demand:  c.planner.meter.Update(now, c.counters(s), c.sampleScale(s)),
 		Engines: c.engineStates(ctx, s),
 		Weights: roles.Weights{Goodput: set.GoodputWeight, Change: set.ChangeWeight},
 	}
 	return c.planner.policy.Decide(in)
 }
 
-// counters returns what each process that is heard, and this one, has admitted.
+// counters returns the demand that this process and each known peer have admitted.
 func (c *controller) counters(s *control.Snapshot) map[string]roles.Counter {
 	out := map[string]roles.Counter{}
 	for process, n := range s.Demand[c.pool] {
@@ -52,18 +52,19 @@
 	return out
 }
 
-// scale returns how many serving processes each heard one stands for.
-func (c *controller) scale(s *control.Snapshot) float64 {
-	heard := 0
+// sampleScale returns the ratio of live processes to those whose demand is known, by
+// which the known demand is extrapolated.
+func (c *controller) sampleScale(s *control.Snapshot) float64 {
+	known := 0
 	for _, m := range s.Members {
-		if m.Self || m.Heard != 0 {
-			heard++
+		if m.Self || m.LastContact != 0 {
+			known++
 		}
 	}
-	return max(1, float64(s.Serving)/float64(max(heard, 1)))
+	return max(1, float64(s.Serving)/float64(max(known, 1)))
 }
 
-// engineStates describes the engines of the pool that requests may use.
+// engineStates returns the active engines of the pool that report a status.
 func (c *controller) engineStates(ctx context.Context, s *control.Snapshot) []roles.Engine {
 	var out []roles.Engine
 	set := s.Config.Pools[c.pool].Roles
@@ -77,22 +78,23 @@
 		}
 		last := s.Orders[e.Name]
 		if last.Open() && last.Order.Kind == engine.OrderRole {
-			st.Role = last.Order.Role // counts as changed, so that it is not changed for twice
+			st.Role = last.Order.Role // counts as changed already, so that the policy does not order the same change again
 		}
 		load := s.PeerLoads[e.Name].Add(c.m.o.Tracker.Load(e.Name))
 		out = append(out, roles.Engine{
 			Name: e.Name, Domain: s.Config.Targets[e.Name].Domain, Role: st.Role, Requests: load.Requests, PrefillTokens: load.PrefillTokens,
-			Movable: e.Role == "" && !st.Changing && c.free(s, e.Name) && time.Since(last.Since) >= set.MinDwell.Std() &&
-				(st.Role == engine.RolePrefill || c.spare(s, e.Name)),
+			Movable: e.Role == "" && !st.Changing && c.domainIsFree(s, e.Name) && time.Since(last.Since) >= set.MinDwell.Std() &&
+				(st.Role == engine.RolePrefill || c.canStopServing(s, e.Name)),
 		})
 	}
 	return out
 }
 
-// spare reports whether an engine may stop to run whole requests: every model of
-// the pool, under the rules of every workspace that can use the engine for it,
-// keeps another engine that does, and some model can use the engine at all.
-func (c *controller) spare(s *control.Snapshot, name string) bool {
+// canStopServing reports whether an engine may stop serving complete requests, that is,
+// become a prefill engine. For every model of the pool and the rules of every workspace
+// that permit the engine, another engine must remain that serves complete requests. At
+// least one model must be able to use the engine.
+func (c *controller) canStopServing(s *control.Snapshot, name string) bool {
 	t := s.Config.Targets[name]
 	useful := false
 	for _, m := range s.Config.Models {
@@ -105,7 +107,7 @@
 				continue
 			}
 			useful = true
-			if !c.another(s, m.Engines, all, name) {
+			if !c.otherEngineServes(s, m.Engines, all, name) {
 				return false
 			}
 		}
@@ -113,9 +115,9 @@
 	return useful
 }
 
-// another reports whether an engine besides the named one runs whole requests
-// under the rules.
-func (c *controller) another(s *control.Snapshot, engines []*config.Target, rules selector.All, name string) bool {
+// otherEngineServes reports whether an engine other than the named one is permitted by
+// the rules and serves complete requests.
+func (c *controller) otherEngineServes(s *control.Snapshot, engines []*config.Target, rules selector.All, name string) bool {
 	for _, t := range engines {
 		if t.Name == name || t.State != config.Active || !s.Available(t) || s.Reports[t.Name].Status.Role == engine.RolePrefill {
 			continue
--- a/internal/daemon/claims.go
+++ b/internal/daemon/claims.go
@@ -16,68 +16,69 @@
 )
 
 const (
-	// lostAfter is how long a member may be silent before others hold its claims.
-	lostAfter = 5 * time.Second
-	// processSeparator stands between name and incarnation of a process.
+	// holderLostAfter is how long a member may be unresponsive before its claims move to
+	// other holders.
+	holderLostAfter = 5 * time.Second
+	// processSeparator separates name and incarnation in the identifier of a process.
 	processSeparator = "/"
 )
 
-// claimPart is a process's part in the claims of the fleet.
-type claimPart struct {
+// claimService connects the claims of this process with those of the other members.
+type claimService struct {
 	*claims.Claimant
 	store  *claims.Store
 	keeper *claims.Keeper
 	d      *Daemon
 }
 
-var _ entry.Claims = (*claimPart)(nil)
+var _ entry.Claims = (*claimService)(nil)
 
-func (d *Daemon) newClaimPart() *claimPart {
+func (d *Daemon) newClaimService() *claimService {
 	self := claims.Member{Name: d.self.Name, Incarnation: d.self.Incarnation, Domain: d.self.Domain}
-	c := &claimPart{d: d, store: claims.NewStore(self, d.set.Control.ClaimWindow.Std())}
+	c := &claimService{d: d, store: claims.NewStore(self, d.set.Control.ClaimWindow.Std())}
 	peers := claimPeers{d}
 	c.Claimant = claims.NewClaimant(c.store, peers)
 	c.keeper = claims.NewKeeper(claims.KeeperOptions{
-		Store: c.store, Peers: peers, Objects: d.store, Live: c.live, Registrar: c.registrar, Refresh: d.refresh, Logger: d.logger,
+		Store: c.store, Peers: peers, Objects: d.store, Live: c.liveHolders, Registrar: c.isRegistrar, Refresh: d.refresh, Logger: d.logger,
 		Mirrored: func() (objstore.Object, bool) { return d.mirror.Get(claims.TableKey) },
 	})
 	return c
 }
 
-// process identifies this run of the process to the others.
+// process identifies this run of the process to its peers.
 func (d *Daemon) process() string { return d.self.Name + processSeparator + d.self.Incarnation }
 
-// live returns the members that may hold claims: those that are heard, and
-// those that have been silent only for a short time.
-func (c *claimPart) live() []claims.Member {
+// liveHolders returns the members that may hold claims: those that are alive, and those
+// that have been unresponsive for less than holderLostAfter.
+func (c *claimService) liveHolders() []claims.Member {
 	var out []claims.Member
 	for _, m := range c.d.loop.Snapshot().Members {
-		if mayHold(m) {
+		if mayHoldClaims(m) {
 			out = append(out, claims.Member{Name: m.Name, Incarnation: m.Incarnation, Domain: m.Domain})
 		}
 	}
 	return out
 }
 
-func mayHold(m control.MemberState) bool {
-	return m.Health.IsAlive() || m.Health == members.Suspected && bootclock.Since(m.Heard) < lostAfter
+func mayHoldClaims(m control.MemberState) bool {
+	return m.Health.IsAlive() || m.Health == members.Suspected && bootclock.Since(m.LastContact) < holderLostAfter
 }
 
-// registrar reports whether this process has the highest hash of all that live
-// and so changes the holders.
-func (c *claimPart) registrar() bool {
+// isRegistrar reports whether this process is the registrar, which assigns the claim
+// holders: the live member that ranks first by rendezvous hashing.
+func (c *claimService) isRegistrar() bool {
 	if !c.d.isRegistered() {
 		return false
 	}
 	var names []string
-	for _, m := range c.live() {
+	for _, m := range c.liveHolders() {
 		names = append(names, m.Name)
 	}
 	return members.Rank("registrar", c.d.self.Name, names) == 0
 }
 
 // Outcome implements entry.Claims.
-func (c *claimPart) Outcome(ctx context.Context, process, claimant string) (entry.Outcome, error) {
+func (c *claimService) Outcome(ctx context.Context, process, claimant string) (entry.Outcome, error) {
 	if process == c.d.process() {
 		return c.d.entry.Outcome(claimant), nil
 	}
@@ -92,11 +93,11 @@
 		}
 		return decodeOutcome(resp.GetClaimOutcome()), nil
 	}
-	return entry.Outcome{}, fault.New(fault.Unknown, "process "+process+" is gone", "nobody can tell the outcome")
+	return entry.Outcome{}, fault.New(fault.Unknown, "process "+process+" is no longer registered", "the outcome cannot be determined")
 }
 
-// answer answers the peer calls that concern claims, or returns nil.
-func (c *claimPart) answer(req *peerpb.Request) *peerpb.Response {
+// handle responds to peer calls that concern claims. It returns nil for any other call.
+func (c *claimService) handle(req *peerpb.Request) *peerpb.Response {
 	switch b := req.Body.(type) {
 	case *peerpb.Request_Claim:
 		claim := decodeClaim(b.Claim)
@@ -115,13 +116,13 @@
 	return nil
 }
 
-// claimPeers reaches the claim holders of other processes.
+// claimPeers calls the claim holders of other processes.
 type claimPeers struct{ d *Daemon }
 
 var _ claims.Peers = claimPeers{}
 
-// address returns where a member listens for its peers. A claim is only sent to
-// the run of the process that the table names.
+// address returns the peer address of a member. It fails if the member has been restarted,
+// since a claim must only reach the run of the process that the claim table names.
 func (p claimPeers) address(to claims.Member) (string, error) {
 	for _, m := range p.d.loop.Snapshot().Members {
 		if m.Name == to.Name && m.Incarnation == to.Incarnation {
@@ -139,7 +140,7 @@
 	return call(ctx, p.d.transport, address, to, req)
 }
 
-// call refuses an answer of another run of the process than the one meant.
+// call calls a member and fails if the response is from another run of the process.
 func call(ctx context.Context, t *peer.Transport, address string, to claims.Member, req *peerpb.Request) (*peerpb.Response, error) {
 	resp, err := t.Call(ctx, address, req)
 	if err != nil {
--- a/internal/daemon/codec.go
+++ b/internal/daemon/codec.go
@@ -27,7 +27,7 @@
 	return &peerpb.ClaimReply{Verdict: verdicts[r.Verdict], Claimant: r.Claimant, Process: r.Process}
 }
 
-// decodeReply takes a verdict that is not known for an abstention.
+// decodeReply decodes a reply to a claim. An unknown verdict counts as an abstention.
 func decodeReply(r *peerpb.ClaimReply) claims.Reply {
 	out := claims.Reply{Verdict: claims.Abstain, Claimant: r.GetClaimant(), Process: r.GetProcess()}
 	for v, pb := range verdicts {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon wires the parts of one rockdoor process and runs its life:
-// start, join, serve, and a stop that cuts no request.
+// Package daemon assembles the components of one rockdoor process and runs its
+// lifecycle: start, join, serve, and a graceful shutdown.
 package daemon
 
 import (
@@ -41,12 +41,12 @@
 )
 
 const (
-	// mirrorPrefix is what every process keeps a copy of.
-	mirrorPrefix   = "state/"
-	joinPoll       = 50 * time.Millisecond
-	unregisterTime = 2 * time.Second
-	closeTime      = time.Second
-	handOverTime   = 5 * time.Second
+	// mirrorPrefix is the key prefix of the objects that every process mirrors.
+	mirrorPrefix      = "state/"
+	pollInterval      = 50 * time.Millisecond
+	unregisterTimeout = 2 * time.Second
+	closeTimeout      = time.Second
+	handOverTimeout   = 5 * time.Second
 )
 
 // Daemon is one process.
@@ -57,30 +57,30 @@
 	self   members.Member
 	chart  *statechart.Instance
 
-	store     *objstore.Limited
-	client    *httpapi.Client
-	mirror    *mirror.Mirror
-	keeper    *mirror.Refresher
-	loader    *confstore.Loader
-	loop      *control.Loop
-	heart     *control.Heart
-	transport *peer.Transport
-	// told is what the processes tell each other of calls that end their targets.
-	told *suspects.Syncer
-	// grants is how the processes share the rates that targets limit themselves to.
-	grants   *ratelimit.Syncer
-	reporter *control.Reporter
-	tracker  *routing.Tracker
-	entry    *entry.Server
-	admin    *admin.Server
-	manager  *controller.Manager
-	claims   *claimPart
+	store       *objstore.Limited
+	client      *httpapi.Client
+	mirror      *mirror.Mirror
+	refresher   *mirror.Refresher
+	loader      *confstore.Loader
+	loop        *control.Loop
+	heartbeater *control.Heartbeater
+	transport   *peer.Transport
+	// quarantineSyncer shares reports on requests that crash their targets with the peers.
+	quarantineSyncer *suspects.Syncer
+	// rateLimitSyncer divides the rate limits of the targets among the processes.
+	rateLimitSyncer *ratelimit.Syncer
+	statusPoller    *control.StatusPoller
+	tracker         *routing.Tracker
+	entry           *entry.Server
+	admin           *admin.Server
+	manager         *controller.Manager
+	claims          *claimService
 
-	callers   *http.Server
-	operators *http.Server
+	clientServer *http.Server
+	adminServer  *http.Server
 }
 
-// New builds a process that has to be run.
+// New returns a process. The caller must call Run.
 func New(set *settings.Settings, logger log.Logger) *Daemon {
 	d := &Daemon{
 		set:     set,
@@ -104,22 +104,24 @@
 }
 
 func (d *Daemon) buildControl() {
-	d.keeper = mirror.NewRefresher(d.mirror, d.store, d.isWatcher, d.logger)
+	d.refresher = mirror.NewRefresher(d.mirror, d.store, d.isWatcher, d.logger)
 	d.transport = peer.NewTransport(&peerpb.Identity{Name: d.self.Name, Incarnation: d.self.Incarnation}, d, d.reg, d.logger)
 	d.loader = confstore.NewLoader(
-		func(ctx context.Context, digest string) ([]byte, error) { return d.heart.ChunkFromPeers(ctx, digest) },
+		func(ctx context.Context, digest string) ([]byte, error) {
+			return d.heartbeater.ChunkFromPeers(ctx, digest)
+		},
 		confstore.StoreSource(d.store),
 	)
 	d.loop = control.New(control.Options{
 		Self: d.self, Mirror: d.mirror, Loader: d.loader, Heartbeat: d.set.Control.Heartbeat.Std(),
 		StaleAfter: d.set.Control.StaleAfter.Std(), Metrics: d.reg, Logger: d.logger,
 	})
-	d.heart = control.NewHeart(control.HeartOptions{
+	d.heartbeater = control.NewHeartbeater(control.HeartbeaterOptions{
 		Loop: d.loop, Mirror: d.mirror, Transport: d.transport, Tracker: d.tracker, StoreReachable: d.store.Reachable,
 		Seeds: d.set.Seeds, Interval: d.set.Control.Heartbeat.Std(), Logger: d.logger,
 	})
 	engines := httpcontrol.New(nil)
-	d.reporter = control.NewReporter(d.loop, engines, d.set.Control.Report.Std())
+	d.statusPoller = control.NewStatusPoller(d.loop, engines, d.set.Control.Report.Std())
 	d.manager = controller.New(controller.Options{
 		Store: d.store, Engines: engines, Sender: orders.GuardedSender{}, Snapshot: d.loop.Snapshot, Mirror: d.mirror,
 		Tracker: d.tracker, Self: d.self, LeaseTTL: d.set.Control.LeaseTTL.Std(), StaleAfter: d.set.Control.StaleAfter.Std(),
@@ -128,11 +130,11 @@
 }
 
 func (d *Daemon) buildServers() {
-	d.claims = d.newClaimPart()
+	d.claims = d.newClaimService()
 	table := quarantine.NewTable()
-	d.told = suspects.New(suspects.Options{Run: d.self.Incarnation, Table: table, Transport: d.transport, Peers: d.others, Logger: d.logger})
+	d.quarantineSyncer = suspects.New(suspects.Options{Run: d.self.Incarnation, Table: table, Transport: d.transport, Peers: d.syncPeers, Logger: d.logger})
 	limits := ratelimit.NewTable(d.self.Name, d.reg, d.logger)
-	d.grants = ratelimit.NewSyncer(ratelimit.Options{Self: d.self.Name, Table: limits, Transport: d.transport, Deciders: d.deciders, Peers: d.others, Logger: d.logger})
+	d.rateLimitSyncer = ratelimit.NewSyncer(ratelimit.Options{Self: d.self.Name, Table: limits, Transport: d.transport, Deciders: d.deciders, Peers: d.syncPeers, Logger: d.logger})
 	d.entry = entry.New(entry.Options{
 		Settings: d.set, Snapshot: d.loop.Snapshot, Tracker: d.tracker, Process: d.process(), Claims: d.claims, Quarantine: table, Limits: limits,
 		Metrics: d.reg, Logger: d.logger,
@@ -141,8 +143,8 @@
 		Store: d.store, Loader: d.loader, Snapshot: d.loop.Snapshot, Refresh: d.refresh, Ready: d.ready,
 		Self: d.self, Explain: d.entry.Explain, Pools: d.manager.Status, Watcher: d.isWatcher, Metrics: d.reg, Logger: d.logger,
 	})
-	d.callers = d.httpServer(d.entry)
-	d.operators = d.httpServer(d.admin)
+	d.clientServer = d.httpServer(d.entry)
+	d.adminServer = d.httpServer(d.admin)
 }
 
 func (d *Daemon) httpServer(h http.Handler) *http.Server {
@@ -155,12 +157,13 @@
 	}
 }
 
-// maxTold bounds how many others this process tells what is new; these tell others.
-const maxTold = 16
+// maxSyncPeers is the max number of peers to which this process sends an update. They
+// forward it to others.
+const maxSyncPeers = 16
 
-// others returns the members that live, without this process: all of a small fleet, some drawn
-// at random of a large one.
-func (d *Daemon) others() []members.Member {
+// syncPeers returns live members other than this process: all of them in a small fleet, a random
+// sample in a large one.
+func (d *Daemon) syncPeers() []members.Member {
 	var out []members.Member
 	for _, m := range d.loop.Snapshot().Members {
 		if m.Health.IsAlive() && !m.Self {
@@ -168,10 +171,10 @@
 		}
 	}
 	rand.Shuffle(len(out), func(i, k int) { out[i], out[k] = out[k], out[i] })
-	return out[:min(maxTold, len(out))]
+	return out[:min(maxSyncPeers, len(out))]
 }
 
-// deciders returns all members, each of which decides where its calls run.
+// deciders returns all members, since each of them places its own requests.
 func (d *Daemon) deciders() ratelimit.Deciders {
 	var out ratelimit.Deciders
 	for _, m := range d.loop.Snapshot().Members {
@@ -184,7 +187,8 @@
 	return out
 }
 
-// isWatcher decides by the members that this process believes to be alive.
+// isWatcher reports whether this process is one of those that watch the store, given the
+// members that it believes to be alive.
 func (d *Daemon) isWatcher() bool {
 	var alive []members.Member
 	for _, m := range d.loop.Snapshot().Members {
@@ -197,35 +201,35 @@
 
 // HandlePeer implements peer.Handler.
 func (d *Daemon) HandlePeer(ctx context.Context, req *peerpb.Request) *peerpb.Response {
-	if resp := d.heart.Answer(req); resp != nil {
+	if resp := d.heartbeater.HandleRequest(req); resp != nil {
 		return resp
 	}
-	if resp := d.claims.answer(req); resp != nil {
+	if resp := d.claims.handle(req); resp != nil {
 		return resp
 	}
 	switch {
 	case req.GetCrashes() != nil:
-		return d.told.HandlePeer(ctx, req)
+		return d.quarantineSyncer.HandlePeer(ctx, req)
 	case req.GetRateLimits() != nil:
-		return d.grants.HandlePeer(ctx, req)
+		return d.rateLimitSyncer.HandlePeer(ctx, req)
 	}
 	return &peerpb.Response{Error: "call is not known"}
 }
 
-// refresh brings the mirror forward after a write of this process.
-func (d *Daemon) refresh(ctx context.Context) { _ = d.keeper.Refresh(ctx, 0) }
+// refresh updates the mirror after a write by this process.
+func (d *Daemon) refresh(ctx context.Context) { _ = d.refresher.Refresh(ctx, 0) }
 
 func (d *Daemon) ready() error {
 	if s := d.chart.State(); s != charts.ProcessServing {
 		return fault.New(fault.Unavailable, "process is "+string(s), "wait, or ask another process")
 	}
 	if !d.loop.Snapshot().Fresh() {
-		return fault.New(fault.Unavailable, "process is cut off from the platform and its peers", "check the network of this host")
+		return fault.New(fault.Unavailable, "process has no contact with the platform or enough peers", "check the network of this host")
 	}
 	return nil
 }
 
-// Run serves until ctx ends, then stops without cutting a request.
+// Run serves until ctx ends, then shuts down gracefully.
 func (d *Daemon) Run(ctx context.Context) error {
 	listeners, err := d.listen()
 	if err != nil {
@@ -238,17 +242,17 @@
 		g.Add(func() error { return f(background) }, func(error) { stopBackground() })
 	}
 	add(d.loop.Run)
-	add(d.keeper.Run)
-	add(d.heart.Run)
-	add(d.reporter.Run)
+	add(d.refresher.Run)
+	add(d.heartbeater.Run)
+	add(d.statusPoller.Run)
 	add(d.claims.keeper.Run)
-	add(d.ward)
-	add(d.told.Run)
-	add(d.grants.Run)
+	add(d.runMaintenance)
+	add(d.quarantineSyncer.Run)
+	add(d.rateLimitSyncer.Run)
 	g.Add(func() error { return d.transport.Serve(listeners.peer) }, func(error) { listeners.peer.Close(); d.transport.Close() })
-	g.Add(func() error { return httpserve.Serve(background, d.operators, listeners.admin) }, func(error) { stopBackground(); closeServer(d.operators) })
-	g.Add(func() error { return httpserve.Serve(background, d.callers, listeners.callers) }, func(error) { stopBackground(); closeServer(d.callers) })
-	g.Add(func() error { return d.live(ctx, background) }, func(error) { stopBackground() })
+	g.Add(func() error { return httpserve.Serve(background, d.adminServer, listeners.admin) }, func(error) { stopBackground(); closeServer(d.adminServer) })
+	g.Add(func() error { return httpserve.Serve(background, d.clientServer, listeners.clients) }, func(error) { stopBackground(); closeServer(d.clientServer) })
+	g.Add(func() error { return d.runLifecycle(ctx, background) }, func(error) { stopBackground() })
 	err = g.Run()
 	d.entry.Close()
 	d.client.Close()
@@ -256,14 +260,14 @@
 }
 
 func closeServer(s *http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), closeTime)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	if s.Shutdown(ctx) != nil {
 		_ = s.Close()
 	}
 }
 
-type listeners struct{ callers, admin, peer net.Listener }
+type listeners struct{ clients, admin, peer net.Listener }
 
 // listen opens all listeners, or none.
 func (d *Daemon) listen() (listeners, error) {
@@ -271,10 +275,10 @@
 	for _, l := range []struct {
 		address string
 		to      *net.Listener
-	}{{d.set.Listen, &out.callers}, {d.set.Admin, &out.admin}, {d.set.Peer, &out.peer}} {
+	}{{d.set.Listen, &out.clients}, {d.set.Admin, &out.admin}, {d.set.Peer, &out.peer}} {
 		opened, err := net.Listen("tcp", l.address)
 		if err != nil {
-			for _, o := range []net.Listener{out.callers, out.admin, out.peer} {
+			for _, o := range []net.Listener{out.clients, out.admin, out.peer} {
 				if o != nil {
 					o.Close()
 				}
@@ -286,14 +290,15 @@
 	return out, nil
 }
 
-// live is the life of the process. It returns when the process may exit.
-func (d *Daemon) live(ctx, background context.Context) error {
+// runLifecycle joins the fleet, serves until ctx ends and shuts down. It returns when the
+// process may exit.
+func (d *Daemon) runLifecycle(ctx, background context.Context) error {
 	if err := d.join(ctx); err != nil {
 		d.fire(charts.StopAsked)
 		return nil
 	}
 	d.fire(charts.Joined)
-	d.heart.SetPhase(background, peerpb.Phase_PHASE_SERVING)
+	d.heartbeater.SetPhase(background, peerpb.Phase_PHASE_SERVING)
 	go d.stayRegistered(ctx)
 	_ = d.manager.Run(ctx) // until ctx ends; releases its leases
 	d.fire(charts.StopAsked)
@@ -310,17 +315,17 @@
 	level.Info(d.logger).Log("msg", "process", "state", state, "incarnation", d.self.Incarnation)
 }
 
-// join waits until this process holds a configuration, has asked every peer
-// that it can reach whether there is a newer one, and is registered or knows
-// that the platform does not answer.
+// join waits until this process has a fresh configuration, has tried to exchange
+// heartbeats with every recipient, so that it learns of a newer one, and has tried to
+// register. It does not wait for the platform to be reachable.
 func (d *Daemon) join(ctx context.Context) error {
-	tick := time.NewTicker(joinPoll)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	registered := make(chan struct{})
 	go func() {
 		defer close(registered)
-		if err := d.keeper.Refresh(ctx, 0); err != nil {
-			level.Warn(d.logger).Log("msg", "platform store not read at start", "err", err)
+		if err := d.refresher.Refresh(ctx, 0); err != nil {
+			level.Warn(d.logger).Log("msg", "cannot read the platform store at start", "err", err)
 		}
 		if err := members.Register(ctx, d.store, members.KeyPrefix, d.self); err != nil {
 			level.Warn(d.logger).Log("msg", "not registered", "err", err)
@@ -330,7 +335,7 @@
 	tried := false
 	for {
 		s := d.loop.Snapshot()
-		if tried && d.mirror.Revision() != mirror.NoRevision && s.Config != nil && d.heart.Asked() && s.Fresh() {
+		if tried && d.mirror.Revision() != mirror.NoRevision && s.Config != nil && d.heartbeater.ProbedAll() && s.Fresh() {
 			return nil
 		}
 		select {
@@ -343,8 +348,8 @@
 	}
 }
 
-// stayRegistered registers again whenever the registration is not the one of
-// this run, for instance when the platform did not answer at start.
+// stayRegistered registers this process again whenever the registration is missing or is
+// not the one of this run, for instance after the platform was unreachable at start.
 func (d *Daemon) stayRegistered(ctx context.Context) {
 	retry := backoff.NewExponentialBackOff()
 	for {
@@ -365,12 +370,12 @@
 	}
 }
 
-// handOver waits, for a bounded time, until other processes hold the claims that
-// this one holds. They take them over because its heartbeats say that it leaves.
-func (d *Daemon) handOver(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, handOverTime)
+// handOverClaims waits, up to handOverTimeout, until other processes hold the claims that
+// this one holds. They take over the claims since its heartbeats announce the shutdown.
+func (d *Daemon) handOverClaims(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
-	tick := time.NewTicker(joinPoll)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	// Serving counts this process, which is no longer a candidate.
 	for d.claims.store.Holds() && d.loop.Snapshot().Serving > claims.Replicas {
@@ -392,20 +397,20 @@
 	return false
 }
 
-// stop ends the service: not ready first, then no new connections, then all
-// requests in hand are finished.
+// stop shuts down: the process first reports that it is not ready, then refuses new
+// connections, and then completes the in-flight requests.
 func (d *Daemon) stop(background context.Context) {
-	d.heart.SetPhase(background, peerpb.Phase_PHASE_LEAVING)
+	d.heartbeater.SetPhase(background, peerpb.Phase_PHASE_LEAVING)
 	time.Sleep(d.set.Limits.StopGrace.Std())
-	d.handOver(background)
+	d.handOverClaims(background)
 	d.fire(charts.GraceOver)
-	d.callers.SetKeepAlivesEnabled(false)
+	d.clientServer.SetKeepAlivesEnabled(false)
 	ctx, cancel := context.WithTimeout(background, d.set.Limits.StopTimeout.Std())
 	defer cancel()
-	if err := d.callers.Shutdown(ctx); err != nil {
-		level.Warn(d.logger).Log("msg", "requests were still in hand at the end of stopTimeout", "requests", d.entry.InFlight())
+	if err := d.clientServer.Shutdown(ctx); err != nil {
+		level.Warn(d.logger).Log("msg", "requests were still in flight at the end of stopTimeout", "requests", d.entry.InFlight())
 	}
-	uctx, ucancel := context.WithTimeout(background, unregisterTime)
+	uctx, ucancel := context.WithTimeout(background, unregisterTimeout)
 	defer ucancel()
 	if err := members.Unregister(uctx, d.store, members.KeyPrefix, d.self); err != nil {
 		level.Warn(d.logger).Log("msg", "registration not removed", "err", err)
--- a/internal/daemon/log.go
+++ b/internal/daemon/log.go
@@ -11,8 +11,8 @@
 	"github.com/rockdoor/rockdoor/internal/settings"
 )
 
-// NewLogger returns the logger that the settings ask for. It writes to standard
-// error and is safe for concurrent use.
+// NewLogger returns a logger with the format and level of the settings. It writes to
+// standard error and is safe for concurrent use.
 func NewLogger(s settings.Log) log.Logger {
 	w := log.NewSyncWriter(os.Stderr)
 	logger := log.NewLogfmtLogger(w)
@@ -23,6 +23,6 @@
 	return log.With(logger, "ts", log.DefaultTimestampUTC)
 }
 
-// discardLog silences the HTTP server's own log of bad input, which callers can
-// provoke at will and which the metrics count.
+// discardLog returns a logger that discards everything. It replaces the HTTP server's
+// log of malformed input, which any client could flood. Metrics count such input.
 func discardLog() *stdlog.Logger { return stdlog.New(io.Discard, "", 0) }
--- a/internal/daemon/warden.go
+++ b/internal/daemon/warden.go
@@ -17,25 +17,24 @@
 )
 
 const (
-	wardInterval = time.Second
-	// reapAfter is how long a member may be silent before its registration is
-	// removed. If it lives after all, it registers again.
-	reapAfter = time.Minute
+	maintenanceInterval = time.Second
+	// removeMemberAfter is how long a member may be unresponsive before its registration
+	// is removed. A member that is alive after all registers again.
+	removeMemberAfter = time.Minute
 )
 
-// ward keeps what one process keeps for the whole fleet: it copies the
-// platform's list of leaving hosts to an object that everybody mirrors, and
-// removes the registrations of members that are long silent. It works only at
-// the process that is the registrar of the claims.
-func (d *Daemon) ward(ctx context.Context) error {
-	tick := time.NewTicker(wardInterval)
+// runMaintenance does the periodic tasks that one process, the registrar of the claims,
+// does for the whole fleet: it copies the platform's list of leaving hosts to an object
+// that every process mirrors, and removes the registrations of dead members.
+func (d *Daemon) runMaintenance(ctx context.Context) error {
+	tick := time.NewTicker(maintenanceInterval)
 	defer tick.Stop()
 	for {
-		if d.claims.registrar() {
-			if err := d.copyLeaving(ctx); err != nil {
-				level.Debug(d.logger).Log("msg", "leaving hosts not copied", "err", err)
+		if d.claims.isRegistrar() {
+			if err := d.publishLeavingHosts(ctx); err != nil {
+				level.Debug(d.logger).Log("msg", "cannot publish leaving hosts", "err", err)
 			}
-			d.reap(ctx)
+			d.removeDeadMembers(ctx)
 		}
 		select {
 		case <-ctx.Done():
@@ -45,8 +44,9 @@
 	}
 }
 
-// copyLeaving writes the addresses of leaving hosts where they are mirrored.
-func (d *Daemon) copyLeaving(ctx context.Context) error {
+// publishLeavingHosts writes the addresses of leaving hosts to control.LeavingKey, if they
+// have changed.
+func (d *Daemon) publishLeavingHosts(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, objstore.DefaultCallTimeout)
 	defer cancel()
 	hosts, err := d.client.Hosts(ctx)
@@ -64,7 +64,7 @@
 	if len(leaving) == 0 && !known {
 		return nil
 	}
-	// One that cannot be read is written again.
+	// A list that cannot be decoded is overwritten.
 	if before, err := control.ParseLeaving(obj); err == nil && slices.Equal(before, leaving) {
 		return nil
 	}
@@ -75,20 +75,21 @@
 	if _, err := objstore.PutSettled(ctx, d.store, control.LeavingKey, value, obj.Version, ulid.Make().String()); err != nil {
 		return err
 	}
-	level.Info(d.logger).Log("msg", "leaving hosts", "addresses", string(value))
+	level.Info(d.logger).Log("msg", "leaving hosts published", "addresses", string(value))
 	d.refresh(ctx)
 	return nil
 }
 
-// reap removes the registrations of members that are long silent.
-func (d *Daemon) reap(ctx context.Context) {
+// removeDeadMembers removes the registrations of members that have been unresponsive for
+// removeMemberAfter.
+func (d *Daemon) removeDeadMembers(ctx context.Context) {
 	for _, m := range d.loop.Snapshot().Members {
-		if m.Health != members.Suspected || bootclock.Since(m.Heard) < reapAfter {
+		if m.Health != members.Suspected || bootclock.Since(m.LastContact) < removeMemberAfter {
 			continue
 		}
-		cctx, cancel := context.WithTimeout(ctx, unregisterTime)
+		cctx, cancel := context.WithTimeout(ctx, unregisterTimeout)
 		err := members.Unregister(cctx, d.store, members.KeyPrefix, m.Member)
 		cancel()
-		level.Info(d.logger).Log("msg", "silent member removed", "member", m.Name, "incarnation", m.Incarnation, "err", err)
+		level.Info(d.logger).Log("msg", "unresponsive member removed", "member", m.Name, "incarnation", m.Incarnation, "err", err)
 	}
 }
