--- a/engine/engine.go
+++ b/engine/engine.go
@@ -1,7 +1,7 @@
-// Package engine defines the narrow interface to model engines: the status that
-// an engine reports and the orders that it takes. Package openai is the
-// protocol of the requests. An adapter for engines with another control
-// protocol implements Controller in one file.
+// Package engine defines the interface to model engines: the status that an engine
+// reports and the orders that it accepts. Package openai holds the protocol of the
+// requests. Engines with another control protocol need an adapter that implements
+// Controller.
 package engine
 
 import (
@@ -22,34 +22,35 @@
 	RoleDecode Role = "decode"
 )
 
-// OrderKind names what an order asks for.
+// OrderKind is the kind of an order.
 type OrderKind string
 
 // Kinds of orders.
 const (
-	// OrderFence only raises the engine's fencing token.
+	// OrderFence raises the engine's fencing token and does nothing else.
 	OrderFence OrderKind = "fence"
-	// OrderRole changes the role; the engine is unavailable meanwhile.
+	// OrderRole changes the role. The engine is unavailable during the change.
 	OrderRole OrderKind = "role"
 	// OrderLoad loads a model, adapter or version.
 	OrderLoad OrderKind = "load"
-	// OrderReset brings a half-changed engine back to the role it had.
+	// OrderReset restores the previous role of an engine whose role change is
+	// incomplete.
 	OrderReset OrderKind = "reset"
 )
 
-// Order is one order to an engine.
+// Order is an order to an engine.
 type Order struct {
-	// ID makes the order idempotent: an engine runs each id at most once.
+	// ID makes the order idempotent: an engine carries out each ID at most once.
 	ID string `json:"id"`
-	// Token is the fencing token of the lease under which the order is given.
+	// Token is the fencing token of the lease under which the order is sent.
 	Token int64     `json:"token"`
 	Kind  OrderKind `json:"kind"`
 	Role  Role      `json:"role,omitempty"`
 	Model string    `json:"model,omitempty"`
 }
 
-// Status is what an engine reports about itself. Role, Changing, Token and
-// Models are current; the load figures are as of AsOf, which lags.
+// Status is the status that an engine reports. Role, Changing, Token and Models are
+// current. The load figures are those of the earlier instant AsOf.
 type Status struct {
 	Role     Role     `json:"role"`
 	Changing bool     `json:"changing"`
@@ -63,12 +64,12 @@
 	DecodeTokens  int       `json:"decodeTokens"`
 }
 
-// Controller gives orders to the engine at an address.
+// Controller reads the status of the engine at an address and sends it orders.
 type Controller interface {
-	// Status returns the engine's own report.
+	// Status returns the status that the engine reports.
 	Status(ctx context.Context, address string) (Status, error)
-	// Give sends an order. The error is of package fault: Denied if the token
-	// is old, Conflict if the engine is busy with another order, Unavailable if
-	// no byte was sent, Unknown if the answer was lost.
+	// Give sends an order. The error is of package fault. Its kind is Denied if the
+	// token is outdated, Conflict if the engine is busy with another order,
+	// Unavailable if no byte was sent, and Unknown if the response was lost.
 	Give(ctx context.Context, address string, o Order) error
 }
--- a/engine/httpcontrol/httpcontrol.go
+++ b/engine/httpcontrol/httpcontrol.go
@@ -1,5 +1,5 @@
-// Package httpcontrol is the adapter to engines whose control API is HTTP with
-// JSON: GET /control/status and POST /control/order.
+// Package httpcontrol implements engine.Controller for engines whose control API is
+// JSON over HTTP: GET /control/status and POST /control/order.
 package httpcontrol
 
 import (
@@ -17,18 +17,18 @@
 )
 
 const (
-	maxAnswerBytes = 1 << 20
-	idleTimeout    = 30 * time.Second
+	maxResponseBytes = 1 << 20
+	idleTimeout      = 30 * time.Second
 )
 
-// Client gives orders over HTTP.
+// Client reads the status of engines and sends them orders over HTTP.
 type Client struct {
 	http *http.Client
 }
 
 var _ engine.Controller = (*Client)(nil)
 
-// New returns a client. A nil transport stands for one of its own.
+// New returns a client. If transport is nil, the client creates its own.
 func New(transport http.RoundTripper) *Client {
 	if transport == nil {
 		transport = &http.Transport{IdleConnTimeout: idleTimeout, MaxIdleConnsPerHost: 1}
@@ -41,24 +41,24 @@
 	var st engine.Status
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/control/status", nil)
 	if err != nil {
-		return st, fault.Wrap(err, fault.Invalid, "engine address is wrong", "correct it in the configuration")
+		return st, fault.Wrap(err, fault.Invalid, "engine address is invalid", "correct it in the configuration")
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return st, fault.Wrap(err, fault.Unavailable, "engine "+address+" gave no status", "check the engine")
+		return st, fault.Wrap(err, fault.Unavailable, "engine "+address+" did not return a status", "check the engine")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return st, fault.Newf(fault.Unavailable, "check the engine", "engine %s gave status code %d", address, resp.StatusCode)
+		return st, fault.Newf(fault.Unavailable, "check the engine", "engine %s returned HTTP status %d for its status", address, resp.StatusCode)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(&st); err != nil {
-		return st, fault.Wrap(err, fault.Unavailable, "engine "+address+" gave a status that cannot be read", "check the engine's version")
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&st); err != nil {
+		return st, fault.Wrap(err, fault.Unavailable, "engine "+address+" returned a status that cannot be decoded", "check the engine's version")
 	}
 	return st, nil
 }
 
-// Give implements engine.Controller. The order has no GetBody, so the transport
-// never repeats it by itself.
+// Give implements engine.Controller. The request has no GetBody, so that the transport
+// never resends it by itself.
 func (c *Client) Give(ctx context.Context, address string, o engine.Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
@@ -70,7 +70,7 @@
 	})
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/control/order", nil)
 	if err != nil {
-		return fault.Wrap(err, fault.Invalid, "engine address is wrong", "correct it in the configuration")
+		return fault.Wrap(err, fault.Invalid, "engine address is invalid", "correct it in the configuration")
 	}
 	req.Body = io.NopCloser(bytes.NewReader(body))
 	req.ContentLength = int64(len(body))
@@ -79,21 +79,21 @@
 		return fault.Wrap(err, fault.Unavailable, "engine "+address+" cannot be reached", "check the engine")
 	}
 	if err != nil {
-		return fault.Wrap(err, fault.Unknown, "answer of engine "+address+" was lost", "read the engine's status")
+		return fault.Wrap(err, fault.Unknown, "response of engine "+address+" was lost", "read the engine's status")
 	}
 	defer resp.Body.Close()
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
-	return answerError(address, resp.StatusCode, string(bytes.TrimSpace(text)))
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	return responseError(address, resp.StatusCode, string(bytes.TrimSpace(text)))
 }
 
-func answerError(address string, code int, text string) error {
+func responseError(address string, code int, text string) error {
 	switch code {
 	case http.StatusOK:
 		return nil
 	case http.StatusPreconditionFailed:
-		return fault.Newf(fault.Denied, "another controller has taken over", "engine %s refused the fencing token: %s", address, text)
+		return fault.Newf(fault.Denied, "another controller has taken over", "engine %s rejected the fencing token: %s", address, text)
 	case http.StatusConflict:
-		return fault.Newf(fault.Conflict, "wait for the order before", "engine %s is busy: %s", address, text)
+		return fault.Newf(fault.Conflict, "wait for the previous order", "engine %s is busy: %s", address, text)
 	default:
 		return fault.Newf(fault.Unknown, "read the engine's status", "engine %s answered %d: %s", address, code, text)
 	}
--- a/engine/openai/openai.go
+++ b/engine/openai/openai.go
@@ -1,5 +1,5 @@
-// Package openai holds the messages of the chat and text completion protocol
-// that callers and engines speak, as far as rockdoor reads or writes them.
+// Package openai holds the messages of the chat and text completion protocol of
+// clients and engines, as far as rockdoor reads or writes them.
 package openai
 
 import (
@@ -11,47 +11,49 @@
 
 // Headers between rockdoor and an engine.
 const (
-	// AttemptHeader carries the id of one attempt. An engine repeats it in its
-	// answer, so that a crossed answer is recognised.
+	// AttemptHeader carries the ID of one attempt. An engine repeats it in its
+	// response, so that a response to another attempt is detected.
 	AttemptHeader = "X-Request-Id"
 	// PriorityHeader carries the priority; higher is more urgent.
 	PriorityHeader = "X-Priority"
-	// ResumeHeader asks the engine to continue after that many pieces.
+	// ResumeHeader asks the engine to continue a stream after the given number of
+	// events.
 	ResumeHeader = "X-Resume-From"
-	// PhaseHeader with the value PhasePrefill asks an engine to read the prompt
-	// only and to export its KV cache.
+	// PhaseHeader with the value PhasePrefill asks an engine only to prefill the
+	// prompt and to export its KV cache.
 	PhaseHeader = "X-Phase"
-	// KVHeader names an exported KV cache to import instead of reading the
+	// KVHeader names an exported KV cache to import instead of prefilling the
 	// prompt, and KVTokensHeader its size in tokens.
 	KVHeader       = "X-Kv"
 	KVTokensHeader = "X-Kv-Tokens"
-	// NotRunHeader marks a refusal of an engine that has not begun the request.
+	// NotRunHeader marks the response of an engine that rejected the request before
+	// running it.
 	NotRunHeader = "X-Not-Run"
-	// RateLimitHeader has the requests a second that a target takes from all entry hosts together,
-	// in its answers for as long as it limits them.
+	// RateLimitHeader carries the rate limit of a target, in requests a second from all entry hosts
+	// together. A target sends it in every response for as long as the limit holds.
 	RateLimitHeader = "X-Rate-Limit"
 )
 
 // PhasePrefill is the value of PhaseHeader.
 const PhasePrefill = "prefill"
 
-// MaxDecodePrompt is the longest prompt, in tokens, that an engine in the decode
-// role reads itself. Longer ones come as a KV cache.
+// MaxDecodePrompt is the max length of a prompt, in tokens, that an engine in the
+// decode role prefills itself. The KV cache of a longer prompt is imported.
 const MaxDecodePrompt = 512
 
-// KVExport is the answer to a request in the prefill phase.
+// KVExport is the response to a request in the prefill phase.
 type KVExport struct {
 	// KV names the exported cache.
 	KV string `json:"kv"`
-	// PromptTokens is its size.
+	// PromptTokens is the size of the exported cache in tokens.
 	PromptTokens int `json:"prompt_tokens"`
 }
 
 // Done is the data of the event that ends a stream.
 const Done = "[DONE]"
 
-// Request is a completion request. Unknown fields are passed on untouched,
-// since the body itself is forwarded.
+// Request is a completion request. Unknown fields reach the engine unchanged, since
+// the original body is forwarded.
 type Request struct {
 	Model     string          `json:"model"`
 	Stream    bool            `json:"stream"`
@@ -66,7 +68,7 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// Parse decodes and checks a request body.
+// Parse decodes and validates a request body.
 func Parse(body []byte, chat bool) (*Request, error) {
 	var r Request
 	if err := json.Unmarshal(body, &r); err != nil {
@@ -85,17 +87,17 @@
 	return &r, nil
 }
 
-// PromptText returns the text of the prompt or of all messages.
+// PromptText returns the text of the prompt and of all messages.
 func (r *Request) PromptText() string {
 	var b strings.Builder
-	b.WriteString(plain(r.Prompt))
+	b.WriteString(jsonText(r.Prompt))
 	for _, m := range r.Messages {
-		b.WriteString(plain(m.Content))
+		b.WriteString(jsonText(m.Content))
 	}
 	return b.String()
 }
 
-// PromptBytes returns the size of the prompt without copying it.
+// PromptBytes returns the size of the JSON of the prompt and of all message contents.
 func (r *Request) PromptBytes() int {
 	n := len(r.Prompt)
 	for _, m := range r.Messages {
@@ -104,8 +106,8 @@
 	return n
 }
 
-// plain returns the text of a JSON string, or the JSON itself for other types.
-func plain(raw json.RawMessage) string {
+// jsonText returns the value of a JSON string, or the JSON text of any other type.
+func jsonText(raw json.RawMessage) string {
 	var s string
 	if json.Unmarshal(raw, &s) == nil {
 		return s
@@ -123,21 +125,21 @@
 
 // Choice is one alternative in a chunk or response.
 type Choice struct {
-	Index        int     `json:"index"`
-	Text         string  `json:"text,omitempty"`
-	Delta        *Delta  `json:"delta,omitempty"`
-	Message      *Answer `json:"message,omitempty"`
-	FinishReason *string `json:"finish_reason"`
+	Index        int              `json:"index"`
+	Text         string           `json:"text,omitempty"`
+	Delta        *Delta           `json:"delta,omitempty"`
+	Message      *ResponseMessage `json:"message,omitempty"`
+	FinishReason *string          `json:"finish_reason"`
 }
 
-// Delta is the new part of a chat answer.
+// Delta is the increment of a chat message.
 type Delta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content,omitempty"`
 }
 
-// Answer is a whole chat answer.
-type Answer struct {
+// ResponseMessage is a complete chat message.
+type ResponseMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
@@ -149,7 +151,7 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Response is a whole answer.
+// Response is a complete response.
 type Response struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -165,13 +167,13 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// ModelList is the answer to GET /v1/models.
+// ModelList is the response to GET /v1/models.
 type ModelList struct {
 	Object string  `json:"object"`
 	Data   []Model `json:"data"`
 }
 
-// ErrorBody is the body of an error answer.
+// ErrorBody is the body of an error response.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
@@ -184,16 +186,16 @@
 	Code    string  `json:"code"`
 }
 
-func kind(chat bool, whole, part string) string {
+func objectType(chat bool, textType, chatType string) string {
 	if chat {
-		return part
+		return chatType
 	}
-	return whole
+	return textType
 }
 
-// NewChunk returns the event for one piece of text.
+// NewChunk returns the stream event that carries text.
 func NewChunk(id, model, text string, chat bool) Chunk {
-	c := Chunk{ID: id, Object: kind(chat, "text_completion", "chat.completion.chunk"), Model: model}
+	c := Chunk{ID: id, Object: objectType(chat, "text_completion", "chat.completion.chunk"), Model: model}
 	if chat {
 		c.Choices = []Choice{{Delta: &Delta{Content: text}}}
 	} else {
@@ -202,7 +204,7 @@
 	return c
 }
 
-// NewFinalChunk returns the last event before Done.
+// NewFinalChunk returns the last event before Done, which carries the finish reason.
 func NewFinalChunk(id, model string, chat bool) Chunk {
 	c := NewChunk(id, model, "", chat)
 	stop := "stop"
@@ -210,14 +212,14 @@
 	return c
 }
 
-// NewResponse returns a whole answer.
+// NewResponse returns a complete response.
 func NewResponse(id, model, text string, prompt, completion int, chat bool) Response {
 	stop := "stop"
-	r := Response{ID: id, Object: kind(chat, "text_completion", "chat.completion"), Model: model}
+	r := Response{ID: id, Object: objectType(chat, "text_completion", "chat.completion"), Model: model}
 	r.Usage = Usage{PromptTokens: prompt, CompletionTokens: completion, TotalTokens: prompt + completion}
 	c := Choice{FinishReason: &stop}
 	if chat {
-		c.Message = &Answer{Role: "assistant", Content: text}
+		c.Message = &ResponseMessage{Role: "assistant", Content: text}
 	} else {
 		c.Text = text
 	}
--- a/engine/ratelimit.go
+++ b/engine/ratelimit.go
@@ -6,21 +6,23 @@
 	"strings"
 )
 
-// maxRate bounds the rates that are kept, in requests a second: no instance takes more.
+// maxRate is the max rate, in requests a second. Higher rates are reduced to it, since no instance
+// serves more.
 const maxRate = 1e6
 
-// RateLimit is what an answer says of the rate of requests that its instance takes from all
-// processes together. An answer that names none says that there is none any more.
+// RateLimit is the rate limit that an instance announces in a response. It applies to the sum of
+// the requests of all processes. A response without a limit revokes an earlier one.
 type RateLimit struct {
 	Limited bool
 	// PerSecond is the rate in requests a second, if Limited. It may be 0.
 	PerSecond float64
-	// Unreadable is the text of a rate that cannot be used, which says nothing either way; empty
-	// if there is none.
+	// Unreadable is the text of a malformed rate, empty if there is none. A malformed rate neither
+	// sets nor revokes a limit.
 	Unreadable string
 }
 
-// ReadRateLimit reads the header in which an instance names the rate, empty if it names none.
+// ReadRateLimit parses the value of the rate limit header, which is empty if the response has no
+// such header.
 func ReadRateLimit(text string) RateLimit {
 	if text == "" {
 		return RateLimit{}
--- a/engine/serving.go
+++ b/engine/serving.go
@@ -6,34 +6,35 @@
 	"time"
 )
 
-// Part is a part of a prompt that other requests may share.
+// Part is a section of a prompt that other requests may share.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Call is what a caller's headers say of a request.
+// Call holds the decoded headers of a client request.
 type Call struct {
-	// ID names this try of the caller; each try has its own.
+	// ID identifies one attempt of the client. A retry by the client has another ID.
 	ID string
-	// Wait is how long the caller waits, 0 if it does not say.
+	// Wait is the client timeout, 0 if the client gives none.
 	Wait time.Duration
 	// Model is empty for requests to plain services.
 	Model string
-	// PromptTokens and OutputTokens are the size of the prompt and the most that
-	// is generated.
+	// PromptTokens is the size of the prompt and OutputTokens the max size of the
+	// output.
 	PromptTokens int
 	OutputTokens int
-	// Parts are the parts of the prompt in order. The last belongs to the request.
+	// Parts are the parts of the prompt in order. The last part is specific to the
+	// request.
 	Parts []Part
-	// LastEvent is set if the caller resumes a stream.
+	// LastEvent is the ID of the last received event if the client resumes a stream.
 	LastEvent string
-	// Key proves which workspace the caller belongs to; empty if it gives none. It is
-	// neither logged nor passed on.
+	// Key is the API key by which the client authenticates for a workspace, empty if it
+	// gives none. It is neither logged nor forwarded.
 	Key string
 }
 
-// SharedTokens returns the tokens of the parts that other requests may share.
+// SharedTokens returns the number of tokens in the parts that other requests may share.
 func (c *Call) SharedTokens() int {
 	n := 0
 	for _, p := range c.Parts[:max(len(c.Parts)-1, 0)] {
@@ -42,7 +43,8 @@
 	return n
 }
 
-// Subject returns the ID of the last shared part, empty if there is none.
+// Subject returns the prompt prefix of the request: the ID of the last shared part,
+// empty if there is none.
 func (c *Call) Subject() string {
 	if len(c.Parts) < 2 {
 		return ""
@@ -50,97 +52,105 @@
 	return c.Parts[len(c.Parts)-2].ID
 }
 
-// KVSource says where a prompt has been read.
+// KVSource is the location of the KV cache of a prompt that has been prefilled.
 type KVSource struct {
-	// Address is that of the engine that read it.
+	// Address is the address of the prefill engine.
 	Address string
 	Handle  string
 }
 
-// Send says how a request is sent to an instance.
+// Send holds the parameters with which a request is sent to an instance.
 type Send struct {
 	Instance string
-	// Left is how long the caller still waits.
+	// Left is the remaining client timeout.
 	Left time.Duration
-	// Rank orders requests at an engine; 0 goes first. It is not sent if negative.
+	// Rank is the rank of the request in the engine's queue; rank 0 runs first. It is
+	// not sent if negative.
 	Rank int
-	// ReadOnly asks the engine to read the prompt and to keep it for another.
+	// ReadOnly asks the engine only to prefill the prompt and to hold its KV cache for
+	// another engine.
 	ReadOnly bool
-	// Source is where the prompt was read, if it was.
+	// Source is the location of the prompt's KV cache, nil if the prompt has not been
+	// prefilled.
 	Source *KVSource
-	// FetchFrom is the address of an engine that may keep parts of the prompt.
+	// FetchFrom is the address of an engine that may have parts of the prompt cached.
 	FetchFrom string
-	// ResumeAfter is the id of the last event that was delivered.
+	// ResumeAfter is the ID of the last event that was delivered to the client.
 	ResumeAfter string
-	// Backup is the address of an engine that gets a copy of the run's memory as it grows,
-	// empty for none.
+	// Backup is the address of an engine to which the KV cache of the run is replicated
+	// as it grows, empty for none.
 	Backup string
-	// Workspace is the one that the caller's key belongs to, empty for none.
+	// Workspace is the workspace of the client's key, empty for none.
 	Workspace string
 }
 
-// Verdict is what the head of an answer says.
+// Verdict is what the status and the headers of a response say.
 type Verdict struct {
-	// NotRun is true if the instance says that it did not and will not run the
-	// request.
+	// NotRun is true if the instance states that it has not run the request and will
+	// not run it.
 	NotRun bool
-	// Replaced is true if another instance has the address.
+	// Replaced is true if another instance now listens at the address.
 	Replaced bool
-	// Genuine is true if the answer bears the seal of an instance.
+	// Genuine is true if the response carries the header by which it is known to come
+	// from an instance.
 	Genuine bool
-	// Leaving is true if the instance says that it leaves, whatever its registration says.
+	// Leaving is true if the instance states that it is shutting down, whatever its
+	// registration says.
 	Leaving bool
-	// Rest is for how long an instance that turned the request away wants nothing more from
-	// this process, 0 if it does not say.
+	// Rest is the backoff that an instance asked of this process when it rejected the
+	// request, 0 if it asked for none.
 	Rest time.Duration
-	// RateLimit is what the answer says of the rate of requests that the instance takes.
+	// RateLimit is the rate limit that the instance announces in the response.
 	RateLimit RateLimit
 }
 
-// Protocol translates between the product and what callers and instances speak.
+// Protocol translates between rockdoor and the headers that clients and instances use.
 type Protocol interface {
-	// Read decodes the headers of a caller's request. The error is of kind Invalid.
+	// Read decodes the headers of a client request. The error is of kind Invalid.
 	Read(h http.Header) (Call, error)
 	// Forward returns the headers to send to an instance.
 	Forward(h http.Header, s Send) http.Header
-	// Matches reports whether the head of an answer belongs to a request.
+	// Matches reports whether the headers of a response belong to the request with the
+	// given ID.
 	Matches(id string, h http.Header) bool
-	// Judge decodes the head of an answer.
+	// Judge decodes the status and the headers of a response.
 	Judge(status int, h http.Header) Verdict
-	// ReadResult decodes the answer to a request with ReadOnly.
+	// ReadResult decodes the response to a request with ReadOnly.
 	ReadResult(body []byte) (handle string, err error)
-	// FreeHandle returns the request that frees a prompt that is not wanted.
+	// FreeHandle returns the request that frees the KV cache of a prefilled prompt that
+	// is no longer needed.
 	FreeHandle(handle string) (method, uri string)
 }
 
-// Report is what an engine says of itself. It lags.
+// Report is the state that an engine reports. It is out of date by some delay.
 type Report struct {
 	Role Role
-	// Changing is true while an order is under way.
+	// Changing is true while an order is in progress.
 	Changing bool
-	// Orders is how many orders the engine has taken since it started.
+	// Orders is the number of orders that the engine has accepted since it started.
 	Orders int64
 }
 
 // RoleOrder asks an engine to change its role.
 type RoleOrder struct {
-	// Instance is the run of the engine that the order is for; any other refuses.
+	// Instance is the run of the engine to which the order is addressed. Any other run
+	// rejects the order.
 	Instance string
 	Role     Role
 	Holder   string
 	// Token is the fencing token of the holder's lease.
 	Token int64
-	// Orders is how many orders the engine must have taken when this one is
-	// carried out.
+	// Orders is the number of orders that the engine must have accepted before it
+	// carries out this one.
 	Orders int64
-	// Check is called as the last step before the order is written. The order is
-	// not sent if it fails.
+	// Check is called immediately before the order is written to the connection. If it
+	// fails, the order is not sent.
 	Check func() error
 }
 
-// Keeper reads engines' reports and gives them orders. Errors of RoleOrder are of
-// kind Conflict if the engine refused it, Unavailable if it was not sent, and
-// Unknown if it may be carried out, also much later.
+// Keeper reads the reports of engines and sends them orders. Errors of Order are of kind
+// Conflict if the engine rejected the order, Unavailable if the order was not sent, and
+// Unknown if the engine may carry it out, possibly much later.
 type Keeper interface {
 	Report(ctx context.Context, address string) (Report, error)
 	Order(ctx context.Context, address string, o RoleOrder) error
