--- a/internal/e2e/chaos_test.go
+++ b/internal/e2e/chaos_test.go
@@ -16,16 +16,16 @@
 	"github.com/rockdoor/rockdoor/internal/standin/platformd"
 )
 
-// seedVariable adds one more seed to the fixed ones.
+// seedVariable is the environment variable that adds a seed to the fixed ones.
 const seedVariable = "ROCKDOOR_E2E_SEED"
 
-// someFault is a fault that is over when its function returns.
-type someFault struct {
-	name string
-	do   func(f *fleet, i int)
+// faultCase is a fault. inject injects it and returns once the fault has ended.
+type faultCase struct {
+	name   string
+	inject func(f *fleet, i int)
 }
 
-var someFaults = []someFault{
+var faultCases = []faultCase{
 	{"kill", func(f *fleet, i int) {
 		f.procs[i].kill()
 		time.Sleep(time.Second)
@@ -51,18 +51,18 @@
 		time.Sleep(2 * time.Second)
 		f.platform.SetFaults(platformd.Faults{})
 	}},
-	{"platform cut off from one", func(f *fleet, i int) {
-		f.stores[i].set(true)
+	{"platform partitioned from one", func(f *fleet, i int) {
+		f.platformProxies[i].setPartitioned(true)
 		time.Sleep(3 * time.Second)
-		f.stores[i].set(false)
+		f.platformProxies[i].setPartitioned(false)
 	}},
-	{"platform cut off from half", func(f *fleet, _ int) {
-		for _, c := range f.stores[:len(f.stores)/2+1] {
-			c.set(true)
+	{"platform partitioned from half", func(f *fleet, _ int) {
+		for _, c := range f.platformProxies[:len(f.platformProxies)/2+1] {
+			c.setPartitioned(true)
 		}
 		time.Sleep(3 * time.Second)
-		for _, c := range f.stores {
-			c.set(false)
+		for _, c := range f.platformProxies {
+			c.setPartitioned(false)
 		}
 	}},
 	{"engine crash", func(f *fleet, i int) {
@@ -73,9 +73,9 @@
 	}},
 }
 
-// Two faults at once, chosen by a printed seed, under keyed load, while
-// configurations are applied and a role is changed. Afterwards the fleet must be
-// whole again and every promise kept.
+// Two concurrent faults, chosen by a seed, under a load of requests with idempotency
+// keys, while configurations are applied and a role changes. Afterwards the fleet must
+// have recovered, no request may have run twice, and no order may have been repeated.
 func TestTwoFaultsAtOnce(t *testing.T) {
 	seeds := []uint64{1, 2, 3, 4}
 	if extra, err := strconv.ParseUint(os.Getenv(seedVariable), 10, 64); err == nil {
@@ -84,34 +84,34 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			twoFaults(t, seed)
+			testTwoFaults(t, seed)
 		})
 	}
 }
 
-func twoFaults(t *testing.T, seed uint64) {
+func testTwoFaults(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 0))
-	one, two := rng.IntN(len(someFaults)), rng.IntN(len(someFaults)-1)
+	one, two := rng.IntN(len(faultCases)), rng.IntN(len(faultCases)-1)
 	if two >= one {
 		two++
 	}
 	i := rng.IntN(5)
 	j := (i + 1 + rng.IntN(4)) % 5
-	t.Logf("seed %d: %s at %d, %s at %d", seed, someFaults[one].name, i, someFaults[two].name, j)
+	t.Logf("seed %d: %s at %d, %s at %d", seed, faultCases[one].name, i, faultCases[two].name, j)
 
-	f := startFleet(t, options{entries: 5, engines: 3, timing: quick})
-	f.await("keyed requests", func() bool { return f.chat(0, "review", 5, "Idempotency-Key", "first").whole })
+	f := startFleet(t, options{entries: 5, engines: 3, timing: fastTiming})
+	f.await("keyed requests", func() bool { return f.chat(0, "review", 5, "Idempotency-Key", "first").complete })
 	holder := f.awaitController(-1)
-	h := &history{answers: map[string][]callResult{}}
+	h := &responseLog{byRequest: map[string][]callResult{}}
 	stop := make(chan struct{})
-	senders := f.senders(4, h, stop)
+	senders := f.startSenders(4, h, stop)
 	accepted, _ := f.put(holder, f.configuration(map[string]string{"e0": "decode"}))
 	require.Positive(t, accepted.Revision)
 
 	var wg sync.WaitGroup
 	for _, do := range []func(){
-		func() { someFaults[one].do(f, i) },
-		func() { someFaults[two].do(f, j) },
+		func() { faultCases[one].inject(f, i) },
+		func() { faultCases[two].inject(f, j) },
 	} {
 		wg.Add(1)
 		go func() {
@@ -124,19 +124,19 @@
 		f.awaitReady(p)
 	}
 	var last int64
-	// A process whose platform was cut off may refuse changes for a moment more.
+	// A process that was partitioned from the platform may still reject changes briefly.
 	f.await("a change to be accepted", func() bool {
 		a, code := f.put(0, f.configuration(map[string]string{"e0": "decode", "e1": "mixed"}))
 		last = a.Revision
 		return code == 200
 	})
 	f.awaitRevision(last, 0, 1, 2, 3, 4)
-	f.await("the ordered role", func() bool { return f.roles(0) == "decode mixed" })
+	f.await("the configured roles", func() bool { return f.roles(0) == "decode mixed" })
 	close(stop)
 	senders.Wait()
 	h.check(t, f)
 	checkOrders(t, f)
 	f.await("keyed requests again", func() bool {
-		return f.chat(1, "review", 5, "Idempotency-Key", fmt.Sprint("last", time.Now().UnixNano())).whole
+		return f.chat(1, "review", 5, "Idempotency-Key", fmt.Sprint("last", time.Now().UnixNano())).complete
 	})
 }
--- a/internal/e2e/control_test.go
+++ b/internal/e2e/control_test.go
@@ -14,7 +14,7 @@
 	"github.com/rockdoor/rockdoor/internal/standin/platformd"
 )
 
-var changing = engined.Timing{RoleChange: 300 * time.Millisecond}
+var roleChangeTiming = engined.Timing{RoleChange: 300 * time.Millisecond}
 
 func TestConfigurationReachesEveryProcessAndSurvivesAnOutage(t *testing.T) {
 	f := startFleet(t, options{entries: 4, engines: 2})
@@ -24,16 +24,16 @@
 	f.procs[1].kill()
 	f.start(1)
 	f.awaitReady(1)
-	require.Equal(t, rev, f.status(1).Revision, "a restarted process takes the newest from its peers")
+	require.Equal(t, rev, f.status(1).Revision, "a restarted process must load the newest configuration from its peers")
 	time.Sleep(3 * time.Second) // past the staleness limit
 	for i := range 4 {
-		require.Equal(t, 200, f.call(i, "GET", "/flags/x", "").status, "a store that is down for everybody stops nothing")
+		require.Equal(t, 200, f.call(i, "GET", "/flags/x", "").status, "if the store is down for all processes, they must keep serving")
 	}
 }
 
 func TestProcessThatIsCutOffRefusesAndComesBack(t *testing.T) {
 	f := startFleet(t, options{entries: 3, engines: 2})
-	// The paused processes are silent, so process 0 hears nobody; and no store.
+	// With its peers paused and the store down, process 0 has no contact at all.
 	f.platform.SetFaults(platformd.Faults{Down: true})
 	f.procs[1].signal(syscall.SIGSTOP)
 	f.procs[2].signal(syscall.SIGSTOP)
@@ -43,13 +43,13 @@
 	})
 	f.procs[1].signal(syscall.SIGCONT)
 	f.procs[2].signal(syscall.SIGCONT)
-	f.await("service again", func() bool { return f.call(0, "GET", "/flags/x", "").status == 200 })
+	f.await("recovery", func() bool { return f.call(0, "GET", "/flags/x", "").status == 200 })
 }
 
 func TestProcessesWithoutThePlatformFollowTheirPeers(t *testing.T) {
 	f := startFleet(t, options{entries: 3, engines: 2})
-	f.stores[1].set(true)
-	f.stores[2].set(true)
+	f.platformProxies[1].setPartitioned(true)
+	f.platformProxies[2].setPartitioned(true)
 	time.Sleep(2500 * time.Millisecond) // past the staleness limit
 	rev := f.apply(0, f.config)
 	f.awaitRevision(rev, 1, 2)
@@ -69,7 +69,7 @@
 	f.awaitRevision(rev, 0, 2)
 	time.Sleep(2500 * time.Millisecond) // past the staleness limit
 	f.procs[1].signal(syscall.SIGCONT)
-	// Whatever it serves from now on is under the new revision.
+	// From now on it may serve requests only under the new revision.
 	for range 20 {
 		r := f.call(1, "GET", "/flags/x", "")
 		if r.status == 200 {
@@ -115,7 +115,7 @@
 	wg.Wait()
 	require.NotEmpty(t, accepted)
 	for rev, n := range accepted {
-		require.Equal(t, 1, n, "revision %d was promised twice", rev)
+		require.Equal(t, 1, n, "revision %d was returned for two changes", rev)
 	}
 	f.awaitRevision(int64(len(accepted))+1, 0, 1, 2)
 	require.EqualValues(t, len(accepted)+1, f.status(0).Revision)
@@ -133,19 +133,19 @@
 	require.Len(t, f.roleOrders(0), 1)
 	require.Empty(t, f.roleOrders(1))
 	for _, r := range f.engines[0].Runs() {
-		require.False(t, r.Aborted, "run %s was cut", r.Attempt)
+		require.False(t, r.Aborted, "run %s was interrupted", r.Attempt)
 	}
 }
 
-// checkOrders is the oracle over an engine's own record: tokens never fall and
-// no order took effect twice.
+// checkOrders checks the records of the engines: fencing tokens must not decrease, and
+// no order may have taken effect twice.
 func checkOrders(t *testing.T, f *fleet) {
 	for i, e := range f.engines {
 		token := int64(0)
 		seen := map[string]bool{}
 		for _, o := range e.Orders() {
-			require.GreaterOrEqual(t, o.Token, token, "engine %d took an order of a holder that had lost authority", i)
-			require.False(t, seen[o.ID], "engine %d took order %s twice", i, o.ID)
+			require.GreaterOrEqual(t, o.Token, token, "engine %d accepted an order of a holder that had lost its lease", i)
+			require.False(t, seen[o.ID], "engine %d accepted order %s twice", i, o.ID)
 			token, seen[o.ID] = o.Token, true
 		}
 	}
@@ -156,10 +156,10 @@
 		for _, fault := range []string{"kill", "pause", "release"} {
 			t.Run(fmt.Sprintf("%s, fencing %t", fault, fencing), func(t *testing.T) {
 				t.Parallel()
-				f := startFleet(t, options{entries: 3, engines: 2, fencing: fencing, timing: changing})
+				f := startFleet(t, options{entries: 3, engines: 2, fencing: fencing, timing: roleChangeTiming})
 				holder := f.awaitController(-1)
 				f.apply((holder+1)%3, f.configuration(map[string]string{"e0": "decode", "e1": "prefill"}))
-				f.await("an order under way", func() bool {
+				f.await("an order in progress", func() bool {
 					for _, tg := range f.status((holder + 1) % 3).Targets {
 						if tg.Order != "" {
 							return true
@@ -197,14 +197,14 @@
 	return fmt.Sprintf("%s %s", append(out, "", "")[0], append(out, "", "")[1])
 }
 
-func TestEngineThatCrashesHalfChangedIsRestored(t *testing.T) {
-	f := startFleet(t, options{entries: 3, engines: 2, timing: changing})
+func TestEngineCrashDuringRoleChange(t *testing.T) {
+	f := startFleet(t, options{entries: 3, engines: 2, timing: roleChangeTiming})
 	f.engines[0].SetFaults(engined.Faults{CrashInOrder: true})
 	holder := f.awaitController(-1)
 	f.apply(holder, f.configuration(map[string]string{"e0": "decode"}))
-	f.await("crash in the order", func() bool { return len(f.roleOrders(0)) == 1 })
+	f.await("crash during the order", func() bool { return len(f.roleOrders(0)) == 1 })
 	f.procs[holder].kill()
 	f.engines[0].SetFaults(engined.Faults{})
-	f.await("order given again and done", func() bool { return f.roles((holder+1)%3) == "decode mixed" })
+	f.await("the repeated order to complete", func() bool { return f.roles((holder+1)%3) == "decode mixed" })
 	checkOrders(t, f)
 }
--- a/internal/e2e/deadly_test.go
+++ b/internal/e2e/deadly_test.go
@@ -9,37 +9,37 @@
 )
 
 // TestCallThatEndsItsServers sends a call again and again, to all processes in turn, that crashes
-// each server that begins to run it. It was sent on for as long as it came: what failed was
-// held against the servers only, and no process knew what another had seen.
+// each server that runs it. The processes must share what they observe and quarantine the request.
+// If failures counted only against the servers, it would be forwarded for as long as it arrives.
 func TestCallThatEndsItsServers(t *testing.T) {
 	const (
-		every       = 100 * time.Millisecond
-		knownWithin = 3 * time.Second
-		sendsAfter  = 3
-		laterTries  = 40
+		every         = 100 * time.Millisecond
+		spreadWithin  = 3 * time.Second
+		sendsAfter    = 3
+		laterAttempts = 40
 	)
-	f := startFleet(t, options{entries: 3, engines: 2, deadly: "deadly"})
-	tries := 0
+	f := startFleet(t, options{entries: 3, engines: 2, poisonBody: "deadly"})
+	attempts := 0
 	send := func() {
-		f.call(tries%3, http.MethodPost, "/alerts/x", f.o.deadly)
-		tries++
+		f.call(attempts%3, http.MethodPost, "/alerts/x", f.o.poisonBody)
+		attempts++
 		time.Sleep(every)
 	}
 	crashes := func() (n int) {
-		for _, h := range f.crashes {
+		for _, h := range f.crashHosts {
 			n += h.Crashes()
 		}
 		return n
 	}
-	f.await("three servers have ended", func() bool { send(); return crashes() >= 3 })
-	for end := time.Now().Add(knownWithin); time.Now().Before(end); {
+	f.await("three crashed servers", func() bool { send(); return crashes() >= 3 })
+	for end := time.Now().Add(spreadWithin); time.Now().Before(end); {
 		send()
 	}
-	before := f.deadly.Load()
-	for range laterTries {
+	before := f.poisonSends.Load()
+	for range laterAttempts {
 		send()
 	}
-	t.Logf("%d servers ended, %d sends, %d of them later", crashes(), f.deadly.Load(), f.deadly.Load()-before)
-	require.LessOrEqual(t, f.deadly.Load()-before, int64(sendsAfter))
-	f.await("another call is served", func() bool { return f.call(0, http.MethodPost, "/alerts/x", "other").status == http.StatusOK })
+	t.Logf("%d server crashes, %d sends, %d of them after the quarantine had spread", crashes(), f.poisonSends.Load(), f.poisonSends.Load()-before)
+	require.LessOrEqual(t, f.poisonSends.Load()-before, int64(sendsAfter))
+	f.await("another request to be served", func() bool { return f.call(0, http.MethodPost, "/alerts/x", "other").status == http.StatusOK })
 }
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -1,6 +1,6 @@
-// Package e2e tests whole fleets of real processes before stand-ins. The test
-// program itself becomes a rockdoor process when it is started with the variable
-// below, so the processes run under the race detector too.
+// Package e2e tests fleets of real rockdoor processes against stand-ins for the
+// platform, the engines and the services. The test binary runs as a rockdoor process
+// if childVariable is set, so that the race detector covers the processes too.
 package e2e
 
 import (
@@ -33,8 +33,8 @@
 
 const (
 	childVariable = "ROCKDOOR_E2E_CHILD"
-	patience      = 30 * time.Second
-	poll          = 20 * time.Millisecond
+	waitTimeout   = 30 * time.Second
+	pollInterval  = 20 * time.Millisecond
 	entryPort     = 8080
 )
 
@@ -45,34 +45,34 @@
 	os.Exit(m.Run())
 }
 
-// options of a fleet.
+// options are the parameters of a fleet.
 type options struct {
 	entries int
 	engines int
 	fencing bool
 	timing  engined.Timing
-	// deadly is the body of a call that crashes the servers of the service, empty for none.
-	deadly string
-	// wanted roles, by engine name.
+	// poisonBody is the body of the request that crashes the servers of the service, empty for none.
+	poisonBody string
+	// roles are the configured roles by engine name.
 	roles map[string]string
 }
 
-// fleet is a number of entry processes, with stand-ins inside the test.
+// fleet is a set of entry processes, with stand-ins that run in the test process.
 type fleet struct {
 	t        *testing.T
 	o        options
 	dir      string
 	net      string
 	platform *platformd.Server
-	// stores lead to the platform, one for each process.
-	stores   []*cutter
-	engines  []*engined.Server
-	services []*serviced.Server
-	// crashes are the hosts of servers that can crash, deadly counts the calls that crash them.
-	crashes []*crash.Host
-	deadly  atomic.Int64
-	config  string
-	procs   []*process
+	// platformProxies are the connections to the platform, one for each process.
+	platformProxies []*partitionProxy
+	engines         []*engined.Server
+	services        []*serviced.Server
+	// crashHosts run the servers that can crash. poisonSends counts the requests that crashed them.
+	crashHosts  []*crash.Host
+	poisonSends atomic.Int64
+	config      string
+	procs       []*process
 }
 
 // process is one entry process.
@@ -85,7 +85,7 @@
 	done chan struct{}
 }
 
-// subnets gives each fleet of this test program loopback addresses of its own.
+// subnets assigns separate loopback addresses to each fleet of this test binary.
 var subnets = struct {
 	sync.Mutex
 	n int
@@ -103,7 +103,7 @@
 	f := &fleet{t: t, o: o, dir: t.TempDir(), net: subnet(), platform: platformd.New(2)}
 	f.listen(f.net+".250:9001", f.platform)
 	for range o.entries {
-		f.stores = append(f.stores, newCutter(t, f.net+".250:9001"))
+		f.platformProxies = append(f.platformProxies, newPartitionProxy(t, f.net+".250:9001"))
 	}
 	for i := range o.engines {
 		e := engined.New(engined.Options{Name: fmt.Sprintf("e%d", i), Fencing: o.fencing, Timing: o.timing})
@@ -114,8 +114,8 @@
 	for i := range 3 {
 		s := serviced.New(fmt.Sprintf("s%d", i), time.Millisecond)
 		f.services = append(f.services, s)
-		if address := fmt.Sprintf("%s.%d:8000", f.net, 200+i); o.deadly != "" {
-			f.crashing(address, s)
+		if address := fmt.Sprintf("%s.%d:8000", f.net, 200+i); o.poisonBody != "" {
+			f.serveWithCrashes(address, s)
 		} else {
 			f.listen(address, s)
 		}
@@ -128,7 +128,7 @@
 	return f
 }
 
-// startFleet starts a fleet with its configuration in force everywhere.
+// startFleet starts a fleet and waits until all of its processes are ready.
 func startFleet(t *testing.T, o options) *fleet {
 	f := newFleet(t, o)
 	f.awaitAdmin(0)
@@ -148,17 +148,18 @@
 	return address
 }
 
-// crashing serves h at an address until a deadly call crashes it; it is soon back.
-func (f *fleet) crashing(address string, h http.Handler) {
+// serveWithCrashes serves h at an address. A request with the poison body crashes the server, which
+// restarts after a second.
+func (f *fleet) serveWithCrashes(address string, h http.Handler) {
 	host, err := crash.NewHost(address, time.Second, func(_ string, crash func()) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			body, err := io.ReadAll(r.Body)
 			if err != nil {
 				return
 			}
-			if string(body) == f.o.deadly {
-				f.deadly.Add(1)
-				go crash() // it closes this connection too
+			if string(body) == f.o.poisonBody {
+				f.poisonSends.Add(1)
+				go crash() // also closes this connection
 				<-r.Context().Done()
 				panic(http.ErrAbortHandler)
 			}
@@ -168,12 +169,12 @@
 	})
 	require.NoError(f.t, err)
 	f.t.Cleanup(host.Close)
-	f.crashes = append(f.crashes, host)
+	f.crashHosts = append(f.crashHosts, host)
 }
 
 func domain(i int) string { return fmt.Sprintf("d%d", i%3) }
 
-// configuration of the fleet, with the wanted roles of engines.
+// configuration returns the configuration of the fleet with the given engine roles.
 func (f *fleet) configuration(roles map[string]string) string {
 	var hosts, engines, servers []string
 	for i := range f.o.engines {
@@ -198,7 +199,7 @@
 
 func (f *fleet) address(i, port int) string { return fmt.Sprintf("%s.%d:%d", f.net, 1+i, port) }
 
-// start starts the i-th entry process, also again after it has ended.
+// start starts the i-th entry process. It also restarts a process that has exited.
 func (f *fleet) start(i int) {
 	var seeds []string
 	for j := range f.o.entries {
@@ -211,7 +212,7 @@
   "control": {"heartbeat": "100ms", "staleAfter": "2s", "leaseTTL": "1s", "report": "200ms"},
   "platformCalls": {"perSecond": 50},
   "log": {"level": "debug"}
-}`, i, i, domain(i), f.address(i, entryPort), f.address(i, 7001), f.address(i, 7002), f.stores[i].address, strings.Join(seeds, ", "))
+}`, i, i, domain(i), f.address(i, entryPort), f.address(i, 7001), f.address(i, 7002), f.platformProxies[i].address, strings.Join(seeds, ", "))
 	file := filepath.Join(f.dir, fmt.Sprintf("entry-%d.json", i))
 	require.NoError(f.t, os.WriteFile(file, []byte(text), 0o600))
 	p := &process{f: f, i: i, log: &bytes.Buffer{}, done: make(chan struct{})}
@@ -226,7 +227,7 @@
 	f.procs[i] = p
 }
 
-// Write keeps the log of a process.
+// Write appends to the log of the process.
 func (p *process) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -260,19 +261,19 @@
 	}
 }
 
-// await waits for a condition, which the test cannot go on without.
+// await waits for a condition and fails the test if it doesn't hold within waitTimeout.
 func (f *fleet) await(what string, cond func() bool) {
 	f.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !cond() {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("waited %s in vain for: %s", patience, what)
+			f.t.Fatalf("timed out after %s waiting for: %s", waitTimeout, what)
 		}
-		time.Sleep(poll)
+		time.Sleep(pollInterval)
 	}
 }
 
-var client = &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+var client = &http.Client{Timeout: waitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
 // get calls the admin API of the i-th process.
 func (f *fleet) get(i int, path string, out any) bool {
@@ -349,13 +350,13 @@
 	return holder
 }
 
-// answer of an entry process to a caller.
+// callResult is the response of an entry process to one request.
 type callResult struct {
-	status  int
-	outcome string
-	body    string
-	whole   bool
-	err     error
+	status   int
+	outcome  string
+	body     string
+	complete bool
+	err      error
 }
 
 // call sends a request to the i-th process.
@@ -376,7 +377,7 @@
 	if r.outcome == "" {
 		r.outcome = resp.Trailer.Get("Rockdoor-Outcome")
 	}
-	r.whole = err == nil && r.outcome == "complete"
+	r.complete = err == nil && r.outcome == "complete"
 	return r
 }
 
@@ -399,39 +400,39 @@
 	return out
 }
 
-// cutter passes connections on to one address and can cut them.
-type cutter struct {
-	address string
-	mu      sync.Mutex
-	cut     bool
-	conns   map[net.Conn]bool
+// partitionProxy forwards connections to one address. It can close them and refuse new ones.
+type partitionProxy struct {
+	address     string
+	mu          sync.Mutex
+	partitioned bool
+	conns       map[net.Conn]bool
 }
 
-func newCutter(t *testing.T, to string) *cutter {
+func newPartitionProxy(t *testing.T, to string) *partitionProxy {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	c := &cutter{address: l.Addr().String(), conns: map[net.Conn]bool{}}
-	t.Cleanup(func() { l.Close(); c.set(true) })
+	c := &partitionProxy{address: l.Addr().String(), conns: map[net.Conn]bool{}}
+	t.Cleanup(func() { l.Close(); c.setPartitioned(true) })
 	go func() {
 		for {
 			in, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go c.pass(in, to)
+			go c.forward(in, to)
 		}
 	}()
 	return c
 }
 
-func (c *cutter) pass(in net.Conn, to string) {
+func (c *partitionProxy) forward(in net.Conn, to string) {
 	out, err := net.Dial("tcp", to)
 	if err != nil {
 		in.Close()
 		return
 	}
 	c.mu.Lock()
-	if c.cut {
+	if c.partitioned {
 		c.mu.Unlock()
 		in.Close()
 		out.Close()
@@ -444,12 +445,12 @@
 	in.Close()
 }
 
-// set cuts all connections or lets new ones through.
-func (c *cutter) set(cut bool) {
+// setPartitioned closes all connections and refuses new ones, or accepts new ones again.
+func (c *partitionProxy) setPartitioned(partitioned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut = cut
-	if cut {
+	c.partitioned = partitioned
+	if partitioned {
 		for conn := range c.conns {
 			conn.Close()
 		}
--- a/internal/e2e/ratelimit_test.go
+++ b/internal/e2e/ratelimit_test.go
@@ -14,17 +14,16 @@
 	"github.com/rockdoor/rockdoor/internal/standin/serviced"
 )
 
-// TestRateLimitHoldsForTheSumOfAllEntryProcesses has a server of a service name how many calls a second it
-// takes from all entry processes together, while one of these is suspended and goes on, and then is
-// killed and starts again: the one that grants the calls to the others. Each process sent as many as it
-// got.
+// TestRateLimitHoldsForTheSumOfAllEntryProcesses has a server announce a rate limit for the sum of all
+// entry processes. The process that coordinates the grants is paused and resumed, then killed and
+// restarted. Without shared grants, each process would send at its own rate.
 func TestRateLimitHoldsForTheSumOfAllEntryProcesses(t *testing.T) {
 	const (
 		entries = 4
 		rate    = 5.0
-		use     = 1.2
+		slack   = 1.2
 		window  = 4 * time.Second
-		heard   = 500 * time.Millisecond
+		settle  = 500 * time.Millisecond
 		sendGap = 30 * time.Millisecond
 		pause   = 2500 * time.Millisecond
 	)
@@ -71,11 +70,11 @@
 			used++
 		}
 		end, _ := slices.BinarySearchFunc(at, from.Add(window), time.Time.Compare)
-		if from.Sub(at[0]) >= heard {
+		if from.Sub(at[0]) >= settle {
 			most = max(most, end-n)
 		}
 	}
 	t.Logf("%d calls in %s, at most %d in %s, %d in the last", len(at), time.Since(begun).Round(time.Second), most, window, used)
-	require.LessOrEqual(t, float64(most), use*rate*window.Seconds())
+	require.LessOrEqual(t, float64(most), slack*rate*window.Seconds())
 	require.GreaterOrEqual(t, float64(used), 0.9*rate*window.Seconds()-1)
 }
--- a/internal/e2e/requests_test.go
+++ b/internal/e2e/requests_test.go
@@ -16,22 +16,22 @@
 	"github.com/rockdoor/rockdoor/internal/standin/platformd"
 )
 
-// history is what the callers of a run were told, by request.
-type history struct {
-	mu      sync.Mutex
-	answers map[string][]callResult
+// responseLog records the responses that clients received, by request.
+type responseLog struct {
+	mu        sync.Mutex
+	byRequest map[string][]callResult
 }
 
-func (h *history) add(id string, r callResult) {
+func (h *responseLog) add(id string, r callResult) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.answers[id] = append(h.answers[id], r)
+	h.byRequest[id] = append(h.byRequest[id], r)
 }
 
-// counts returns how many answers had each outcome.
-func (h *history) counts() map[string]int {
+// countOutcomes returns the number of responses by outcome.
+func (h *responseLog) countOutcomes() map[string]int {
 	out := map[string]int{}
-	for _, rs := range h.answers {
+	for _, rs := range h.byRequest {
 		for _, r := range rs {
 			name := r.outcome
 			if r.err != nil {
@@ -43,12 +43,12 @@
 	return out
 }
 
-// runsByID returns how often each request ran, from the engines' own records.
+// runsByID returns how often each request ran, according to the records of the engines.
 func (f *fleet) runsByID() map[string]int {
 	runs := map[string]int{}
 	for _, e := range f.engines {
 		for _, r := range e.Runs() {
-			if r.Phase == "" { // a prefill gives no answer and may be repeated
+			if r.Phase == "" { // prefill produces no output for the client and may be repeated
 				runs[r.LoadID]++
 			}
 		}
@@ -56,32 +56,33 @@
 	return runs
 }
 
-// check compares what callers were told with what the engines recorded.
-func (h *history) check(t *testing.T, f *fleet) {
+// check compares the responses to clients with the records of the engines.
+func (h *responseLog) check(t *testing.T, f *fleet) {
 	runs := f.runsByID()
-	for id, rs := range h.answers {
+	for id, rs := range h.byRequest {
 		require.LessOrEqual(t, runs[id], 1, "%s ran more than once", id)
-		whole := ""
+		first := ""
 		for _, r := range rs {
 			if r.outcome == "not_run" && len(rs) == 1 {
-				require.Zero(t, runs[id], "%s was said not to have run", id)
+				require.Zero(t, runs[id], "%s ran although its outcome is not_run", id)
 			}
-			if r.whole && r.status == http.StatusOK {
-				require.Equal(t, 1, runs[id], "%s was answered without a run", id)
+			if r.complete && r.status == http.StatusOK {
+				require.Equal(t, 1, runs[id], "%s has a complete response without a run", id)
 				require.Contains(t, r.body, "[DONE]")
-				if whole != "" {
-					require.Equal(t, whole, r.body, "two answers to %s differ", id)
+				if first != "" {
+					require.Equal(t, first, r.body, "two responses to %s differ", id)
 				}
-				whole = r.body
+				first = r.body
 			}
 		}
 	}
-	t.Logf("%d requests, answers: %v", len(h.answers), h.counts())
+	t.Logf("%d requests, responses by outcome: %v", len(h.byRequest), h.countOutcomes())
 }
 
-// senders send each keyed request to several processes at once, and to another
-// one again when they got no whole answer, until stop is closed.
-func (f *fleet) senders(n int, h *history, stop chan struct{}) *sync.WaitGroup {
+// startSenders starts n goroutines that send requests with idempotency keys until stop is
+// closed. Each request is sent twice concurrently to random processes, and retried if the
+// response is incomplete.
+func (f *fleet) startSenders(n int, h *responseLog, stop chan struct{}) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for s := range n {
 		wg.Add(1)
@@ -99,7 +100,7 @@
 					both.Add(1)
 					go func() {
 						defer both.Done()
-						f.sendUntilAnswered(id, h)
+						f.sendUntilComplete(id, h)
 					}()
 				}
 				both.Wait()
@@ -109,18 +110,18 @@
 	return &wg
 }
 
-func (f *fleet) sendUntilAnswered(id string, h *history) {
+func (f *fleet) sendUntilComplete(id string, h *responseLog) {
 	for range 4 {
 		r := f.chat(rand.IntN(len(f.procs)), "review", 5, "Idempotency-Key", id, "X-Load-Id", id)
 		h.add(id, r)
-		if r.whole {
+		if r.complete {
 			return
 		}
 		time.Sleep(time.Duration(rand.IntN(100)) * time.Millisecond)
 	}
 }
 
-var quick = engined.Timing{StepBase: 2 * time.Millisecond, RoleChange: 300 * time.Millisecond}
+var fastTiming = engined.Timing{StepBase: 2 * time.Millisecond, RoleChange: 300 * time.Millisecond}
 
 func TestKeysRunAtMostOnceUnderFaults(t *testing.T) {
 	faults := map[string]func(f *fleet){
@@ -128,7 +129,7 @@
 		"kill": func(f *fleet) { f.procs[1].kill(); time.Sleep(time.Second); f.start(1) },
 		"pause": func(f *fleet) {
 			f.procs[1].signal(syscall.SIGSTOP)
-			time.Sleep(7 * time.Second) // until others hold its claims
+			time.Sleep(7 * time.Second) // until its claims have moved to other holders
 			f.procs[1].signal(syscall.SIGCONT)
 		},
 		"platform down": func(f *fleet) {
@@ -156,11 +157,11 @@
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := startFleet(t, options{entries: 5, engines: 3, timing: quick})
-			f.await("keyed requests", func() bool { return f.chat(0, "review", 5, "Idempotency-Key", "first").whole })
-			h := &history{answers: map[string][]callResult{}}
+			f := startFleet(t, options{entries: 5, engines: 3, timing: fastTiming})
+			f.await("keyed requests", func() bool { return f.chat(0, "review", 5, "Idempotency-Key", "first").complete })
+			h := &responseLog{byRequest: map[string][]callResult{}}
 			stop := make(chan struct{})
-			wg := f.senders(6, h, stop)
+			wg := f.startSenders(6, h, stop)
 			time.Sleep(500 * time.Millisecond)
 			fault(f)
 			time.Sleep(time.Second)
@@ -175,27 +176,27 @@
 	f := startFleet(t, options{entries: 3, engines: 2, timing: engined.Timing{StepBase: 10 * time.Millisecond}})
 	results := make(chan callResult, 10)
 	for range 10 {
-		go func() { results <- f.chat(1, "review", 400) }() // far longer than the server takes to close
+		go func() { results <- f.chat(1, "review", 400) }() // far longer than the server takes to shut down
 	}
-	f.await("requests at the engines", func() bool { return len(f.runsByID()) > 0 && f.inHand() == 10 })
+	f.await("requests at the engines", func() bool { return len(f.runsByID()) > 0 && f.totalRuns() == 10 })
 	f.procs[1].signal(syscall.SIGTERM)
 	f.await("not ready", func() bool { return !f.get(1, "/readyz", nil) })
 	for range 10 {
-		require.True(t, (<-results).whole)
+		require.True(t, (<-results).complete)
 	}
 	<-f.procs[1].done
 	require.True(t, f.procs[1].cmd.ProcessState.Success(), f.procs[1].text())
 }
 
-func (f *fleet) inHand() (n int) {
+func (f *fleet) totalRuns() (n int) {
 	for _, e := range f.engines {
 		n += len(e.Runs())
 	}
 	return n
 }
 
-// keepSending sends streams from n callers, each of which has to arrive whole,
-// until the returned function is called.
+// keepSending sends streams from n concurrent clients until the returned function is
+// called. Each stream must be complete.
 func (f *fleet) keepSending(n int) (finish func()) {
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
@@ -209,8 +210,8 @@
 					return
 				default:
 				}
-				if r := f.chat(i%len(f.procs), "review", 40); !r.whole {
-					f.t.Errorf("cut by a planned change: %+v", r)
+				if r := f.chat(i%len(f.procs), "review", 40); !r.complete {
+					f.t.Errorf("interrupted by a planned change: %+v", r)
 					return
 				}
 			}
@@ -219,8 +220,9 @@
 	return func() { close(stop); wg.Wait() }
 }
 
-// leaveBy drains an engine, or makes the platform say that its host is leaving.
-var leaveBy = map[string]func(f *fleet){
+// shutdownTriggers are the ways to stop new requests to engine 0: an operator drains it,
+// or the platform lists its host as leaving.
+var shutdownTriggers = map[string]func(f *fleet){
 	"drain": func(f *fleet) {
 		r, err := client.Post("http://"+f.address(0, 7001)+"/api/v1/edits", "", strings.NewReader(`[{"kind": "engine", "name": "e0", "state": "draining"}]`))
 		require.NoError(f.t, err)
@@ -228,7 +230,7 @@
 		require.Equal(f.t, 200, r.StatusCode)
 	},
 	"platform's list, while one process has lost the platform": func(f *fleet) {
-		f.stores[1].set(true)
+		f.platformProxies[1].setPartitioned(true)
 		body := fmt.Sprintf(`[{"address": "%s.100", "state": "leaving"}]`, f.net)
 		req, err := http.NewRequest(http.MethodPut, "http://"+f.net+".250:9001/lab/hosts", strings.NewReader(body))
 		require.NoError(f.t, err)
@@ -239,12 +241,12 @@
 }
 
 func TestLeavingEngineGetsNoNewWorkAndCutsNothing(t *testing.T) {
-	for name, leave := range leaveBy {
-		t.Run(name, func(t *testing.T) { leavingEngine(t, leave) })
+	for name, leave := range shutdownTriggers {
+		t.Run(name, func(t *testing.T) { testLeavingEngine(t, leave) })
 	}
 }
 
-func leavingEngine(t *testing.T, leave func(*fleet)) {
+func testLeavingEngine(t *testing.T, leave func(*fleet)) {
 	f := startFleet(t, options{entries: 3, engines: 2, timing: engined.Timing{StepBase: 5 * time.Millisecond}})
 	finish := f.keepSending(6)
 	time.Sleep(300 * time.Millisecond)
@@ -258,6 +260,6 @@
 			last = run.Start
 		}
 	}
-	require.Less(t, last.Sub(accepted), 3*time.Second, "new work after the bound")
-	t.Logf("last new request %s after the engine was to leave", last.Sub(accepted))
+	require.Less(t, last.Sub(accepted), 3*time.Second, "new requests after the time limit")
+	t.Logf("last new request %s after the shutdown was announced", last.Sub(accepted))
 }
