--- a/internal/cli/app.go
+++ b/internal/cli/app.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of rockdoor.
+// Package cli implements the command line of rockdoor.
 package cli
 
 import (
@@ -26,11 +26,11 @@
 	ExitOK = 0
 	// ExitFailed: the command failed; nothing was changed.
 	ExitFailed = 1
-	// ExitInvalid: the input is wrong; the message says where.
+	// ExitInvalid: the input is invalid; the message says where.
 	ExitInvalid = 2
-	// ExitConflict: somebody else was first; read again and repeat.
+	// ExitConflict: another change was accepted first; read again and repeat.
 	ExitConflict = 3
-	// ExitUnavailable: the fleet or the platform did not answer; repeat later.
+	// ExitUnavailable: the fleet or the platform did not respond; retry later.
 	ExitUnavailable = 4
 	// ExitUnknown: the change may or may not have been accepted; see the history.
 	ExitUnknown = 5
@@ -41,13 +41,13 @@
 const exitHelp = `EXIT CODES:
    0  done
    1  failed; nothing was changed
-   2  the input is wrong; the message says where and what to do
-   3  conflict: somebody else was first; read again and repeat
-   4  the fleet or the platform did not answer; nothing was changed
+   2  the input is invalid; the message says where and what to do
+   3  conflict: another change was accepted first; read again and repeat
+   4  the fleet or the platform did not respond; nothing was changed
    5  unknown: the change may have been accepted; see rockdoor config history
    6  config diff found differences`
 
-// New returns the command line, which prints to out.
+// New returns the command line application, which prints to out.
 func New(out io.Writer) *cli.App {
 	app := &cli.App{
 		Name:                 "rockdoor",
@@ -97,15 +97,15 @@
 	return ExitFailed
 }
 
-// example formats the description of a command with an example.
-func example(text, command string) string { return text + "\n\nExample:\n   " + command }
+// withExample returns the description of a command: the text, followed by an example.
+func withExample(text, command string) string { return text + "\n\nExample:\n   " + command }
 
 func serveCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "serve",
 		Usage: "run one entry process until SIGTERM or SIGINT",
-		Description: example("Serves callers on the address listen, operators on admin and other processes on peer.\n"+
-			"SIGTERM stops the process without cutting a request; a second one ends it at once.", "rockdoor serve --settings entry-1.json"),
+		Description: withExample("Serves clients on the address listen, operators on admin and other processes on peer.\n"+
+			"SIGTERM shuts the process down gracefully; a second one ends it at once.", "rockdoor serve --settings entry-1.json"),
 		Flags: []cli.Flag{&cli.StringFlag{Name: "settings", Aliases: []string{"s"}, Usage: "settings `FILE`, JSON with comments", Required: true}},
 		Action: func(c *cli.Context) error {
 			set, err := settings.Load(c.String("settings"))
@@ -123,7 +123,7 @@
 func versionCommand() *cli.Command {
 	return &cli.Command{
 		Name: "version", Usage: "print the version",
-		Description: example("Prints the version and what it was built with.", "rockdoor version"),
+		Description: withExample("Prints the version, the Go version and the platform.", "rockdoor version"),
 		Action: func(c *cli.Context) error {
 			_, err := fmt.Fprintf(c.App.Writer, "rockdoor %s %s %s/%s\n", Version, runtime.Version(), runtime.GOOS, runtime.GOARCH)
 			return err
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -16,8 +16,8 @@
 
 const docsDir = "../../docs"
 
-// updateVariable makes the test write the pages instead of comparing them.
-const updateVariable = "ROCKDOOR_UPDATE_DOCS"
+// updateDocsVariable is the environment variable with which the test writes the pages instead of comparing them.
+const updateDocsVariable = "ROCKDOOR_UPDATE_DOCS"
 
 func TestGeneratedPagesAreCurrent(t *testing.T) {
 	var reference, charts bytes.Buffer
@@ -25,7 +25,7 @@
 	WriteCharts(&charts)
 	for name, want := range map[string]string{"configuration.md": reference.String(), "statecharts.md": charts.String()} {
 		path := filepath.Join(docsDir, name)
-		if os.Getenv(updateVariable) != "" {
+		if os.Getenv(updateDocsVariable) != "" {
 			require.NoError(t, os.WriteFile(path, []byte(want), 0o644))
 		}
 		got, err := os.ReadFile(path)
@@ -102,11 +102,11 @@
 	}
 }
 
-// TestTraceSummaryBoundsItsRows has more workspaces than fit on a screen: the least served
-// ones and the sum are shown.
+// With more workspaces than fit on a screen, a summary must show those with the lowest share of
+// served requests, and the total.
 func TestTraceSummaryBoundsItsRows(t *testing.T) {
 	var text strings.Builder
-	for n := range shownWorkspaces + 5 {
+	for n := range maxSummaryWorkspaces + 5 {
 		fmt.Fprintf(&text, "ts=2026-10-23T20:56:50.000Z process=a msg=request request=a%[1]d workspace=w%02[1]d outcome=ok may_have_run=true\n", n)
 	}
 	fmt.Fprintln(&text, "ts=2026-10-23T20:56:51.000Z process=a msg=request request=r workspace=w99 outcome=hopeless may_have_run=false")
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	clientTimeout = 30 * time.Second
-	maxAnswer     = 128 << 20
-	defaultAdmin  = "127.0.0.1:7001"
+	clientTimeout    = 30 * time.Second
+	maxResponseBytes = 128 << 20
+	defaultAdmin     = "127.0.0.1:7001"
 )
 
 func adminFlag() cli.Flag {
@@ -45,17 +45,18 @@
 	return os.Getenv("USER")
 }
 
-// changeQuery carries who changes the configuration and why.
+// changeQuery returns the query parameters with the author and the note of a change.
 func changeQuery(c *cli.Context) url.Values {
 	return url.Values{"author": {c.String("author")}, "note": {c.String("note")}}
 }
 
-// call sends one call to the admin API and decodes its answer into out.
+// call sends a request to the admin API and decodes the response into out, unless out is
+// nil.
 func call(c *cli.Context, method, path string, q url.Values, body []byte, out any) (http.Header, error) {
 	u := url.URL{Scheme: "http", Host: c.String("admin"), Path: path, RawQuery: q.Encode()}
 	req, err := http.NewRequestWithContext(c.Context, method, u.String(), bytes.NewReader(body))
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Invalid, "admin address is wrong", "give an IP number and port with --admin")
+		return nil, fault.Wrap(err, fault.Invalid, "admin address is invalid", "give an IP address and port with --admin")
 	}
 	client := http.Client{Timeout: clientTimeout}
 	resp, err := client.Do(req)
@@ -63,10 +64,10 @@
 		return nil, fault.Wrap(err, fault.Unavailable, "no answer", "check --admin, or name another entry process")
 	}
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Unknown, "no answer to the change", "see rockdoor config history before repeating it")
+		return nil, fault.Wrap(err, fault.Unknown, "no response to the change", "see rockdoor config history before repeating it")
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Unknown, "answer was cut", "see rockdoor config history before repeating a change")
 	}
@@ -77,16 +78,16 @@
 		return resp.Header, nil
 	}
 	if err := json.Unmarshal(data, out); err != nil {
-		return nil, fault.Wrap(err, fault.Internal, "answer cannot be read", "use the same version of rockdoor as the fleet")
+		return nil, fault.Wrap(err, fault.Internal, "response cannot be decoded", "use the same version of rockdoor as the fleet")
 	}
 	return resp.Header, nil
 }
 
-// remoteError turns an error answer back into the error that it was made from.
+// remoteError restores the error from which an error response was made.
 func remoteError(status int, data []byte) error {
 	var e admin.ErrorBody
 	if json.Unmarshal(data, &e) != nil || e.Kind == "" {
-		return fault.Newf(fault.Internal, "check --admin", "entry process answered with status code %d", status)
+		return fault.Newf(fault.Internal, "check --admin", "entry process returned HTTP status %d", status)
 	}
 	if len(e.Problems) > 0 {
 		return e.Problems.Err()
--- a/internal/cli/completion.go
+++ b/internal/cli/completion.go
@@ -29,7 +29,7 @@
 func completionCommand() *cli.Command {
 	return &cli.Command{
 		Name: "completion", Usage: "print a script for shell completion", ArgsUsage: "bash|zsh",
-		Description: example("Prints a script that completes commands and flags.", "source <(rockdoor completion bash)"),
+		Description: withExample("Prints a script that completes commands and flags.", "source <(rockdoor completion bash)"),
 		Action: func(c *cli.Context) error {
 			switch c.Args().First() {
 			case "bash":
@@ -37,7 +37,7 @@
 			case "zsh":
 				fmt.Fprint(c.App.Writer, zshCompletion)
 			default:
-				return fault.Newf(fault.Invalid, "use bash or zsh", "shell %q is not known", c.Args().First())
+				return fault.Newf(fault.Invalid, "use bash or zsh", "shell %q is not supported", c.Args().First())
 			}
 			return nil
 		},
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -27,37 +27,37 @@
 		Subcommands: []*cli.Command{
 			{
 				Name: "validate", Usage: "check configuration files without the fleet", ArgsUsage: "FILE...",
-				Description: example("Reports every problem with file, line, column, path and remedy.", "rockdoor config validate trinacria.json"),
-				Flags:       []cli.Flag{&cli.BoolFlag{Name: "settings", Usage: "the files are settings of processes"}},
+				Description: withExample("Reports every problem with file, line, column, path and remedy.", "rockdoor config validate trinacria.json"),
+				Flags:       []cli.Flag{&cli.BoolFlag{Name: "settings", Usage: "the files are process settings"}},
 				Action:      validateFiles,
 			},
 			{
 				Name: "get", Usage: "print the configuration in force",
-				Description: example("Prints JSON that config apply takes back.", "rockdoor config get > now.json"),
+				Description: withExample("Prints JSON that config apply accepts.", "rockdoor config get > now.json"),
 				Flags:       []cli.Flag{adminFlag()}, Action: getConfig,
 			},
 			{
 				Name: "diff", Usage: "compare a file with the configuration in force", ArgsUsage: "FILE",
-				Description: example("Exits with 6 if there are differences.", "rockdoor config diff trinacria.json"),
+				Description: withExample("Exits with 6 if there are differences.", "rockdoor config diff trinacria.json"),
 				Flags:       []cli.Flag{adminFlag()}, Action: diffConfig,
 			},
 			{
 				Name: "apply", Usage: "replace the configuration", ArgsUsage: "FILE",
-				Description: example("The change is accepted as a whole or not at all.\nWith --if-revision it is refused if another change was accepted after that revision.",
+				Description: withExample("The change is accepted as a whole or not at all.\nWith --if-revision it is rejected if another change was accepted after that revision.",
 					"rockdoor config apply trinacria.json -m 'add engine 13' --if-revision 41"),
 				Flags:  append(changeFlags(), &cli.Int64Flag{Name: "if-revision", Usage: "the `REVISION` that the change is based on"}),
 				Action: applyConfig,
 			},
 			{
 				Name: "history", Usage: "list accepted changes, newest first",
-				Description: example("Each line has revision, time, change id, author and note.", "rockdoor config history -n 5"),
-				Flags:       []cli.Flag{adminFlag(), &cli.IntFlag{Name: "limit", Aliases: []string{"n"}, Value: 20, Usage: "how many"}},
+				Description: withExample("Each line has revision, time, change id, author and note.", "rockdoor config history -n 5"),
+				Flags:       []cli.Flag{adminFlag(), &cli.IntFlag{Name: "limit", Aliases: []string{"n"}, Value: 20, Usage: "max number of changes"}},
 				Action:      showHistory,
 			},
 			{
 				Name: "schema", Usage: "print the JSON schema of the configuration or the settings",
-				Description: example("Editors use it to check and complete files.", "rockdoor config schema > configuration.schema.json"),
-				Flags:       []cli.Flag{&cli.BoolFlag{Name: "settings", Usage: "of the settings"}},
+				Description: withExample("Editors use it to check and complete files.", "rockdoor config schema > configuration.schema.json"),
+				Flags:       []cli.Flag{&cli.BoolFlag{Name: "settings", Usage: "print the schema of the settings"}},
 				Action: func(c *cli.Context) error {
 					text := config.SchemaText()
 					if c.Bool("settings") {
--- a/internal/cli/docs.go
+++ b/internal/cli/docs.go
@@ -13,7 +13,7 @@
 	"github.com/rockdoor/rockdoor/internal/settings"
 )
 
-// schemaNode is the part of a JSON schema that the reference shows.
+// schemaNode holds the fields of a JSON schema that appear in the reference.
 type schemaNode struct {
 	Title       string                `json:"title"`
 	Description string                `json:"description"`
@@ -30,8 +30,8 @@
 	Defs        map[string]schemaNode `json:"$defs"`
 }
 
-// WriteReference writes the reference of all fields of the settings and the
-// configuration, in Markdown.
+// WriteReference writes the reference of all settings and configuration fields in
+// Markdown.
 func WriteReference(w io.Writer) error {
 	fmt.Fprint(w, "# Configuration reference\n\nMade from the schemas that check the files; do not edit. "+
 		"All files are JSON with comments and trailing commas. `rockdoor config schema` prints the schema for editors.\n")
@@ -41,18 +41,18 @@
 			return err
 		}
 		fmt.Fprintf(w, "\n## %s\n\n%s\n", root.Title, root.Description)
-		root.write(w, root, root.Title)
+		root.writeFields(w, root, root.Title)
 		for _, name := range slices.Sorted(maps.Keys(root.Defs)) {
 			if def := root.Defs[name]; def.Type == "object" && len(def.Properties) > 0 {
-				root.write(w, def, name)
+				root.writeFields(w, def, name)
 			}
 		}
 	}
 	return nil
 }
 
-// write writes the table of one object's fields.
-func (root schemaNode) write(w io.Writer, node schemaNode, name string) {
+// writeFields writes a table of the fields of one object.
+func (root schemaNode) writeFields(w io.Writer, node schemaNode, name string) {
 	fmt.Fprintf(w, "\n### %s\n\n| field | type | range | default | meaning |\n| --- | --- | --- | --- | --- |\n", name)
 	for _, field := range slices.Sorted(maps.Keys(node.Properties)) {
 		p := node.Properties[field]
@@ -100,7 +100,7 @@
 	return ""
 }
 
-// WriteCharts writes the state charts as diagrams, in Markdown.
+// WriteCharts writes the state charts as Markdown with Mermaid diagrams.
 func WriteCharts(w io.Writer) {
 	fmt.Fprint(w, "# State charts\n\nMade from the files that the program interprets (internal/charts); do not edit. "+
 		"Events that a state ignores are left out.\n")
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -36,7 +36,7 @@
 func labelCommand() *cli.Command {
 	return &cli.Command{
 		Name: "label", Usage: "set or remove labels", ArgsUsage: "host|engine|server NAME KEY=VALUE|KEY-...",
-		Description: example("KEY=VALUE sets a label, KEY- removes it. Edits of other things by other operators are kept.",
+		Description: withExample("KEY=VALUE sets a label, KEY- removes it. Concurrent edits of other objects are kept.",
 			"rockdoor label engine lm-1 tier=gold spare-"),
 		Flags: changeFlags(), Action: editLabels,
 	}
@@ -72,7 +72,7 @@
 	state := func(name, usage, text string, st config.ServerState) *cli.Command {
 		return &cli.Command{
 			Name: name, Usage: usage, ArgsUsage: "NAME...",
-			Description: example(text, "rockdoor engine "+name+" lm-1 -m 'kernel update'"),
+			Description: withExample(text, "rockdoor engine "+name+" lm-1 -m 'kernel update'"),
 			Flags:       append(changeFlags(), serverFlag()),
 			Action:      func(c *cli.Context) error { return setStates(c, st) },
 		}
@@ -80,18 +80,18 @@
 	return &cli.Command{
 		Name: "engine", Usage: "drain, replace, withdraw or change the role of engines and backend servers",
 		Subcommands: []*cli.Command{
-			state("drain", "send no new requests", "Requests in hand are finished.", config.Draining),
-			state("undrain", "send requests again", "Also brings a withdrawn engine back.", config.Active),
-			state("withdraw", "send neither requests nor orders", "Requests in hand are finished.", config.Withdrawn),
+			state("drain", "send no new requests", "In-flight requests are completed.", config.Draining),
+			state("undrain", "send requests again", "Also reactivates a withdrawn engine.", config.Active),
+			state("withdraw", "send neither requests nor orders", "In-flight requests are completed.", config.Withdrawn),
 			{
-				Name: "replace", Usage: "put another engine in the place of one", ArgsUsage: "NAME",
-				Description: example("The name keeps its labels and rules; new requests go to the new address.",
+				Name: "replace", Usage: "replace an engine by another one", ArgsUsage: "NAME",
+				Description: withExample("The name keeps its labels and rules; new requests go to the new address.",
 					"rockdoor engine replace lm-1 --address 10.0.0.9:8000 --host host-9"),
 				Flags: append(changeFlags(), serverFlag(),
 					&cli.StringFlag{Name: "address", Usage: "`ADDRESS` of the new engine", Required: true},
-					&cli.StringFlag{Name: "host", Usage: "`HOST` of the new engine, if it is another"}),
+					&cli.StringFlag{Name: "host", Usage: "`HOST` of the new engine, if the host changes"}),
 				Action: func(c *cli.Context) error {
-					name, err := oneName(c)
+					name, err := singleName(c)
 					if err != nil {
 						return err
 					}
@@ -101,8 +101,8 @@
 				},
 			},
 			{
-				Name: "role", Usage: "ask for a role", ArgsUsage: "NAME mixed|prefill|decode|auto",
-				Description: example("auto leaves the role to rockdoor. The engine is unavailable while it changes.", "rockdoor engine role lm-1 decode"),
+				Name: "role", Usage: "set the role of an engine", ArgsUsage: "NAME mixed|prefill|decode|auto",
+				Description: withExample("With auto, rockdoor decides the role. The engine is unavailable during a change.", "rockdoor engine role lm-1 decode"),
 				Flags:       changeFlags(), Action: setRole,
 			},
 		},
@@ -120,7 +120,7 @@
 	return confstore.KindEngine
 }
 
-func oneName(c *cli.Context) (string, error) {
+func singleName(c *cli.Context) (string, error) {
 	if c.NArg() != 1 {
 		return "", fault.New(fault.Invalid, "give one name", "rockdoor status lists the names; flags go before the name")
 	}
@@ -151,12 +151,12 @@
 
 func statusCommand() *cli.Command {
 	return &cli.Command{
-		Name: "status", Usage: "show the fleet as one process sees it",
-		Description: example("Shows processes, engines and backend servers.", "rockdoor status --watch"),
+		Name: "status", Usage: "show the fleet as known to one process",
+		Description: withExample("Shows processes, engines and backend servers.", "rockdoor status --watch"),
 		Flags: []cli.Flag{
 			adminFlag(),
 			&cli.StringFlag{Name: "output", Aliases: []string{"o"}, Value: "table", Usage: "table or json"},
-			&cli.BoolFlag{Name: "watch", Aliases: []string{"w"}, Usage: "show again every second"},
+			&cli.BoolFlag{Name: "watch", Aliases: []string{"w"}, Usage: "refresh every second"},
 		},
 		Action: func(c *cli.Context) error {
 			for {
@@ -181,7 +181,7 @@
 		printStatus(c, st)
 		return nil
 	}
-	return fault.Newf(fault.Invalid, "use table or json", "output %q is not known", c.String("output"))
+	return fault.Newf(fault.Invalid, "use table or json", "output %q is not supported", c.String("output"))
 }
 
 func printJSON(c *cli.Context, v any) error {
@@ -240,11 +240,11 @@
 
 func leaseCommand() *cli.Command {
 	return &cli.Command{
-		Name: "lease", Usage: "help with the leases of controllers",
+		Name: "lease", Usage: "manage the leases of controllers",
 		Subcommands: []*cli.Command{{
-			Name: "vouch", Usage: "vouch that a run of a process is over", ArgsUsage: "INCARNATION",
-			Description: example("A successor then takes over without waiting for the lease to end. Only do this for a process that\n"+
-				"can never act again, for instance on a host that was switched off. It is logged.", "rockdoor lease vouch 01J9Z3NDEKTSV4RRFFQ69G5FAV"),
+			Name: "vouch", Usage: "vouch that a run of a process has terminated", ArgsUsage: "INCARNATION",
+			Description: withExample("The next holder then takes over without waiting for the lease to expire. Only do this for a process that\n"+
+				"can never run again, for instance on a host that was switched off. The command is logged.", "rockdoor lease vouch 01J9Z3NDEKTSV4RRFFQ69G5FAV"),
 			Flags: changeFlags(),
 			Action: func(c *cli.Context) error {
 				if c.NArg() != 1 {
@@ -263,17 +263,17 @@
 
 func explainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "explain", Usage: "say where a request would run, and why not elsewhere, without running it",
-		Description: example("Shows each target with its score, or the rule that does not permit it.",
+		Name: "explain", Usage: "show where a request would run and why other targets are excluded, without running it",
+		Description: withExample("Shows each target with its score, or the rule that excludes it.",
 			"rockdoor explain --workspace palermo --model rule-review --selector 'domain=catania-1'"),
 		Flags: []cli.Flag{
 			adminFlag(),
 			&cli.StringFlag{Name: "workspace", Required: true, Usage: "`NAME` of the workspace"},
 			&cli.StringFlag{Name: "model", Usage: "`NAME` of the model"},
-			&cli.StringFlag{Name: "path", Usage: "`PATH` of a call to a service"},
+			&cli.StringFlag{Name: "path", Usage: "`PATH` of a request to a service"},
 			&cli.StringFlag{Name: "selector", Usage: "selector of the request"},
 			&cli.IntFlag{Name: "prompt-tokens", Value: 1000, Usage: "size of the prompt, in tokens"},
-			&cli.IntFlag{Name: "output-tokens", Value: 128, Usage: "size of the answer, in tokens"},
+			&cli.IntFlag{Name: "output-tokens", Value: 128, Usage: "size of the response, in tokens"},
 			&cli.StringFlag{Name: "output", Aliases: []string{"o"}, Value: "table", Usage: "table or json"},
 		},
 		Action: explain,
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -26,12 +26,13 @@
 	"github.com/rockdoor/rockdoor/internal/trace"
 )
 
-// logCloseTime is how long a process that ends waits for its last log lines.
-const logCloseTime = 200 * time.Millisecond
+// logFlushTimeout is how long an exiting process waits for its last log lines to be
+// written.
+const logFlushTimeout = 200 * time.Millisecond
 
 func gatewayCommand() *cli.Command {
 	return &cli.Command{
-		Name: "gateway", Usage: "run and look at gateways on the users' platform",
+		Name: "gateway", Usage: "run and inspect gateways on the users' platform",
 		Subcommands: []*cli.Command{gatewayServe(), gatewayCheck(), gatewayStatus(), gatewayExplain(), gatewayQuarantine(), gatewayLimits()},
 	}
 }
@@ -40,8 +41,8 @@
 	return &cli.Command{
 		Name:  "serve",
 		Usage: "run one gateway process until SIGTERM or SIGINT",
-		Description: example("Serves callers under the configuration and in front of the instances that the platform's store names.\n"+
-			"SIGTERM stops the process without cutting a request; SIGHUP reads the settings again.", "rockdoor gateway serve --settings gateway.json"),
+		Description: withExample("Serves client requests with the configuration and the instances that are registered in the platform's store.\n"+
+			"SIGTERM shuts the process down gracefully; SIGHUP reloads the settings.", "rockdoor gateway serve --settings gateway.json"),
 		Flags: []cli.Flag{&cli.StringFlag{Name: "settings", Aliases: []string{"s"}, Usage: "settings `FILE`, JSON with comments", Required: true}},
 		Action: func(c *cli.Context) error {
 			file := c.String("settings")
@@ -50,20 +51,20 @@
 				return err
 			}
 			sink := logsink.New(os.Stdout, set.Log.LinesPerSecond)
-			defer sink.Close(logCloseTime)
+			defer sink.Close(logFlushTimeout)
 			logger := log.With(log.NewLogfmtLogger(sink), "ts", log.DefaultTimestampUTC)
 			logger = level.NewFilter(logger, level.Allow(level.ParseDefault(set.Log.Level, level.DebugValue())))
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 			defer stop()
-			return gatewayd.New(set, file, logger, sink.Dropped).Run(ctx, hangups())
+			return gatewayd.New(set, file, logger, sink.Dropped).Run(ctx, reloadSignals())
 		},
 	}
 }
 
 func gatewayCheck() *cli.Command {
 	return &cli.Command{
-		Name: "check-settings", Usage: "check a settings file without starting", ArgsUsage: "FILE",
-		Description: example("Reports all problems at once, with the key and the remedy, and prints the settings with their defaults.",
+		Name: "check-settings", Usage: "check a settings file without starting a gateway", ArgsUsage: "FILE",
+		Description: withExample("Reports all problems at once, with the key and the remedy, and prints the settings with their defaults.",
 			"rockdoor gateway check-settings gateway.json"),
 		Action: func(c *cli.Context) error {
 			if c.NArg() != 1 {
@@ -86,8 +87,8 @@
 
 func gatewayStatus() *cli.Command {
 	return &cli.Command{
-		Name: "status", Usage: "show what a running gateway believes",
-		Description: example("Shows readiness, the version in force and its age, the other gateways that are heard, and each instance with its load.",
+		Name: "status", Usage: "show the state of a running gateway",
+		Description: withExample("Shows readiness, the version in force and its age, the reachable gateways, and each instance with its load.",
 			"rockdoor gateway status --admin 10.1.0.22:9464"),
 		Flags: []cli.Flag{adminFlag()},
 		Action: func(c *cli.Context) error {
@@ -122,8 +123,8 @@
 
 func gatewayExplain() *cli.Command {
 	return &cli.Command{
-		Name: "explain", Usage: "show where a request would run now and why not elsewhere",
-		Description: example("Gives, for each instance, its load, the estimates and the score (the least of a role wins), or the rule that forbids it.",
+		Name: "explain", Usage: "show where a request would run now and why other instances are excluded",
+		Description: withExample("Shows, for each instance, its load, the estimates and the score (the lowest of a role wins), or the rule that excludes it.",
 			"rockdoor gateway explain --admin 10.1.0.22:9464 --host shop.example --path /review/ --prompt 9000 --shared 6300"),
 		Flags: []cli.Flag{
 			adminFlag(),
@@ -132,7 +133,7 @@
 			&cli.StringFlag{Name: "id", Usage: "request `ID`, which decides the service of a split route"},
 			&cli.StringFlag{Name: "subject", Usage: "`ID` of the last shared part of the prompt"},
 			&cli.IntFlag{Name: "prompt", Usage: "`TOKENS` of the prompt"},
-			&cli.IntFlag{Name: "shared", Usage: "`TOKENS` of it in parts that other requests share"},
+			&cli.IntFlag{Name: "shared", Usage: "`TOKENS` of the prompt in parts that other requests share"},
 		},
 		Action: func(c *cli.Context) error {
 			q := url.Values{}
@@ -149,7 +150,7 @@
 			fmt.Fprintf(c.App.Writer, "route %s, service %s, configuration %d (%d ms old), instances %d ms old\n\n", e.Route, e.Service, e.Config, e.ConfigAgeMs, e.InstancesAgeMs)
 			t := newTable(c, "INSTANCE", "DOMAIN", "ROLE", "SCORE", "AHEAD MS", "READ MS", "UNCACHED", "REQUESTS", "PACE", "FAILURES", "WHY NOT")
 			for _, i := range e.Considered {
-				t.AppendRow([]any{i.Instance, i.Domain, i.Role, short(i.Score), short(i.QueueDelayMs), short(i.PrefillMs), i.Uncached, i.Load.Requests, short(i.Slowdown), short(i.Failures), i.Unavailable})
+				t.AppendRow([]any{i.Instance, i.Domain, i.Role, formatNumber(i.Score), formatNumber(i.QueueDelayMs), formatNumber(i.PrefillMs), i.Uncached, i.Load.Requests, formatNumber(i.Slowdown), formatNumber(i.Failures), i.Unavailable})
 			}
 			for _, r := range e.Rejected {
 				t.AppendRow([]any{r.Instance, "", "", "", "", "", "", "", "", "", "forbidden by " + r.Rule})
@@ -163,19 +164,19 @@
 	}
 }
 
-func short(v float64) string { return strconv.FormatFloat(v, 'f', 2, 64) }
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'f', 2, 64) }
 
 func traceCommand() *cli.Command {
 	return &cli.Command{
-		Name: "trace", Usage: "tell the story of one request from logs, or sum up those that failed", ArgsUsage: "[ID] FILE...",
-		Description: example("Reads the logs of several gateways and prints, in order, what touched the request and what its process came to believe,\n"+
-			"then the cause and the remedy. A FILE of - is standard input. With --summary, and without an ID, it prints how many\n"+
-			"requests did not end well, by route, outcome, phase and error, with the id of one of each, and how many of each\n"+
-			"workspace's were served, the least served first; that needs logs of level debug.",
+		Name: "trace", Usage: "reconstruct one request from logs, or summarize failed requests", ArgsUsage: "[ID] FILE...",
+		Description: withExample("Reads the logs of several gateways and prints, in order, the events that concern the request and the state of its process,\n"+
+			"then the cause and the remedy. A FILE of - is standard input. With --summary, and without an ID, it prints the number\n"+
+			"of failed requests by route, outcome, phase and error, with the ID of one of each, and the share of each workspace's\n"+
+			"requests that were served, lowest share first; that needs logs of level debug.",
 			"rockdoor trace 9c41d07be2a35f68 edge-*.log\n   rockdoor trace --summary edge-*.log\n   rockdoor trace --reach edge-*.log"),
 		Flags: []cli.Flag{
-			&cli.BoolFlag{Name: "summary", Usage: "group the requests that did not end well"},
-			&cli.BoolFlag{Name: "reach", Usage: "print how long each change took to reach the processes"},
+			&cli.BoolFlag{Name: "summary", Usage: "group the failed requests"},
+			&cli.BoolFlag{Name: "reach", Usage: "print how long each change took to propagate to the processes"},
 		},
 		Action: func(c *cli.Context) error {
 			if c.Bool("reach") {
@@ -185,7 +186,7 @@
 				return traceSummary(c)
 			}
 			if c.NArg() < 2 {
-				return fault.New(fault.Invalid, "too few arguments", "give a request's id and log files")
+				return fault.New(fault.Invalid, "too few arguments", "give a request ID and log files")
 			}
 			id := c.Args().First()
 			lines, err := readLogs(c.Args().Tail(), id)
@@ -201,8 +202,8 @@
 	}
 }
 
-// logsGiven reads the logs that a command names.
-func logsGiven(c *cli.Context) ([]trace.Line, error) {
+// readLogArgs reads the log files in the arguments of a command.
+func readLogArgs(c *cli.Context) ([]trace.Line, error) {
 	if c.NArg() < 1 {
 		return nil, fault.New(fault.Invalid, "too few arguments", "give log files")
 	}
@@ -210,7 +211,7 @@
 }
 
 func traceReach(c *cli.Context) error {
-	lines, err := logsGiven(c)
+	lines, err := readLogArgs(c)
 	if err != nil {
 		return err
 	}
@@ -223,7 +224,7 @@
 }
 
 func traceSummary(c *cli.Context) error {
-	lines, err := logsGiven(c)
+	lines, err := readLogArgs(c)
 	if err != nil {
 		return err
 	}
@@ -236,10 +237,11 @@
 	return nil
 }
 
-// shownWorkspaces is how many workspaces a summary shows, the least served ones: one screen.
-const shownWorkspaces = 20
+// maxSummaryWorkspaces is the max number of workspaces in a summary, so that it fits on one
+// screen. The workspaces with the lowest share of served requests are shown.
+const maxSummaryWorkspaces = 20
 
-// workspaceSummary prints how the requests of each workspace ended, if there are any.
+// workspaceSummary prints the outcomes of the requests by workspace, if the logs have any.
 func workspaceSummary(c *cli.Context, lines []trace.Line) {
 	each, all := trace.ByWorkspace(lines)
 	if len(each) == 0 {
@@ -249,18 +251,18 @@
 	add := func(name string, w trace.Workspace) {
 		t.AppendRow([]any{name, w.Requests, w.Served, w.Refused, w.Failed, strconv.FormatFloat(w.ShareServed(), 'f', 3, 64)})
 	}
-	for _, w := range each[:min(len(each), shownWorkspaces)] {
+	for _, w := range each[:min(len(each), maxSummaryWorkspaces)] {
 		add(w.Name, w)
 	}
-	if more := len(each) - shownWorkspaces; more > 0 {
+	if more := len(each) - maxSummaryWorkspaces; more > 0 {
 		t.AppendRow([]any{"(" + strconv.Itoa(more) + " more)"})
 	}
 	add("(all)", all)
 	t.Render()
 }
 
-// readLogs reads the lines of several logs that are not about other requests than id, all
-// if id is empty.
+// readLogs reads several logs without the lines that concern requests other than id. If id is
+// empty, it reads all lines.
 func readLogs(files []string, id string) ([]trace.Line, error) {
 	var lines []trace.Line
 	for _, file := range files {
@@ -285,8 +287,8 @@
 	return trace.Read(f, id)
 }
 
-// hangups returns a channel that has a value after each SIGHUP.
-func hangups() <-chan struct{} {
+// reloadSignals returns a channel that receives a value for each SIGHUP.
+func reloadSignals() <-chan struct{} {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	out := make(chan struct{})
--- a/internal/cli/limits.go
+++ b/internal/cli/limits.go
@@ -11,10 +11,10 @@
 
 func gatewayLimits() *cli.Command {
 	return &cli.Command{
-		Name: "limits", Usage: "list the instances that limit the rate of requests which they take",
-		Description: example("The rate is what an instance takes from all gateways together. The keeper is the gateway that grants the requests,\n"+
-			"PART what it may grant of each rate, as it hears the others. WANTED is what the gateway that is\n"+
-			"asked would send there a second.",
+		Name: "limits", Usage: "list the instances that announce a rate limit",
+		Description: withExample("The rate limit applies to the sum of the requests of all gateways. KEEPER is the gateway that coordinates the grants,\n"+
+			"PART the share of each rate that it may grant, given the gateways that it can reach. WANTED is the rate at which\n"+
+			"the queried gateway would send requests.",
 			"rockdoor gateway limits --admin 10.1.0.22:9464"),
 		Flags: []cli.Flag{adminFlag()},
 		Action: func(c *cli.Context) error {
@@ -24,7 +24,7 @@
 			}
 			t := newTable(c, "INSTANCE", "PER SECOND", "FOR", "LAST HEARD", "WANTED", "KEEPER", "PART")
 			for _, l := range st.Limits {
-				t.AppendRow([]any{l.Instance, short(l.PerSecond), seconds(l.ForMs), ago(l.HeardMs), short(l.Wanted), st.Keeper, short(st.Part)})
+				t.AppendRow([]any{l.Instance, formatNumber(l.PerSecond), formatSeconds(l.ForMs), formatAgo(l.HeardMs), formatNumber(l.Wanted), st.Keeper, formatNumber(st.Part)})
 			}
 			t.Render()
 			return nil
@@ -32,4 +32,4 @@
 	}
 }
 
-func ago(ms int64) string { return (time.Duration(ms) * time.Millisecond).String() + " ago" }
+func formatAgo(ms int64) string { return (time.Duration(ms) * time.Millisecond).String() + " ago" }
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -13,8 +13,8 @@
 
 func gatewayQuarantine() *cli.Command {
 	return &cli.Command{
-		Name: "quarantine", Usage: "list requests under which instances have ended, or let one run again",
-		Description: example("A request is refused after three instances have ended under it. With --clear it may run again at all gateways.",
+		Name: "quarantine", Usage: "list requests that have crashed instances, or release one",
+		Description: withExample("A request is rejected after it has crashed three instances. With --clear it may run again at all gateways.",
 			"rockdoor gateway quarantine --admin 10.1.0.22:9464"),
 		Flags: []cli.Flag{adminFlag(), &cli.StringFlag{Name: "clear", Usage: "`FINGERPRINT` of the request that may run again"}},
 		Action: func(c *cli.Context) error {
@@ -30,9 +30,9 @@
 			for _, s := range all {
 				refused := "-"
 				if s.Refused {
-					refused = seconds(s.RefusedForMs)
+					refused = formatSeconds(s.RefusedForMs)
 				}
-				t.AppendRow([]any{s.Fingerprint, refused, seconds(s.LastEndMs) + " ago", strings.Join(s.Ended, " ")})
+				t.AppendRow([]any{s.Fingerprint, refused, formatSeconds(s.LastEndMs) + " ago", strings.Join(s.Ended, " ")})
 			}
 			t.Render()
 			return nil
@@ -40,6 +40,6 @@
 	}
 }
 
-func seconds(ms int64) string {
+func formatSeconds(ms int64) string {
 	return (time.Duration(ms) * time.Millisecond).Round(time.Second).String()
 }
--- a/internal/cli/rules.go
+++ b/internal/cli/rules.go
@@ -13,26 +13,26 @@
 	"github.com/rockdoor/rockdoor/platform"
 )
 
-// rulesKey is where the rules are kept.
+// rulesKey is the key of the rules in the platform's store.
 const rulesKey = platform.RulesPrefix + "main"
 
 func rulesCommand() *cli.Command {
 	flags := []cli.Flag{&cli.StringFlag{Name: "store", Usage: "`ADDRESS` of the platform's store", Required: true, EnvVars: []string{"ROCKDOOR_STORE"}}}
 	return &cli.Command{
-		Name: "rules", Usage: "labels and selectors that say where the gateways' requests may run",
+		Name: "rules", Usage: "manage the labels and selectors that restrict where the gateways' requests may run",
 		Subcommands: []*cli.Command{
 			{
 				Name: "get", Usage: "print the rules in force", Flags: flags, Action: withStore(getRules),
-				Description: example("Without rules, every instance is permitted.", "rockdoor rules get --store 10.200.1.7:8142"),
+				Description: withExample("Without rules, every instance is permitted.", "rockdoor rules get --store 10.200.1.7:8142"),
 			},
 			{
 				Name: "apply", Usage: "replace the rules", ArgsUsage: "FILE", Flags: flags, Action: withStore(applyRules),
-				Description: example("The file has labels by domain/NAME or service/NAME and selectors by route; a selector at * holds for all routes.\n"+
-					"The rules are in force at all gateways within a few seconds.", "rockdoor rules apply --store 10.200.1.7:8142 rules.json"),
+				Description: withExample("The file has labels by domain/NAME or service/NAME and selectors by route; the selector under * applies to all routes.\n"+
+					"The rules take effect at all gateways within a few seconds.", "rockdoor rules apply --store 10.200.1.7:8142 rules.json"),
 			},
 			{
 				Name: "remove", Usage: "remove the rules", Flags: flags, Action: withStore(removeRules),
-				Description: example("Afterwards every instance is permitted.", "rockdoor rules remove --store 10.200.1.7:8142"),
+				Description: withExample("Afterwards every instance is permitted.", "rockdoor rules remove --store 10.200.1.7:8142"),
 			},
 		},
 	}
