--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -29,11 +29,11 @@
 
 func TestCompletionsArriveWhole(t *testing.T) {
 	f := start(t)
-	whole := f.chat("review", false)
-	require.Equal(t, 200, whole.status, whole.body)
-	require.Equal(t, "complete", whole.header.Get(HeaderOutcome))
-	require.Equal(t, "7", whole.header.Get(HeaderRevision))
-	require.Contains(t, whole.body, answer.Text("hello", 6))
+	complete := f.chat("review", false)
+	require.Equal(t, 200, complete.status, complete.body)
+	require.Equal(t, "complete", complete.header.Get(HeaderOutcome))
+	require.Equal(t, "7", complete.header.Get(HeaderRevision))
+	require.Contains(t, complete.body, answer.Text("hello", 6))
 	stream := f.chat("review", true)
 	got, done := text(t, stream.body)
 	require.True(t, done)
@@ -76,10 +76,10 @@
 
 func TestWhatMayHaveRunIsNotRepeatedUnlessIdempotent(t *testing.T) {
 	for name, faults := range map[string]engined.Faults{
-		"cut before headers": {CutBeforeHeaders: true},
-		"crossed answer":     {WrongID: true},
-		"garbage":            {Garbage: true},
-		"cut in the stream":  {CutAfter: 3},
+		"closed before headers":       {CutBeforeHeaders: true},
+		"response to another request": {WrongID: true},
+		"garbage":                     {Garbage: true},
+		"interrupted stream":          {CutAfter: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := start(t)
@@ -103,9 +103,9 @@
 
 func TestIdempotentRequestsGoOnElsewhere(t *testing.T) {
 	for name, faults := range map[string]engined.Faults{
-		"cut before headers": {CutBeforeHeaders: true},
-		"crossed answer":     {WrongID: true},
-		"cut in the stream":  {CutAfter: 3},
+		"closed before headers":       {CutBeforeHeaders: true},
+		"response to another request": {WrongID: true},
+		"interrupted stream":          {CutAfter: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := start(t)
@@ -416,8 +416,8 @@
 	busy := *before
 	busy.PeerLoads = map[string]routing.Load{"e1": {Requests: 3}}
 	f.set(&busy)
-	answers := make(chan got)
-	go func() { answers <- f.chat("notes", true) }()
+	responses := make(chan got)
+	go func() { responses <- f.chat("notes", true) }()
 	require.Eventually(t, func() bool { return len(f.engines[0].Runs()) == 1 }, 5*time.Second, time.Millisecond)
 	narrow := *before
 	narrow.Revision++
@@ -429,7 +429,7 @@
 	require.NoError(t, err)
 	f.set(&narrow)
 	f.engines[0].Close() // interrupts the request
-	g := <-answers
+	g := <-responses
 	require.Equal(t, codeUnknown, g.code(t))
 	require.Empty(t, f.engines[1].Runs())
 }
--- a/internal/entry/share_test.go
+++ b/internal/entry/share_test.go
@@ -18,16 +18,16 @@
 func TestFloodingWorkspaceCannotStarveAnother(t *testing.T) {
 	f := start(t)
 	f.engineFaults(engined.Faults{Silent: true})
-	answers := make(chan got, 40)
+	responses := make(chan got, 40)
 	for range 40 {
-		go func() { answers <- f.chat("review", false, HeaderWorkspace, "flood", HeaderDeadline, "1s") }()
+		go func() { responses <- f.chat("review", false, HeaderWorkspace, "flood", HeaderDeadline, "1s") }()
 	}
 	require.Eventually(t, func() bool { return f.runs() >= 8 }, 5*time.Second, time.Millisecond)
 	g := f.chat("review", false, HeaderDeadline, "300ms")
 	require.Equal(t, codeUnknown, g.code(t), "the request was sent although another workspace floods the engines")
 	refused := 0
 	for range 40 {
-		if g := <-answers; g.header.Get(HeaderOutcome) == "not_run" {
+		if g := <-responses; g.header.Get(HeaderOutcome) == "not_run" {
 			refused++
 			require.NotEmpty(t, g.header.Get("Retry-After"))
 		}
