--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -35,7 +35,7 @@
 	loadRetentionIntervals = 6
 )
 
-// Options of a Loop.
+// Options configures a Loop.
 type Options struct {
 	Self       members.Member
 	Mirror     *mirror.Mirror
--- a/internal/control/heartbeat.go
+++ b/internal/control/heartbeat.go
@@ -49,7 +49,7 @@
 	probed   map[string]bool // addresses whose first heartbeat succeeded or failed
 }
 
-// HeartbeaterOptions of a Heart.
+// HeartbeaterOptions configures a Heartbeater.
 type HeartbeaterOptions struct {
 	Loop      *Loop
 	Mirror    *mirror.Mirror
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -25,7 +25,9 @@
 type MemberState struct {
 	members.Member
 	Health members.Health `json:"health"`
-	// LastContact is when the last heartbeat of the member arrived, zero if none has.
+	// LastContact is when this process last had contact with the member. If a peer reports
+	// the member as unresponsive, it is the estimated last contact of that peer, if later.
+	// It is zero if there was no contact.
 	LastContact bootclock.Instant `json:"-"`
 	// ConfigRevision is the revision of the configuration in force at the member, as of
 	// LastContact.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -37,7 +37,7 @@
 	retryAfter = 3 * time.Second
 )
 
-// Options of a Manager.
+// Options configures a Manager.
 type Options struct {
 	Store    objstore.Store
 	Engines  engine.Controller
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -49,7 +49,7 @@
 	handOverTimeout   = 5 * time.Second
 )
 
-// Daemon is one process.
+// Daemon is one rockdoor process.
 type Daemon struct {
 	set    *settings.Settings
 	logger log.Logger
--- a/internal/e2e/deadly_test.go
+++ b/internal/e2e/deadly_test.go
@@ -8,9 +8,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCallThatEndsItsServers sends a call again and again, to all processes in turn, that crashes
-// each server that runs it. The processes must share what they observe and quarantine the request.
-// If failures counted only against the servers, it would be forwarded for as long as it arrives.
+// A client keeps sending, to all processes in turn, a request that crashes every server that runs
+// it. The processes must share their observations and quarantine the request. If failures counted
+// only against the servers, and were known only to the process that observed them, the request
+// would be forwarded every time.
 func TestCallThatEndsItsServers(t *testing.T) {
 	const (
 		every         = 100 * time.Millisecond
--- a/internal/e2e/ratelimit_test.go
+++ b/internal/e2e/ratelimit_test.go
@@ -14,9 +14,9 @@
 	"github.com/rockdoor/rockdoor/internal/standin/serviced"
 )
 
-// TestRateLimitHoldsForTheSumOfAllEntryProcesses has a server announce a rate limit for the sum of all
-// entry processes. The process that coordinates the grants is paused and resumed, then killed and
-// restarted. Without shared grants, each process would send at its own rate.
+// A server announces a rate limit for the sum of the requests of all entry processes. The limit must
+// hold while the process that coordinates the grants is paused and resumed, then killed and restarted.
+// Without coordinated grants, each process would send all requests that it receives.
 func TestRateLimitHoldsForTheSumOfAllEntryProcesses(t *testing.T) {
 	const (
 		entries = 4
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -68,14 +68,14 @@
 			return
 		}
 		r.s.outcomes.withdraw(claim.Claimant)
-		if res.Seen && r.duplicate(res) {
+		if res.Seen && r.handleDuplicate(res) {
 			return
 		}
 		time.Sleep(claimBackoff + rand.N(claimBackoff))
 		claim.Claimant = r.c.id + "-" + hex.EncodeToString([]byte{byte(rand.IntN(256)), byte(rand.IntN(256))})
 	}
 	if res.Seen {
-		r.duplicateUnknown()
+		r.replyOutcomeUnknown()
 		return
 	}
 	r.life.Fire(charts.Refused)
@@ -103,10 +103,10 @@
 	r.s.outcomes.finish(r.claim.Claimant, r.w.(*recorder).outcome(string(outcome)))
 }
 
-// duplicate replies to a call whose idempotency key is held by another request.
+// handleDuplicate replies to a call whose idempotency key is held by another request.
 // It returns false without a reply if that request has been withdrawn, so that
 // the key may be claimed again.
-func (r *run) duplicate(res claims.Result) bool {
+func (r *run) handleDuplicate(res claims.Result) bool {
 	if res.Mismatch {
 		r.replyToDuplicate(errorReply(http.StatusUnprocessableEntity, codeKeyMismatch,
 			fault.New(fault.Invalid, "idempotency key was used for another request", "use a new key for each request"), 0))
@@ -128,14 +128,14 @@
 		r.replyToDuplicate(&reply{status: http.StatusConflict, code: codeKeyInUse, outcome: statechart.State(out.Outcome),
 			err: fault.New(fault.Conflict, "a request with this idempotency key has ended, its response was too large to be stored", "do not send it again; its outcome is in the header "+HeaderOutcome)})
 	default:
-		r.duplicateUnknown()
+		r.replyOutcomeUnknown()
 	}
 	return true
 }
 
-// duplicateUnknown replies to a call whose idempotency key is held by a request
+// replyOutcomeUnknown replies to a call whose idempotency key is held by a request
 // whose outcome cannot be determined.
-func (r *run) duplicateUnknown() {
+func (r *run) replyOutcomeUnknown() {
 	r.replyToDuplicate(&reply{status: http.StatusBadGateway, code: codeUnknown, outcome: charts.RequestUnknown,
 		err: fault.New(fault.Unknown, "a request with this idempotency key may have run and its outcome is unknown", "find out by other means whether it took effect")})
 }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -36,7 +36,7 @@
 	pathText           = "/v1/completions"
 )
 
-// Options of a Server.
+// Options configures a Server.
 type Options struct {
 	Settings *settings.Settings
 	// Snapshot returns the latest control state.
