--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -163,9 +163,9 @@
 		st.MirrorRevision = objstore.Revision(c.lastHeartbeat.GetMirrorRevision())
 		st.Health = members.HealthAt(true, bootclock.Since(c.lastContact), l.o.Heartbeat, c.shuttingDown())
 	}
-	if said, ok := l.unresponsiveReports[m.Name]; ok && said.incarnation == m.Incarnation && st.Health != members.Alive && st.Health != members.Leaving {
+	if report, ok := l.unresponsiveReports[m.Name]; ok && report.incarnation == m.Incarnation && st.Health != members.Alive && st.Health != members.Leaving {
 		st.Health = members.Suspected
-		st.LastContact = max(st.LastContact, said.at.Add(-members.SuspectAfter*l.o.Heartbeat))
+		st.LastContact = max(st.LastContact, report.at.Add(-members.SuspectAfter*l.o.Heartbeat))
 	}
 	return st
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -137,13 +137,13 @@
 
 // rank returns this process's rank among the candidates for a pool.
 func rank(ms []control.MemberState, self, pool string) int {
-	var living []string
+	var alive []string
 	for _, m := range ms {
 		if m.Health.IsAlive() {
-			living = append(living, m.Name)
+			alive = append(alive, m.Name)
 		}
 	}
-	return members.Rank("pool/"+pool, self, living)
+	return members.Rank("pool/"+pool, self, alive)
 }
 
 func (m *Manager) stopAll() {
--- a/internal/e2e/ratelimit_test.go
+++ b/internal/e2e/ratelimit_test.go
@@ -44,7 +44,7 @@
 			}
 		})
 	}
-	begun := time.Now()
+	started := time.Now()
 	f.await("the limit is known", func() bool { return len(limited.Runs()) > 0 })
 	time.Sleep(window)
 	f.procs[0].signal(syscall.SIGSTOP)
@@ -64,17 +64,17 @@
 		at = append(at, run.Start)
 	}
 	slices.SortFunc(at, time.Time.Compare)
-	most, used := 0, 0
+	peak, used := 0, 0
 	for n, from := range at {
 		if from.After(steady) {
 			used++
 		}
 		end, _ := slices.BinarySearchFunc(at, from.Add(window), time.Time.Compare)
 		if from.Sub(at[0]) >= settle {
-			most = max(most, end-n)
+			peak = max(peak, end-n)
 		}
 	}
-	t.Logf("%d calls in %s, at most %d in %s, %d in the last", len(at), time.Since(begun).Round(time.Second), most, window, used)
-	require.LessOrEqual(t, float64(most), slack*rate*window.Seconds())
+	t.Logf("%d calls in %s, at most %d in %s, %d in the last", len(at), time.Since(started).Round(time.Second), peak, window, used)
+	require.LessOrEqual(t, float64(peak), slack*rate*window.Seconds())
 	require.GreaterOrEqual(t, float64(used), 0.9*rate*window.Seconds()-1)
 }
--- a/internal/entry/ratelimit_test.go
+++ b/internal/entry/ratelimit_test.go
@@ -18,7 +18,7 @@
 // A target announces a rate limit in its responses. Without the limit it would get as many calls as
 // the other target.
 func TestTargetThatLimitsItsRate(t *testing.T) {
-	const during, most = 2 * time.Second, 1 + 1.2*5*2
+	const window, maxRuns = 2 * time.Second, 1 + 1.2*5*2
 	limits := map[string]struct {
 		limit func(f *fleet)
 		send  func(f *fleet, n int) got
@@ -39,12 +39,12 @@
 		t.Run(name, func(t *testing.T) {
 			f := start(t)
 			c.limit(f)
-			for n, begun := 0, time.Now(); time.Since(begun) < during; n++ {
+			for n, started := 0, time.Now(); time.Since(started) < window; n++ {
 				got := c.send(f, n)
 				require.Equal(t, http.StatusOK, got.status, got.body)
 			}
 			require.NotZero(t, c.runs(f))
-			require.LessOrEqual(t, float64(c.runs(f)), most, "in %s", during)
+			require.LessOrEqual(t, float64(c.runs(f)), maxRuns, "in %s", window)
 		})
 	}
 }
@@ -75,11 +75,11 @@
 	f.engines[0].SetFaults(engined.Faults{RateLimit: "5"})
 	f.snapshot.Reports = map[string]control.Report{"e0": {Status: engine.Status{Role: engine.RolePrefill}}}
 	body := fmt.Sprintf(`{"model": "notes", "max_tokens": 1, "messages": [{"role": "user", "content": %q}]}`, strings.Repeat("word ", 600))
-	const during, most = 2 * time.Second, 1 + 1.2*5*2
-	for begun := time.Now(); time.Since(begun) < during; {
+	const window, maxRuns = 2 * time.Second, 1 + 1.2*5*2
+	for started := time.Now(); time.Since(started) < window; {
 		got := f.do(http.MethodPost, pathChat, body)
 		require.Equal(t, http.StatusOK, got.status, got.body)
 	}
 	require.NotZero(t, len(f.engines[0].Runs()))
-	require.LessOrEqual(t, float64(len(f.engines[0].Runs())), most)
+	require.LessOrEqual(t, float64(len(f.engines[0].Runs())), maxRuns)
 }
