--- a/internal/e2e/ratelimit_test.go
+++ b/internal/e2e/ratelimit_test.go
@@ -14,17 +14,16 @@
 	"github.com/rockdoor/rockdoor/internal/standin/serviced"
 )
 
-// TestRateLimitHoldsForTheSumOfAllEntryProcesses has a server of a service name how many calls a second it
-// takes from all entry processes together, while one of these is suspended and goes on, and then is
-// killed and starts again: the one that grants the calls to the others. Each process sent as many as it
-// got.
+// A server announces a rate limit for the sum of the requests of all entry processes. The limit must
+// hold while the process that coordinates the grants is paused and resumed, then killed and restarted.
+// Without coordinated grants, each process would send all requests that it receives.
 func TestRateLimitHoldsForTheSumOfAllEntryProcesses(t *testing.T) {
 	const (
 		entries = 4
 		rate    = 5.0
-		use     = 1.2
+		slack   = 1.2
 		window  = 4 * time.Second
-		heard   = 500 * time.Millisecond
+		settle  = 500 * time.Millisecond
 		sendGap = 30 * time.Millisecond
 		pause   = 2500 * time.Millisecond
 	)
@@ -45,7 +44,7 @@
 			}
 		})
 	}
-	begun := time.Now()
+	started := time.Now()
 	f.await("the limit is known", func() bool { return len(limited.Runs()) > 0 })
 	time.Sleep(window)
 	f.procs[0].signal(syscall.SIGSTOP)
@@ -65,17 +64,17 @@
 		at = append(at, run.Start)
 	}
 	slices.SortFunc(at, time.Time.Compare)
-	most, used := 0, 0
+	peak, used := 0, 0
 	for n, from := range at {
 		if from.After(steady) {
 			used++
 		}
 		end, _ := slices.BinarySearchFunc(at, from.Add(window), time.Time.Compare)
-		if from.Sub(at[0]) >= heard {
-			most = max(most, end-n)
+		if from.Sub(at[0]) >= settle {
+			peak = max(peak, end-n)
 		}
 	}
-	t.Logf("%d calls in %s, at most %d in %s, %d in the last", len(at), time.Since(begun).Round(time.Second), most, window, used)
-	require.LessOrEqual(t, float64(most), use*rate*window.Seconds())
+	t.Logf("%d calls in %s, at most %d in %s, %d in the last", len(at), time.Since(started).Round(time.Second), peak, window, used)
+	require.LessOrEqual(t, float64(peak), slack*rate*window.Seconds())
 	require.GreaterOrEqual(t, float64(used), 0.9*rate*window.Seconds()-1)
 }
