--- a/internal/standin/crash/crash.go
+++ b/internal/standin/crash/crash.go
@@ -1,4 +1,4 @@
-// Package crash keeps stand-ins for servers that can crash and are started again.
+// Package crash runs the stand-ins of servers that crash and are restarted by a supervisor.
 package crash
 
 import (
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Host keeps one server at an address, and starts another one there after it has crashed, as a
-// supervisor does. It is safe for concurrent use.
+// Host runs an HTTP server at a fixed address. After a crash, it starts a new server at the same
+// address, as a supervisor does. It is safe for concurrent use.
 type Host struct {
 	address string
-	// start returns what is to run at the address now, which may call crash.
-	start func(address string, crash func()) http.Handler
-	// away is how long nothing listens after a crash.
-	away time.Duration
+	// newHandler returns the handler of a new server. The handler calls crash to simulate a crash.
+	newHandler func(address string, crash func()) http.Handler
+	// restartDelay is the time between a crash and the restart. Connections are refused meanwhile.
+	restartDelay time.Duration
 
 	mu      sync.Mutex
 	server  *http.Server
@@ -23,19 +23,20 @@
 	closed  bool
 }
 
-// NewHost listens at an address, whose port may be 0, and serves what start returns there.
-func NewHost(address string, away time.Duration, start func(address string, crash func()) http.Handler) (*Host, error) {
+// NewHost listens on address, whose port may be 0, and serves the handler that newHandler returns.
+// NewHandler is called again for each restart, which follows restartDelay after a crash.
+func NewHost(address string, restartDelay time.Duration, newHandler func(address string, crash func()) http.Handler) (*Host, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	h := &Host{address: l.Addr().String(), start: start, away: away}
+	h := &Host{address: l.Addr().String(), newHandler: newHandler, restartDelay: restartDelay}
 	h.serve(l)
 	return h, nil
 }
 
 func (h *Host) serve(l net.Listener) {
-	server := &http.Server{Handler: h.start(h.address, h.crash)}
+	server := &http.Server{Handler: h.newHandler(h.address, h.crash)}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.closed {
@@ -43,20 +44,20 @@
 		return
 	}
 	h.server = server
-	go func() { _ = server.Serve(l) }() // ends with the crash
+	go func() { _ = server.Serve(l) }() // returns when crash or Close closes the server
 }
 
-// crash breaks all connections off, and refuses new ones for a while.
+// crash closes all connections and the listener, and schedules the restart.
 func (h *Host) crash() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.server == nil {
-		return // it is down already
+		return // an earlier crash has already stopped the server
 	}
 	_ = h.server.Close()
 	h.server = nil
 	h.crashes++
-	time.AfterFunc(h.away, h.restart)
+	time.AfterFunc(h.restartDelay, h.restart)
 }
 
 func (h *Host) restart() {
@@ -67,21 +68,21 @@
 		return
 	}
 	l, err := net.Listen("tcp", h.address)
-	if err != nil { // somebody has the port for a moment
-		time.AfterFunc(h.away, h.restart)
+	if err != nil { // another process may hold the port temporarily
+		time.AfterFunc(h.restartDelay, h.restart)
 		return
 	}
 	h.serve(l)
 }
 
-// Crashes returns how often the server has crashed.
+// Crashes returns the number of crashes so far.
 func (h *Host) Crashes() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.crashes
 }
 
-// Close ends the server for good.
+// Close stops the server and prevents further restarts.
 func (h *Host) Close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/standin/engined/engined.go
+++ b/internal/standin/engined/engined.go
@@ -1,6 +1,7 @@
-// Package engined is a stand-in for a model engine: it batches continuously,
-// takes orders, reports its load with a lag and records every run and every
-// order that took effect, so that tests can check them.
+// Package engined implements a stand-in for a model engine, for tests and
+// experiments. It simulates continuous batching, applies orders and reports its
+// load with a lag. It records every run and every order that took effect, so that
+// tests can check them.
 package engined
 
 import (
@@ -23,51 +24,54 @@
 // Options describes one engine.
 type Options struct {
 	Name string
-	// Fencing engines refuse an order that carries an old fencing token.
+	// Fencing makes the engine reject orders with an outdated fencing token.
 	Fencing bool
 	Role    engine.Role
 	Models  []string
 	Timing  Timing
 }
 
-// Faults says how the engine misbehaves.
+// Faults selects the failures that the engine simulates.
 type Faults struct {
-	// CutAfter ends each stream after that many pieces.
+	// CutAfter, if positive, closes the connection after this many pieces of a response.
 	CutAfter int `json:"cutAfter"`
-	// CutBeforeHeaders closes the connection after the request was run.
+	// CutBeforeHeaders accepts the request and closes the connection before the response headers.
 	CutBeforeHeaders bool `json:"cutBeforeHeaders"`
-	// WrongID answers as if for another request.
+	// WrongID responds with the ID of another attempt.
 	WrongID bool `json:"wrongID"`
-	// Silent accepts requests and says nothing.
+	// Silent accepts requests and never responds to them.
 	Silent bool `json:"silent"`
-	// Refuse answers 503 without running.
+	// Refuse rejects requests with 503 and does not run them.
 	Refuse bool `json:"refuse"`
-	// RateLimit is named in all answers as the rate limit, empty for none.
+	// RateLimit is sent in the rate limit header of all responses. If it is empty, the header is
+	// left out.
 	RateLimit string `json:"rateLimit"`
-	// Garbage answers with bytes that are no answer.
+	// Garbage responds with a body that is not valid in the API.
 	Garbage bool `json:"garbage"`
-	// CrashInOrder leaves the engine half-changed in its next order.
+	// CrashInOrder makes the engine crash while it changes its role for an order. It then serves no
+	// requests until a reset.
 	CrashInOrder bool `json:"crashInOrder"`
 }
 
-// Run is the engine's record of one request.
+// Run is the record of one request that the engine ran.
 type Run struct {
 	Attempt string `json:"attempt"`
 	LoadID  string `json:"loadID"`
 	Engine  string `json:"engine"`
 	Model   string `json:"model"`
-	// Phase is prefill for a run that only read the prompt.
-	Phase     string `json:"phase"`
-	From      int    `json:"from"`
-	Pieces    int    `json:"pieces"`
-	Cancelled bool   `json:"cancelled"`
-	// Aborted runs were cut by an order that the engine took.
+	// Phase is "prefill" for a run that only prefilled the prompt.
+	Phase string `json:"phase"`
+	// From is the index of the first generated piece. It is positive in a run that resumes a response.
+	From      int  `json:"from"`
+	Pieces    int  `json:"pieces"`
+	Cancelled bool `json:"cancelled"`
+	// Aborted is true if an order ended the run.
 	Aborted bool      `json:"aborted"`
 	Start   time.Time `json:"start"`
 	End     time.Time `json:"end"`
 }
 
-// Server is the stand-in. It is an http.Handler and safe for concurrent use.
+// Server is a simulated engine. It is an http.Handler and safe for concurrent use.
 type Server struct {
 	opts   Options
 	router *mux.Router
@@ -77,16 +81,17 @@
 	faults   Faults
 	runs     []Run
 	orders   []engine.Order
-	token    int64
+	maxToken int64
 	role     engine.Role
 	changing bool
-	// halfway is true after a crash in the middle of an order.
-	halfway bool
-	models  []string
-	// abort ends all running requests; an engine that changes role drops them.
-	abort   context.CancelFunc
-	life    context.Context
-	reports []engine.Status
+	// crashedInOrder is true from a simulated crash until the next reset.
+	crashedInOrder bool
+	models         []string
+	// runsCtx is the parent of all running requests, which abortRuns ends: a change of the role drops
+	// them.
+	abortRuns     context.CancelFunc
+	runsCtx       context.Context
+	statusHistory []engine.Status
 }
 
 // New starts an engine.
@@ -99,12 +104,12 @@
 	r.HandleFunc("/v1/chat/completions", s.complete).Methods(http.MethodPost)
 	r.HandleFunc("/v1/completions", s.complete).Methods(http.MethodPost)
 	r.HandleFunc("/control/status", s.getStatus).Methods(http.MethodGet)
-	r.HandleFunc("/control/order", s.order).Methods(http.MethodPost)
+	r.HandleFunc("/control/order", s.postOrder).Methods(http.MethodPost)
 	r.HandleFunc("/lab/runs", s.getRuns).Methods(http.MethodGet)
 	r.HandleFunc("/lab/orders", s.getOrders).Methods(http.MethodGet)
 	r.HandleFunc("/lab/faults", s.putFaults).Methods(http.MethodPut)
 	s.router = r
-	s.life, s.abort = context.WithCancel(context.Background())
+	s.runsCtx, s.abortRuns = context.WithCancel(context.Background())
 	go s.sched.run()
 	return s
 }
@@ -114,34 +119,34 @@
 	s.sched.close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.abort()
+	s.abortRuns()
 }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.router.ServeHTTP(w, r) }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the simulated failures.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// SetRole changes the role at once, without an order.
+// SetRole changes the role immediately and without an order.
 func (s *Server) SetRole(r engine.Role) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.role = r
 }
 
-// Runs returns the record of all runs.
+// Runs returns the recorded runs in the order of their start.
 func (s *Server) Runs() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Run{}, s.runs...)
 }
 
-// Orders returns the orders that took effect, in order.
+// Orders returns the orders that took effect, oldest first.
 func (s *Server) Orders() []engine.Order {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,7 +163,7 @@
 	f := s.currentFaults()
 	var req openai.Request
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
-		http.Error(w, "bad request", http.StatusBadRequest)
+		http.Error(w, "request body is not valid JSON", http.StatusBadRequest)
 		return
 	}
 	if f.RateLimit != "" {
@@ -174,37 +179,37 @@
 	from, _ := strconv.Atoi(r.Header.Get(openai.ResumeHeader))
 	priority, _ := strconv.Atoi(r.Header.Get(openai.PriorityHeader))
 	total := answer.Length(prompt, req.MaxTokens)
-	n := s.begin(Run{
+	n := s.recordStart(Run{
 		Attempt: r.Header.Get(openai.AttemptHeader), LoadID: r.Header.Get("X-Load-Id"),
 		Engine: s.opts.Name, Model: req.Model, Phase: phase, From: from, Start: time.Now(),
 	})
 	pieces := 0
-	ctx, life := s.runContext(r.Context())
-	defer func() { s.end(n, pieces, r.Context().Err() != nil, life.Err() != nil) }()
+	ctx, allRuns := s.runContext(r.Context())
+	defer func() { s.recordEnd(n, pieces, r.Context().Err() != nil, allRuns.Err() != nil) }()
 	if f.Silent {
 		<-ctx.Done()
 		panic(http.ErrAbortHandler)
 	}
-	q := &sequence{ctx: ctx, priority: priority, prefill: answer.Tokens(prompt) + from, decode: max(total-from, 0)}
+	q := &sequence{ctx: ctx, priority: priority, remainingPrefill: answer.Tokens(prompt) + from, remainingDecode: max(total-from, 0)}
 	if phase == openai.PhasePrefill {
 		if f.CutBeforeHeaders {
 			panic(http.ErrAbortHandler)
 		}
-		s.export(w, r, q)
+		s.exportKV(w, r, q)
 		return
 	}
 	if kv != "" {
 		tokens, _ := strconv.Atoi(r.Header.Get(openai.KVTokensHeader))
 		time.Sleep(s.opts.Timing.importTime(tokens))
-		q.prefill = from
+		q.remainingPrefill = from
 	}
-	s.sched.add(q)
+	s.sched.enqueue(q)
 	id := r.Header.Get(openai.AttemptHeader)
 	if f.WrongID {
 		id = "other-" + id
 	}
 	w.Header().Set(openai.AttemptHeader, id)
-	out := writer{w: w, id: id, req: &req, prompt: prompt, chat: r.URL.Path == "/v1/chat/completions"}
+	out := responseWriter{w: w, id: id, req: &req, prompt: prompt, chat: r.URL.Path == "/v1/chat/completions"}
 	if f.CutBeforeHeaders {
 		panic(http.ErrAbortHandler)
 	}
@@ -221,13 +226,13 @@
 		if f.CutAfter > 0 && i-from >= f.CutAfter {
 			panic(http.ErrAbortHandler)
 		}
-		out.piece(i)
+		out.writePiece(i)
 		pieces++
 	}
 	out.finish(total)
 }
 
-// accepts reports whether the engine takes a request in its present role.
+// accepts reports whether the engine accepts a request in its current role.
 func (s *Server) accepts(phase, kv string, promptTokens int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -242,11 +247,11 @@
 	return true
 }
 
-// export reads the prompt and names the KV cache that it leaves.
-func (s *Server) export(w http.ResponseWriter, r *http.Request, q *sequence) {
-	tokens := q.prefill
-	q.decode = 1
-	s.sched.add(q)
+// exportKV prefills the prompt and responds with the ID of the resulting KV cache.
+func (s *Server) exportKV(w http.ResponseWriter, r *http.Request, q *sequence) {
+	tokens := q.remainingPrefill
+	q.remainingDecode = 1
+	s.sched.enqueue(q)
 	select {
 	case <-q.ready:
 	case <-q.ctx.Done():
@@ -257,24 +262,25 @@
 	writeJSON(w, http.StatusOK, openai.KVExport{KV: s.opts.Name + "/" + id, PromptTokens: tokens})
 }
 
-// runContext ends with the request or when the engine drops all requests.
-func (s *Server) runContext(ctx context.Context) (run, life context.Context) {
+// runContext returns a context that is cancelled with the request or when the engine drops all its
+// requests, and the context that is cancelled only in the second case.
+func (s *Server) runContext(ctx context.Context) (run, all context.Context) {
 	s.mu.Lock()
-	life = s.life
+	all = s.runsCtx
 	s.mu.Unlock()
 	run, cancel := context.WithCancel(ctx)
-	context.AfterFunc(life, cancel)
-	return run, life
+	context.AfterFunc(all, cancel)
+	return run, all
 }
 
-func (s *Server) begin(run Run) int {
+func (s *Server) recordStart(run Run) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs = append(s.runs, run)
 	return len(s.runs) - 1
 }
 
-func (s *Server) end(n, pieces int, cancelled, aborted bool) {
+func (s *Server) recordEnd(n, pieces int, cancelled, aborted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs[n].Pieces = pieces
@@ -283,62 +289,62 @@
 	s.runs[n].End = time.Now()
 }
 
-// writer sends an answer, as a stream or whole.
-type writer struct {
+// responseWriter sends a completion, either as a stream of events or as one JSON document.
+type responseWriter struct {
 	w      http.ResponseWriter
 	id     string
 	req    *openai.Request
 	prompt string
 	chat   bool
-	whole  string
+	text   string
 }
 
-func (o *writer) event(data string) {
+func (o *responseWriter) writeEvent(data string) {
 	m := &sse.Message{}
 	m.AppendData(data)
 	_, _ = m.WriteTo(o.w)
 	_ = http.NewResponseController(o.w).Flush()
 }
 
-func (o *writer) piece(i int) {
+func (o *responseWriter) writePiece(i int) {
 	text := answer.Piece(o.prompt, i)
 	if !o.req.Stream {
-		o.whole += text
+		o.text += text
 		return
 	}
 	if i == 0 || o.w.Header().Get("Content-Type") == "" {
 		o.w.Header().Set("Content-Type", "text/event-stream")
 	}
 	data, _ := json.Marshal(openai.NewChunk(o.id, o.req.Model, text, o.chat))
-	o.event(string(data))
+	o.writeEvent(string(data))
 }
 
-func (o *writer) finish(total int) {
+func (o *responseWriter) finish(total int) {
 	if o.req.Stream {
 		data, _ := json.Marshal(openai.NewFinalChunk(o.id, o.req.Model, o.chat))
-		o.event(string(data))
-		o.event(openai.Done)
+		o.writeEvent(string(data))
+		o.writeEvent(openai.Done)
 		return
 	}
 	o.w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(o.w).Encode(openai.NewResponse(o.id, o.req.Model, o.whole, answer.Tokens(o.prompt), total, o.chat))
+	_ = json.NewEncoder(o.w).Encode(openai.NewResponse(o.id, o.req.Model, o.text, answer.Tokens(o.prompt), total, o.chat))
 }
 
-// getStatus reports the load as it was ReportLag ago.
+// getStatus reports the current role and models, and the load as of the time ReportLag ago.
 func (s *Server) getStatus(w http.ResponseWriter, _ *http.Request) {
-	running, waiting, prefill, decode := s.sched.load()
+	running, waiting, prefill, decode := s.sched.queuedLoad()
 	now := time.Now()
 	s.mu.Lock()
 	st := engine.Status{
-		Role: s.role, Changing: s.changing, Token: s.token, Models: s.models, AsOf: now,
+		Role: s.role, Changing: s.changing, Token: s.maxToken, Models: s.models, AsOf: now,
 		Running: running, Waiting: waiting, PrefillTokens: prefill, DecodeTokens: decode,
 	}
-	s.reports = append(s.reports, st)
-	cut := now.Add(-s.opts.Timing.scale(s.opts.Timing.ReportLag))
-	for len(s.reports) > 1 && !s.reports[1].AsOf.After(cut) {
-		s.reports = s.reports[1:]
+	s.statusHistory = append(s.statusHistory, st)
+	cutoff := now.Add(-s.opts.Timing.scale(s.opts.Timing.ReportLag))
+	for len(s.statusHistory) > 1 && !s.statusHistory[1].AsOf.After(cutoff) {
+		s.statusHistory = s.statusHistory[1:]
 	}
-	lagged := s.reports[0]
+	lagged := s.statusHistory[0]
 	st.Running, st.Waiting = lagged.Running, lagged.Waiting
 	st.PrefillTokens, st.DecodeTokens, st.AsOf = lagged.PrefillTokens, lagged.DecodeTokens, lagged.AsOf
 	s.mu.Unlock()
@@ -351,43 +357,43 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// order takes an order. A repeated order id has no further effect.
-func (s *Server) order(w http.ResponseWriter, r *http.Request) {
+// postOrder accepts an order. If the ID of an order repeats, the order has no further effect.
+func (s *Server) postOrder(w http.ResponseWriter, r *http.Request) {
 	var o engine.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
-		http.Error(w, "bad order", http.StatusBadRequest)
+		http.Error(w, "order is not valid JSON", http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.opts.Fencing && o.Token < s.token {
-		http.Error(w, fmt.Sprintf("old token %d, have %d", o.Token, s.token), http.StatusPreconditionFailed)
+	if s.opts.Fencing && o.Token < s.maxToken {
+		http.Error(w, fmt.Sprintf("outdated fencing token %d, the highest is %d", o.Token, s.maxToken), http.StatusPreconditionFailed)
 		return
 	}
-	s.token = max(s.token, o.Token)
-	if o.Kind == engine.OrderFence || s.hasTaken(o.ID) {
+	s.maxToken = max(s.maxToken, o.Token)
+	if o.Kind == engine.OrderFence || s.hasAccepted(o.ID) {
 		return
 	}
 	if s.changing && o.Kind != engine.OrderReset {
-		http.Error(w, "busy with another order", http.StatusConflict)
+		http.Error(w, "another order is in progress", http.StatusConflict)
 		return
 	}
 	s.orders = append(s.orders, o)
 	if s.faults.CrashInOrder && o.Kind == engine.OrderRole {
-		s.dropRequests()
-		s.changing, s.halfway = true, true
+		s.abortAllRuns()
+		s.changing, s.crashedInOrder = true, true
 		panic(http.ErrAbortHandler)
 	}
-	s.take(o)
+	s.execute(o)
 }
 
-// dropRequests ends all running requests. The caller holds s.mu.
-func (s *Server) dropRequests() {
-	s.abort()
-	s.life, s.abort = context.WithCancel(context.Background())
+// abortAllRuns cancels all running requests. The caller holds s.mu.
+func (s *Server) abortAllRuns() {
+	s.abortRuns()
+	s.runsCtx, s.abortRuns = context.WithCancel(context.Background())
 }
 
-func (s *Server) hasTaken(id string) bool {
+func (s *Server) hasAccepted(id string) bool {
 	for _, o := range s.orders {
 		if o.ID == id {
 			return true
@@ -396,15 +402,15 @@
 	return false
 }
 
-// take starts the change that an order asks for. The caller holds s.mu.
-func (s *Server) take(o engine.Order) {
+// execute starts the change that an order requests. The caller holds s.mu.
+func (s *Server) execute(o engine.Order) {
 	switch o.Kind {
 	case engine.OrderRole:
-		s.dropRequests()
+		s.abortAllRuns()
 		s.changeRole(o.Role)
 	case engine.OrderReset:
-		if s.halfway || !s.changing {
-			s.halfway = false
+		if s.crashedInOrder || !s.changing {
+			s.crashedInOrder = false
 			s.changeRole(o.Role)
 		}
 	case engine.OrderLoad:
@@ -412,8 +418,8 @@
 	}
 }
 
-// changeRole makes the engine unavailable for the time of a change. The caller
-// holds s.mu.
+// changeRole starts a change of the role. The engine rejects requests until it has
+// ended. The caller holds s.mu.
 func (s *Server) changeRole(to engine.Role) {
 	s.changing = true
 	time.AfterFunc(s.opts.Timing.scale(s.opts.Timing.RoleChange), func() {
--- a/internal/standin/engined/scheduler.go
+++ b/internal/standin/engined/scheduler.go
@@ -7,32 +7,33 @@
 	"time"
 )
 
-// Timing is the speed of an engine. Each step of the engine prefills up to
+// Timing is the performance model of an engine. Each step prefills up to
 // PrefillChunk tokens and generates one token for every decoding sequence. It
 // lasts StepBase + StepPerSeq*decoding + prefilled/PrefillRate, divided by
-// Speedup. The zero Timing answers at once.
+// Speedup. With the zero Timing, all work takes no time.
 type Timing struct {
-	// PrefillRate is in tokens a second.
+	// PrefillRate is the speed of prefilling, in tokens per second. 0 means no delay.
 	PrefillRate float64 `json:"prefillRate"`
-	// PrefillChunk is the most prompt tokens in one step.
+	// PrefillChunk is the maximum number of prompt tokens in one step. 0 means no limit.
 	PrefillChunk int `json:"prefillChunk"`
-	// StepBase is the time of a step with no work in it.
+	// StepBase is the fixed part of the duration of a step.
 	StepBase time.Duration `json:"stepBase"`
-	// StepPerSeq is added for each sequence that decodes in the step.
+	// StepPerSeq is the additional duration of a step for each decoding sequence.
 	StepPerSeq time.Duration `json:"stepPerSeq"`
-	// MaxSeqs bounds the batch; further sequences wait.
+	// MaxSeqs is the maximum number of sequences in the batch; further ones wait. 0 means no
+	// limit.
 	MaxSeqs int `json:"maxSeqs"`
-	// RoleChange is how long the engine is unavailable while it changes role.
+	// RoleChange is the duration of a change of the role. The engine is unavailable meanwhile.
 	RoleChange time.Duration `json:"roleChange"`
-	// ReportLag is the age of the load that the engine reports.
+	// ReportLag is the age of the load in status reports.
 	ReportLag time.Duration `json:"reportLag"`
-	// ImportRate is how fast a KV cache is imported, in tokens a second.
+	// ImportRate is the speed of importing a KV cache, in tokens per second. 0 means no delay.
 	ImportRate float64 `json:"importRate"`
-	// Speedup divides all times.
+	// Speedup divides all durations. 0 means no speedup.
 	Speedup float64 `json:"speedup"`
 }
 
-// DefaultTiming resembles a mid-size model on one accelerator group.
+// DefaultTiming approximates a mid-size model on one accelerator group.
 var DefaultTiming = Timing{
 	PrefillRate:  20000,
 	PrefillChunk: 2048,
@@ -52,7 +53,7 @@
 	return d
 }
 
-// importTime is how long the import of a KV cache takes.
+// importTime returns the duration of the import of a KV cache.
 func (t Timing) importTime(tokens int) time.Duration {
 	if t.ImportRate == 0 {
 		return 0
@@ -60,7 +61,8 @@
 	return t.scale(time.Duration(float64(tokens) / t.ImportRate * float64(time.Second)))
 }
 
-func (t Timing) step(decoding, prefilled int) time.Duration {
+// stepTime returns the duration of a step.
+func (t Timing) stepTime(decoding, prefilled int) time.Duration {
 	d := t.StepBase + time.Duration(decoding)*t.StepPerSeq
 	if t.PrefillRate > 0 {
 		d += time.Duration(float64(prefilled) / t.PrefillRate * float64(time.Second))
@@ -70,48 +72,49 @@
 
 // sequence is one request inside the engine.
 type sequence struct {
-	ctx      context.Context
-	priority int
-	prefill  int // prompt tokens still to be read
-	decode   int // tokens still to be generated
-	ready    chan struct{}
+	ctx              context.Context
+	priority         int
+	remainingPrefill int // prompt tokens still to be prefilled
+	remainingDecode  int // tokens still to be generated
+	ready            chan struct{}
 }
 
-// scheduler batches sequences continuously, urgent ones first.
+// scheduler simulates continuous batching. Sequences with a higher priority run first.
 type scheduler struct {
 	timing Timing
 	mu     sync.Mutex
-	work   sync.Cond
+	wake   sync.Cond
 	seqs   []*sequence
 	closed bool
 }
 
 func newScheduler(t Timing) *scheduler {
 	s := &scheduler{timing: t}
-	s.work.L = &s.mu
+	s.wake.L = &s.mu
 	return s
 }
 
-// add queues a sequence. One value arrives on its ready channel for each
-// generated token.
-func (s *scheduler) add(q *sequence) {
-	q.ready = make(chan struct{}, q.decode)
+// enqueue adds a sequence to the queue. The sequence's ready channel receives one value
+// for each generated token.
+func (s *scheduler) enqueue(q *sequence) {
+	q.ready = make(chan struct{}, q.remainingDecode)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seqs = append(s.seqs, q)
 	slices.SortStableFunc(s.seqs, func(a, b *sequence) int { return b.priority - a.priority })
-	s.work.Signal()
+	s.wake.Signal()
 }
 
-// load returns the number of running and waiting sequences and of tokens ahead.
-func (s *scheduler) load() (running, waiting, prefill, decode int) {
+// queuedLoad returns the number of running and waiting sequences, and the number of tokens
+// that all of them still have to prefill and to decode.
+func (s *scheduler) queuedLoad() (running, waiting, prefill, decode int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	running = min(len(s.seqs), s.batchLimit())
 	waiting = len(s.seqs) - running
 	for _, q := range s.seqs {
-		prefill += q.prefill
-		decode += q.decode
+		prefill += q.remainingPrefill
+		decode += q.remainingDecode
 	}
 	return running, waiting, prefill, decode
 }
@@ -127,22 +130,22 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	s.work.Signal()
+	s.wake.Signal()
 }
 
-// run steps the engine until it is closed.
+// run executes steps until the scheduler is closed. It waits while there are no sequences.
 func (s *scheduler) run() {
 	for {
 		s.mu.Lock()
 		s.dropCancelled()
 		for len(s.seqs) == 0 && !s.closed {
-			s.work.Wait()
+			s.wake.Wait()
 		}
 		if s.closed {
 			s.mu.Unlock()
 			return
 		}
-		d := s.plan()
+		d := s.planStep()
 		s.mu.Unlock()
 		if d > 0 {
 			time.Sleep(d)
@@ -155,36 +158,37 @@
 	s.seqs = slices.DeleteFunc(s.seqs, func(q *sequence) bool { return q.ctx.Err() != nil })
 }
 
-// plan takes the prefill of this step off the sequences and returns its time.
-func (s *scheduler) plan() time.Duration {
+// planStep subtracts the tokens that the next step prefills from the sequences, and returns the
+// duration of the step. The caller holds s.mu.
+func (s *scheduler) planStep() time.Duration {
 	chunk := s.timing.PrefillChunk
 	if chunk == 0 {
 		chunk = 1 << 30
 	}
 	decoding, prefilled := 0, 0
 	for _, q := range s.seqs[:min(len(s.seqs), s.batchLimit())] {
-		if q.prefill > 0 {
-			n := min(q.prefill, chunk-prefilled)
-			q.prefill -= n
+		if q.remainingPrefill > 0 {
+			n := min(q.remainingPrefill, chunk-prefilled)
+			q.remainingPrefill -= n
 			prefilled += n
 			continue
 		}
 		decoding++
 	}
-	return s.timing.step(decoding, prefilled)
+	return s.timing.stepTime(decoding, prefilled)
 }
 
-// finishStep hands out one token to each sequence whose prompt has been read.
+// finishStep generates one token for each sequence of the batch whose prompt is fully prefilled.
 func (s *scheduler) finishStep() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	limit := min(len(s.seqs), s.batchLimit())
 	for _, q := range s.seqs[:limit] {
-		if q.prefill > 0 || q.decode == 0 {
+		if q.remainingPrefill > 0 || q.remainingDecode == 0 {
 			continue
 		}
-		q.decode--
+		q.remainingDecode--
 		q.ready <- struct{}{}
 	}
-	s.seqs = slices.DeleteFunc(s.seqs, func(q *sequence) bool { return q.decode == 0 })
+	s.seqs = slices.DeleteFunc(s.seqs, func(q *sequence) bool { return q.remainingDecode == 0 })
 }
--- a/internal/standin/fleetapi/fleetapi.go
+++ b/internal/standin/fleetapi/fleetapi.go
@@ -1,6 +1,6 @@
-// Package fleetapi is a stand-in for the users' platform's API for duties of one process at a
-// time. It takes reports of usage and orders for engines, does not check who acts, and keeps
-// a record from which Conflicts tells what must never happen.
+// Package fleetapi implements a stand-in for the API of the users' platform that only the
+// holder of the duties lease calls. It accepts usage reports and scaling orders for engines from
+// any client and records them. Conflicts reports the violations of mutual exclusion in the record.
 package fleetapi
 
 import (
@@ -14,70 +14,70 @@
 	"time"
 )
 
-// Call is one call that was taken.
+// Call is a recorded API call.
 type Call struct {
 	Path   string
 	Holder string
 	Token  int64
 	Body   string
 	At     time.Time
-	// Report is what the call reports, nil if it is no report that can be read.
+	// Report is the usage report in the body, nil for other calls and for an invalid report.
 	Report *Report
 }
 
-// Report is one window of usage.
+// Report is the usage in one time window.
 type Report struct {
 	Window int64          `json:"window"`
 	Counts map[string]int `json:"counts"`
 }
 
-// pathReports takes reports, pathOrders orders for engines.
+// Paths of the API: usage reports, and scaling orders for engines.
 const (
 	pathReports = "/usage-reports"
 	pathOrders  = "/scale"
 )
 
-// Faults are ways to misbehave.
+// Faults selects the failures that the stand-in simulates.
 type Faults struct {
-	// Down answers with 503 and does nothing.
+	// Down rejects every call with 503.
 	Down bool
-	// LoseAnswers carries calls out and drops the connection.
+	// LoseAnswers handles each call and closes the connection without a response.
 	LoseAnswers bool
-	// Empty answers orders for engines of this failure domain with 409.
+	// Empty is a failure domain without capacity: scaling orders for it are rejected with 409.
 	Empty string
 }
 
-// Server is the stand-in. It is an http.Handler and safe for concurrent use.
+// Server is a simulated API. It is an http.Handler and safe for concurrent use.
 type Server struct {
 	mu     sync.Mutex
 	faults Faults
 	calls  []Call
 }
 
-// New returns a server that works.
+// New returns a server without simulated failures.
 func New() *Server { return &Server{} }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the simulated failures.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Calls returns the calls that were taken, in order.
+// Calls returns the recorded calls in the order of their arrival.
 func (s *Server) Calls() []Call {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Call(nil), s.calls...)
 }
 
-// ReadCall returns a call without its body. The error says that it states no authority; its
-// token is 0 then.
+// ReadCall parses the path and the headers of a call. It does not read the body. It returns an
+// error if the call lacks a valid fencing token, in which case the token is 0, or a holder.
 func ReadCall(r *http.Request) (Call, error) {
 	c := Call{Path: r.URL.Path, Holder: r.Header.Get("X-Duty-Holder"), At: time.Now()}
 	token, err := strconv.ParseInt(r.Header.Get("X-Fencing-Token"), 10, 64)
 	if err != nil {
-		return c, fmt.Errorf("token cannot be read: %w", err)
+		return c, fmt.Errorf("fencing token is missing or invalid: %w", err)
 	}
 	c.Token = token
 	if c.Holder == "" {
@@ -86,9 +86,9 @@
 	return c, nil
 }
 
-var errNoHolder = errors.New("call names no holder")
+var errNoHolder = errors.New("header X-Duty-Holder is missing")
 
-// Reports returns the counts that were taken for each window.
+// Reports returns the counts last reported for each window.
 func (s *Server) Reports() map[int64]map[string]int {
 	out := map[int64]map[string]int{}
 	for _, c := range s.Calls() {
@@ -99,8 +99,8 @@
 	return out
 }
 
-// readReport decodes a report of usage.
-func readReport(path string, body []byte) *Report {
+// parseReport decodes a usage report. It returns nil for other calls and for an invalid report.
+func parseReport(path string, body []byte) *Report {
 	var r Report
 	if path != pathReports || json.Unmarshal(body, &r) != nil {
 		return nil
@@ -108,8 +108,9 @@
 	return &r
 }
 
-// Conflicts returns what must never happen: one token of two holders, a token lower than one
-// before, two holders that take turns, and two contents of one window.
+// Conflicts describes each violation of mutual exclusion in the recorded calls: a token used by
+// two holders, a token lower than an earlier one (which calls of two alternating holders
+// cause too), and a window reported with different counts.
 func (s *Server) Conflicts() []string {
 	var out []string
 	holders, windows, last := map[int64]string{}, map[int64]string{}, int64(0)
@@ -139,14 +140,14 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	c, cerr := ReadCall(r)
-	c.Body, c.Report = string(body), readReport(c.Path, body)
+	c.Body, c.Report = string(body), parseReport(c.Path, body)
 	if err != nil || cerr != nil || r.Method != http.MethodPost {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	f := s.faults
-	status := s.take(c)
+	status := s.record(c)
 	s.mu.Unlock()
 	if f.LoseAnswers {
 		panic(http.ErrAbortHandler)
@@ -154,8 +155,9 @@
 	w.WriteHeader(status)
 }
 
-// take records a call. The caller holds the lock.
-func (s *Server) take(c Call) int {
+// record records a call unless a simulated failure rejects it, and returns the HTTP status. The
+// caller holds s.mu.
+func (s *Server) record(c Call) int {
 	if s.faults.Down {
 		return http.StatusServiceUnavailable
 	}
--- a/internal/standin/fleetcaller/fleetcaller.go
+++ b/internal/standin/fleetcaller/fleetcaller.go
@@ -1,5 +1,5 @@
-// Package fleetcaller is a stand-in for the callers of the users' platform. It writes their
-// requests and reads the answers.
+// Package fleetcaller implements a stand-in for the clients of the users' platform. It formats
+// their HTTP requests and parses the responses.
 package fleetcaller
 
 import (
@@ -14,29 +14,29 @@
 	"github.com/rockdoor/rockdoor/engine"
 )
 
-// ErrExcess says that more came on a connection than was asked for.
+// ErrExcess reports that a connection delivered bytes beyond the end of the response.
 var ErrExcess = errors.New("bytes after the answer")
 
-// Request is what a caller asks for.
+// Request is a request of a client.
 type Request struct {
 	ID, Path, Body string
-	// Host is the name that the caller asks, Key that of its workspace.
+	// Host is the value of the Host header. Key is the API key of the client's workspace.
 	Host, Key string
-	// Wait is how long the caller waits.
+	// Wait is the client timeout. The request states it as its deadline.
 	Wait time.Duration
-	// Prompt is nil for requests that no engine runs.
+	// Prompt is nil for requests that go to a backend server instead of an engine.
 	Prompt *Prompt
 }
 
-// Prompt describes what an engine is to read and generate.
+// Prompt describes the work of an engine: the prompt to prefill and the tokens to decode.
 type Prompt struct {
 	Model string
 	Parts []engine.Part
-	// Output is the most tokens that are generated.
+	// Output is the maximum number of generated tokens.
 	Output int
 }
 
-// String returns the request as it is sent.
+// String returns the request in HTTP/1.1 wire format.
 func (r *Request) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "POST %s HTTP/1.1\r\nHost: %s\r\nX-Request-Id: %s\r\nX-Deadline-Ms: %d\r\nApi-Key: %s\r\n", r.Path, r.Host, r.ID, r.Wait.Milliseconds(), r.Key)
@@ -57,21 +57,21 @@
 	return fmt.Sprintf("X-Model: %s\r\nX-Token-Count: %d,%d\r\nX-Prompt-Prefix: %s\r\n", p.Model, tokens, p.Output, strings.Join(parts, ","))
 }
 
-// Answer is what a caller gets.
+// Answer is a response as a client receives it.
 type Answer struct {
-	// Status is 0 if no head of an answer came.
+	// Status is the HTTP status code, 0 if no response headers were received.
 	Status int
-	// Sealed is true if an instance gave the answer.
+	// Sealed is true if the response has a seal, which only instances add.
 	Sealed bool
 	Body   string
-	// Whole is true if the body looks complete.
+	// Whole is true if the body was received up to its end as HTTP delimits it.
 	Whole bool
-	// Last is true if the connection ends with the answer.
+	// Last is true if the server closes the connection after the response.
 	Last bool
 }
 
-// ReadAnswer reads the answer to one request. An answer comes with an error too, as far as it
-// was read.
+// ReadAnswer reads the response to one request. If it fails, it also returns the part of the
+// response that was received.
 func ReadAnswer(r *bufio.Reader) (Answer, error) {
 	resp, err := http.ReadResponse(r, &http.Request{Method: http.MethodPost})
 	if err != nil {
--- a/internal/standin/fleetengine/arrival.go
+++ b/internal/standin/fleetengine/arrival.go
@@ -10,50 +10,52 @@
 	"github.com/rockdoor/rockdoor/engine"
 )
 
-// Stages of engines. That of a backend server is empty.
+// Stages of engines. The stage of a backend server is empty.
 const (
-	// StagePrefill reads prompts.
+	// StagePrefill is the stage of prefill engines.
 	StagePrefill = "prefill"
-	// StageDecode generates.
+	// StageDecode is the stage of decode engines.
 	StageDecode = "decode"
 )
 
 const (
-	headerID = "X-Request-Id"
-	// headerLeaving is set on the answers of an instance that leaves.
-	headerLeaving = "Server-Leaving"
-	// headerRateLimit is set on the answers of an instance that limits the rate of requests.
+	headerRequestID = "X-Request-Id"
+	// headerShuttingDown marks the responses of an instance that is shutting down.
+	headerShuttingDown = "Server-Leaving"
+	// headerRateLimit states the rate limit of an instance in its responses.
 	headerRateLimit = "Server-Limit"
-	// headerNotRun is set on answers to requests that an instance did not run.
+	// headerNotRun marks responses to requests that the instance did not run.
 	headerNotRun = "X-Not-Executed"
 )
 
-// Arrival is a call as it reaches an instance.
+// Arrival is a call as an instance receives it.
 type Arrival struct {
-	// ID is that of a caller's request, empty for other calls.
+	// ID is the ID of a client's request, empty for other calls.
 	ID                 string
 	Method, Path, Body string
-	// Meant is the instance that it is meant for, empty if it names none.
+	// Meant is the ID of the instance that the call is intended for, empty if the call states none.
 	Meant string
-	// Left is how long its caller still waits, Timed false if it does not say so readably.
+	// Left is the time remaining until the client timeout. Timed is false, and Left is 0, if the
+	// call states no valid deadline.
 	Left  time.Duration
 	Timed bool
-	// Read is true if only the prompt is to be read.
+	// Read is true for a call that asks only for the prefill of the prompt.
 	Read  bool
 	Parts []engine.Part
 }
 
-// ReadArrival returns a call whose body has been read.
+// ReadArrival parses the path and the headers of a call. Body is the body of r, which the caller has
+// already read.
 func ReadArrival(r *http.Request, body []byte) Arrival {
 	left, err := time.ParseDuration(r.Header.Get("X-Deadline-Ms") + "ms")
 	return Arrival{
-		ID: r.Header.Get(headerID), Method: r.Method, Path: r.RequestURI, Body: string(body), Meant: r.Header.Get("X-Expect-Instance"),
-		Left: left, Timed: err == nil, Read: r.Header.Get("X-Serving-Stage") == StagePrefill, Parts: readParts(r.Header),
+		ID: r.Header.Get(headerRequestID), Method: r.Method, Path: r.RequestURI, Body: string(body), Meant: r.Header.Get("X-Expect-Instance"),
+		Left: left, Timed: err == nil, Read: r.Header.Get("X-Serving-Stage") == StagePrefill, Parts: parseParts(r.Header),
 	}
 }
 
-// readParts returns the parts of a prompt that can be read.
-func readParts(h http.Header) []engine.Part {
+// parseParts returns the parts of the prompt that the headers list. It skips invalid ones.
+func parseParts(h http.Header) []engine.Part {
 	var out []engine.Part
 	for _, field := range strings.Split(h.Get("X-Prompt-Prefix"), ",") {
 		id, text, _ := strings.Cut(field, ":")
@@ -64,18 +66,18 @@
 	return out
 }
 
-// meant reports whether a call is meant for this instance.
-func (e *Engine) meant(a Arrival) bool { return a.Meant == "" || a.Meant == e.ID }
+// isTarget reports whether a call is intended for this instance. A call that states no instance is.
+func (e *Engine) isTarget(a Arrival) bool { return a.Meant == "" || a.Meant == e.ID }
 
-// NotRun reports whether an answer says that the request was not run.
+// NotRun reports whether a response states that the request was not run.
 func NotRun(status int, h http.Header) bool {
 	return status == http.StatusMisdirectedRequest || h.Get(headerNotRun) != ""
 }
 
-// NamesLimit reports whether the head of an answer names a rate limit.
+// NamesLimit reports whether the headers of a response state a rate limit.
 func NamesLimit(h http.Header) bool { return h.Get(headerRateLimit) != "" }
 
-// IsOrder reports whether a call is an order.
+// IsOrder reports whether a call is an order to change the stage.
 func IsOrder(r *http.Request) bool { return r.URL.Path == "/order" }
 
 // ReadOrder decodes the body of an order.
--- a/internal/standin/fleetengine/arrival_test.go
+++ b/internal/standin/fleetengine/arrival_test.go
@@ -15,8 +15,8 @@
 	"github.com/rockdoor/rockdoor/internal/standin/fleetengine"
 )
 
-// TestArrivalsAreWhatCallersSent checks that both stand-ins use the same names, and that a
-// deadline that cannot be read is not taken for one.
+// TestArrivalsAreWhatCallersSent checks that fleetcaller and fleetengine use the same header
+// names, and that an invalid deadline counts as none.
 func TestArrivalsAreWhatCallersSent(t *testing.T) {
 	parts := []engine.Part{{ID: "a", Tokens: 7}, {ID: "b", Tokens: 2}}
 	sent := fleetcaller.Request{
--- a/internal/standin/fleetengine/fleetengine.go
+++ b/internal/standin/fleetengine/fleetengine.go
@@ -1,6 +1,6 @@
-// Package fleetengine is a stand-in for the engines and backend servers of the
-// users' platform. It speaks their protocol over HTTP, keeps a record of what it
-// ran, and can be told to fail in the ways that the real ones do.
+// Package fleetengine implements a stand-in for the engines and backend servers of
+// the users' platform. It implements their HTTP protocol, records the requests and
+// orders that it handles, and simulates failures of the real instances.
 package fleetengine
 
 import (
@@ -15,144 +15,149 @@
 	"time"
 )
 
-// Fault is a way to misbehave.
+// Fault is a simulated failure of a request or order.
 type Fault string
 
 // Faults.
 const (
-	// None answers as it should.
+	// None responds without a failure.
 	None Fault = ""
-	// Shed refuses with 503 and does not run the request.
+	// Shed rejects the request with 503 and does not run it.
 	Shed Fault = "shed"
-	// Error runs the request and answers 500.
+	// Error runs the request and responds with 500.
 	Error Fault = "error"
-	// LoseAnswer runs the request and closes the connection.
+	// LoseAnswer runs the request and closes the connection without a response.
 	LoseAnswer Fault = "lose-answer"
-	// CutMidEvent breaks a stream off in the middle of its second event.
+	// CutMidEvent closes the connection in the middle of the second event of a stream.
 	CutMidEvent Fault = "cut-mid-event"
-	// StrayFirst sends an answer to another request before the right one.
+	// StrayFirst sends a response to another request before the expected one.
 	StrayFirst Fault = "stray-first"
-	// Unsealed answers with bytes that are not an answer of an instance.
+	// Unsealed runs the request and sends a response without the seal that every response of an
+	// instance has.
 	Unsealed Fault = "unsealed"
-	// Hang runs the request and never answers.
+	// Hang runs the request and never responds.
 	Hang Fault = "hang"
-	// HangMidStream sends the first event of a stream and then nothing.
+	// HangMidStream sends the first event of a stream and then keeps the connection open without
+	// sending more.
 	HangMidStream Fault = "hang-mid-stream"
-	// LateOrders takes orders without an answer and carries them out later.
+	// LateOrders closes the connection of an order without a response and applies the order later.
 	LateOrders Fault = "late-orders"
 )
 
-// Run is one request that was run or read.
+// Run is the record of one request, whether it was run, prefilled or shed.
 type Run struct {
-	// At is when it arrived.
-	At        time.Time
-	ID        string
-	Path      string
-	Header    http.Header
-	Body      string
+	// At is the time of arrival.
+	At     time.Time
+	ID     string
+	Path   string
+	Header http.Header
+	Body   string
+	// LastEvent is the Last-Event-Id header: the last event that the client received.
 	LastEvent string
 }
 
-// Engine is the stand-in. It is an http.Handler and safe for concurrent use.
+// Engine is a simulated engine or backend server. It is an http.Handler and safe for concurrent use.
 type Engine struct {
-	// ID is that of the instance.
+	// ID is the ID of the instance.
 	ID string
-	// Events is how many events a stream has; 0 answers without a stream.
+	// Events is the number of events of each stream. If it is 0, responses are plain.
 	Events int
-	// RoleChange is how long a change of role takes.
+	// RoleChange is the duration of a change of the stage.
 	RoleChange time.Duration
-	// OrderDelay is how late LateOrders carries orders out.
+	// OrderDelay is the delay after which LateOrders applies an order.
 	OrderDelay time.Duration
-	// Work is how long a request takes before its answer or first event, Gap the time
+	// Work is the time before the response or the first event of a request. Gap is the time
 	// between two events.
 	Work, Gap time.Duration
-	// Padding is how many bytes follow a plain answer.
+	// Padding is the number of filler bytes at the end of a plain response.
 	Padding int
-	// Changed is told of each change of the stage. It may be nil.
+	// Changed is called after each change of the stage. It may be nil.
 	Changed func(stage string)
-	// Leaving has the engine say in its answers that it leaves, Rest is what it asks for with
-	// each request that it sheds. They are set before it is used, or by SetLeaving.
+	// Leaving has the engine state in its responses that it is shutting down. Rest is the
+	// Retry-After of each shed request, 0 for none. Both are set before the engine is used;
+	// SetLeaving sets Leaving afterwards.
 	Leaving bool
 	Rest    time.Duration
-	// Deadly is the body of a request that crashes the engine when it begins to run, empty
-	// for none. Crash then ends the process that the engine stands for.
+	// Deadly is the body of a poison request, empty for none: the engine crashes when it starts to
+	// run a request with this body. Crash then simulates the end of the engine's process.
 	Deadly string
 	Crash  func()
 
 	mu sync.Mutex
-	// limit is what the engine names as its rate limit, empty for none.
-	limit   string
-	stage   string
-	fault   Fault
-	faults  int
-	every   int
-	asked   int
-	runs    []Run
-	reads   []Run
-	shed    []Run
-	freed   []string
-	handles map[string]string // handle to request id
-	orders  []Order
-	taken   int64
-	busy    bool
+	// rateLimit is sent in the rate limit header. If it is empty, the header is left out.
+	rateLimit       string
+	stage           string
+	fault           Fault
+	faultsRemaining int
+	faultInterval   int
+	requests        int
+	runs            []Run
+	prefills        []Run
+	shedRequests    []Run
+	freedHandles    []string
+	handles         map[string]string // handle to request id
+	orders          []Order
+	acceptedOrders  int64
+	changingStage   bool
 }
 
-// Order is one order that was accepted.
+// Order is an order to change the stage.
 type Order struct {
 	Holder string `json:"holder"`
 	Token  int64  `json:"fencing_token"`
 	Stage  string `json:"stage"`
-	// Expected is how many orders its sender knows to have been taken, nil if it does not say.
+	// Expected is the number of orders that the engine has accepted as far as the sender knows.
+	// The engine rejects the order if the number differs. If it is nil, the engine does not check.
 	Expected *int64 `json:"expected_count"`
 	At       time.Time
 }
 
-// New returns an engine in a stage; the empty stage is that of a plain service.
+// New returns an engine in a stage. If the stage is empty, it is a backend server.
 func New(id, stage string) *Engine {
 	return &Engine{ID: id, stage: stage, handles: map[string]string{}}
 }
 
-// Fail makes the next n requests fail; a negative n makes all of them.
+// Fail makes the next n requests and orders fail. If n is negative, all of them fail.
 func (e *Engine) Fail(f Fault, n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.fault, e.faults, e.every = f, n, 1
+	e.fault, e.faultsRemaining, e.faultInterval = f, n, 1
 }
 
-// FailEvery makes every n-th request fail until Fail is called.
+// FailEvery makes every n-th request or order fail until Fail is called.
 func (e *Engine) FailEvery(f Fault, n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.fault, e.faults, e.every = f, -1, n
+	e.fault, e.faultsRemaining, e.faultInterval = f, -1, n
 }
 
 // Runs returns the requests that were run.
-func (e *Engine) Runs() []Run { return e.copyOf(&e.runs) }
+func (e *Engine) Runs() []Run { return e.snapshot(&e.runs) }
 
 // Refused returns the requests that were shed.
-func (e *Engine) Refused() []Run { return e.copyOf(&e.shed) }
+func (e *Engine) Refused() []Run { return e.snapshot(&e.shedRequests) }
 
-// note records a request.
-func (e *Engine) note(run Run, in *[]Run) {
+// record adds a request to a record.
+func (e *Engine) record(run Run, in *[]Run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	*in = append(*in, run)
 }
 
-// Reads returns the requests whose prompts were read for another engine.
-func (e *Engine) Reads() []Run { return e.copyOf(&e.reads) }
+// Reads returns the requests whose prompts were prefilled for another engine.
+func (e *Engine) Reads() []Run { return e.snapshot(&e.prefills) }
 
-func (e *Engine) copyOf(runs *[]Run) []Run {
+func (e *Engine) snapshot(runs *[]Run) []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Run(nil), *runs...)
 }
 
-// Freed returns the handles that were freed.
+// Freed returns the KV cache handles that were freed.
 func (e *Engine) Freed() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]string(nil), e.freed...)
+	return append([]string(nil), e.freedHandles...)
 }
 
 // Orders returns the orders that were accepted.
@@ -162,118 +167,121 @@
 	return append([]Order(nil), e.orders...)
 }
 
-// Stage returns the present stage.
+// Stage returns the current stage.
 func (e *Engine) Stage() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.stage
 }
 
-func (e *Engine) takeFault() Fault {
+// nextFault counts a request or order and returns the failure to simulate for it.
+func (e *Engine) nextFault() Fault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.asked++
-	if e.faults == 0 || e.asked%e.every != 0 {
+	e.requests++
+	if e.faultsRemaining == 0 || e.requests%e.faultInterval != 0 {
 		return None
 	}
-	e.faults--
+	e.faultsRemaining--
 	return e.fault
 }
 
-// SetLeaving has the engine say in its answers from now on that it leaves.
+// SetLeaving makes the engine state in all further responses that it is shutting down.
 func (e *Engine) SetLeaving() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Leaving = true
 }
 
-// SetRateLimit has the engine name a rate limit in its answers from now on, none if it is empty.
+// SetRateLimit makes the engine send a rate limit in all further responses. If text is empty, it sends
+// none.
 func (e *Engine) SetRateLimit(text string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.limit = text
+	e.rateLimit = text
 }
 
-// sayState adds what the engine says of itself to an answer.
-func (e *Engine) sayState(w http.ResponseWriter) {
+// setStateHeaders adds the headers for shutting down and for the rate limit to a response.
+func (e *Engine) setStateHeaders(w http.ResponseWriter) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.Leaving {
-		w.Header().Set(headerLeaving, "1")
+		w.Header().Set(headerShuttingDown, "1")
 	}
-	if e.limit != "" {
-		w.Header().Set(headerRateLimit, e.limit)
+	if e.rateLimit != "" {
+		w.Header().Set(headerRateLimit, e.rateLimit)
 	}
 }
 
 // ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	e.sayState(w)
+	e.setStateHeaders(w)
 	switch {
 	case r.URL.Path == "/report":
-		e.report(w)
+		e.serveReport(w)
 	case IsOrder(r):
-		e.order(w, r)
+		e.serveOrder(w, r)
 	case r.URL.Path == "/kv-list":
-		e.list(w)
+		e.serveKVList(w)
 	case strings.HasPrefix(r.URL.Path, "/kv-handle/"):
 		e.mu.Lock()
-		e.freed = append(e.freed, strings.TrimPrefix(r.URL.Path, "/kv-handle/"))
+		e.freedHandles = append(e.freedHandles, strings.TrimPrefix(r.URL.Path, "/kv-handle/"))
 		e.mu.Unlock()
 	default:
-		e.request(w, r)
+		e.serveRequest(w, r)
 	}
 }
 
-func (e *Engine) report(w http.ResponseWriter) {
+func (e *Engine) serveReport(w http.ResponseWriter) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(map[string]any{"stage": e.stage, "busy": e.busy, "sequence": e.taken})
+	_ = json.NewEncoder(w).Encode(map[string]any{"stage": e.stage, "busy": e.changingStage, "sequence": e.acceptedOrders})
 }
 
-// list tells the parts of all prompts that were read or run here.
-func (e *Engine) list(w http.ResponseWriter) {
+// serveKVList lists the cached prompt parts: those of all prompts that this engine prefilled or ran.
+func (e *Engine) serveKVList(w http.ResponseWriter) {
 	held := [][]any{}
 	for _, run := range append(e.Reads(), e.Runs()...) {
-		for _, part := range readParts(run.Header) {
+		for _, part := range parseParts(run.Header) {
 			held = append(held, []any{"", part.ID, part.Tokens, run.Header.Get("X-Model")})
 		}
 	}
 	_ = json.NewEncoder(w).Encode(map[string]any{"epoch": 1, "next_token": 1, "held": held})
 }
 
-func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	o, oerr := ReadOrder(body)
 	if err != nil || oerr != nil || o.Holder == "" || o.Token == 0 {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if !e.meant(ReadArrival(r, body)) {
+	if !e.isTarget(ReadArrival(r, body)) {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if e.takeFault() == LateOrders {
-		time.AfterFunc(e.OrderDelay, func() { e.accept(o) })
+	if e.nextFault() == LateOrders {
+		time.AfterFunc(e.OrderDelay, func() { e.applyOrder(o) })
 		panic(http.ErrAbortHandler)
 	}
-	w.WriteHeader(e.accept(o))
+	w.WriteHeader(e.applyOrder(o))
 }
 
-// accept carries an order out unless another is under way or was taken since.
-func (e *Engine) accept(o Order) int {
+// applyOrder starts the change of the stage and returns the HTTP status. It rejects the order if a
+// change is in progress, or if the number of accepted orders is not the one that the sender expects.
+func (e *Engine) applyOrder(o Order) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.busy || o.Expected != nil && *o.Expected != e.taken {
+	if e.changingStage || o.Expected != nil && *o.Expected != e.acceptedOrders {
 		return http.StatusConflict
 	}
 	o.At = time.Now()
 	e.orders = append(e.orders, o)
-	e.taken++
-	e.busy = true
+	e.acceptedOrders++
+	e.changingStage = true
 	time.AfterFunc(e.RoleChange, func() {
 		e.mu.Lock()
-		e.stage, e.busy = o.Stage, false
+		e.stage, e.changingStage = o.Stage, false
 		e.mu.Unlock()
 		if e.Changed != nil {
 			e.Changed(o.Stage)
@@ -282,82 +290,87 @@
 	return http.StatusAccepted
 }
 
-func notRun(w http.ResponseWriter, status int) {
+// writeNotRun rejects a request and states that it was not run.
+func writeNotRun(w http.ResponseWriter, status int) {
 	w.Header().Set(headerNotRun, "1")
 	w.WriteHeader(status)
 }
 
-func (e *Engine) request(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveRequest(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
 	a := ReadArrival(r, body)
 	run := Run{At: time.Now(), ID: a.ID, Path: a.Path, Header: r.Header.Clone(), Body: a.Body, LastEvent: r.Header.Get("Last-Event-Id")}
-	if !e.meant(a) {
+	if !e.isTarget(a) {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	fault := e.takeFault()
+	fault := e.nextFault()
 	if fault == Shed {
-		e.note(run, &e.shed)
+		e.record(run, &e.shedRequests)
 		if e.Rest > 0 {
 			w.Header().Set("Retry-After", strconv.FormatFloat(e.Rest.Seconds(), 'f', 3, 64))
 		}
-		notRun(w, http.StatusServiceUnavailable)
+		writeNotRun(w, http.StatusServiceUnavailable)
 		return
 	}
-	w.Header().Set(headerID, a.ID)
+	w.Header().Set(headerRequestID, a.ID)
 	if a.Read {
 		if fault == Hang {
 			<-r.Context().Done()
 			return
 		}
-		e.read(w, run)
+		e.servePrefill(w, run)
 		return
 	}
-	if !e.take(r.Header.Get("X-Kv-Source")) {
-		notRun(w, http.StatusServiceUnavailable)
+	if !e.consumeHandle(r.Header.Get("X-Kv-Source")) {
+		writeNotRun(w, http.StatusServiceUnavailable)
 		return
 	}
-	e.note(run, &e.runs)
+	e.record(run, &e.runs)
 	if e.Deadly != "" && run.Body == e.Deadly {
-		go e.Crash() // it closes this connection too
+		go e.Crash() // closes this connection too
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	}
 	if r.Header.Get("X-Kv-Backup") != "" {
-		handles.Store(a.ID, true) // the backup can go on with the run, once
+		liveHandles.Store(a.ID, true) // a backup engine can resume the run from its KV cache once
 	}
-	e.answer(w, r, run, fault)
+	e.respond(w, r, run, fault)
 }
 
-// handles that were read anywhere; a stand-in for the memory that engines move.
-var handles sync.Map // handle to true
+// liveHandles is the set of KV cache handles that have not been used. All engines of the process
+// share it: it takes the place of the transfer of KV caches between engines.
+var liveHandles sync.Map // handle to true
 
-// handleNumber numbers the handles of all engines: those of tests that run side by side have the same IDs.
-var handleNumber atomic.Int64
+// lastHandleNumber numbers the handles of all engines. Handles must be unique in the process, since
+// parallel tests use engines with the same IDs.
+var lastHandleNumber atomic.Int64
 
-func (e *Engine) read(w http.ResponseWriter, run Run) {
+// servePrefill responds with a new handle of the KV cache of the prompt.
+func (e *Engine) servePrefill(w http.ResponseWriter, run Run) {
 	e.mu.Lock()
-	e.reads = append(e.reads, run)
+	e.prefills = append(e.prefills, run)
 	e.mu.Unlock()
-	handle := fmt.Sprintf("%s-%d", e.ID, handleNumber.Add(1))
-	handles.Store(handle, true)
+	handle := fmt.Sprintf("%s-%d", e.ID, lastHandleNumber.Add(1))
+	liveHandles.Store(handle, true)
 	_ = json.NewEncoder(w).Encode(map[string]any{"kv_handle": handle, "tokens": 1, "version": 1})
 }
 
-// take uses a handle, each once.
-func (e *Engine) take(source string) bool {
+// consumeHandle removes the handle in a KV source of the form ENGINE/HANDLE. It reports false if the
+// handle is unknown or was already used. An empty source needs no handle.
+func (e *Engine) consumeHandle(source string) bool {
 	if source == "" {
 		return true
 	}
 	_, handle, _ := strings.Cut(source, "/")
-	_, ok := handles.LoadAndDelete(handle)
+	_, ok := liveHandles.LoadAndDelete(handle)
 	return ok
 }
 
-func (e *Engine) answer(w http.ResponseWriter, r *http.Request, run Run, fault Fault) {
+func (e *Engine) respond(w http.ResponseWriter, r *http.Request, run Run, fault Fault) {
 	switch fault {
 	case LoseAnswer:
 		panic(http.ErrAbortHandler)
@@ -373,10 +386,10 @@
 		_, _ = io.WriteString(w, "noise")
 		return
 	case StrayFirst:
-		e.stray(w, run)
+		e.respondToAnotherFirst(w, run)
 		return
 	}
-	if !work(r, e.Work) {
+	if !sleep(r, e.Work) {
 		return
 	}
 	w.Header().Set("X-Response-Seal", "seal-"+e.ID)
@@ -387,7 +400,7 @@
 	e.stream(w, r, run, fault)
 }
 
-// stream sends the events after the last one that the caller has.
+// stream sends the events after the last one that the client received.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, run Run, fault Fault) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	first := 1
@@ -395,7 +408,7 @@
 		first++
 	}
 	for n := first; n <= e.Events; n++ {
-		if n > first && !work(r, e.Gap) {
+		if n > first && !sleep(r, e.Gap) {
 			return
 		}
 		if fault == HangMidStream && n == 2 {
@@ -412,8 +425,8 @@
 	}
 }
 
-// work waits for a time. It reports false if the caller has left meanwhile.
-func work(r *http.Request, d time.Duration) bool {
+// sleep waits for d. It reports false if the client disconnects first.
+func sleep(r *http.Request, d time.Duration) bool {
 	if d == 0 {
 		return true
 	}
@@ -425,8 +438,9 @@
 	}
 }
 
-// stray answers another request before this one on the same connection.
-func (e *Engine) stray(w http.ResponseWriter, run Run) {
+// respondToAnotherFirst sends a response to another request, and then the response to this one, on the
+// same connection.
+func (e *Engine) respondToAnotherFirst(w http.ResponseWriter, run Run) {
 	conn, buf, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
--- a/internal/standin/fleetstore/config.go
+++ b/internal/standin/fleetstore/config.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Kinds of objects that the operator and instances write.
+// Kinds of objects that the operator and the instances write.
 const (
 	kindConfig    = "config"
 	kindInstances = "servers"
@@ -11,26 +11,26 @@
 )
 
 const (
-	// healthPath is where all services tell whether they work.
+	// healthPath is the health check path of all services.
 	healthPath = "/healthz"
-	// engineTokens and handleSeconds are an engine's memory and how long it keeps a prompt that
-	// it has read, as in the platform's own sample.
-	engineTokens  = 305000
-	handleSeconds = 5
-	// bodyBytes is the longest body of a request.
-	bodyBytes = 4 << 20
+	// kvCapacityTokens and handleTTLSeconds are the size of an engine's KV cache and the time for
+	// which it keeps a prefilled prompt. The values are those of the platform's own sample.
+	kvCapacityTokens = 305000
+	handleTTLSeconds = 5
+	// maxBodyBytes is the limit on the body of a request.
+	maxBodyBytes = 4 << 20
 )
 
-// RouteKind says what a failure allows on a route.
+// RouteKind is the type of a route, which decides whether a failed request may be retried.
 type RouteKind string
 
 // Kinds of routes.
 const (
-	// Unsafe requests run at most once.
+	// Unsafe requests must run at most once.
 	Unsafe RouteKind = "unsafe"
-	// Safe requests may be repeated.
+	// Safe requests may run more than once.
 	Safe RouteKind = "safe"
-	// Streaming requests are answered by events.
+	// Streaming requests have a stream of events as their response.
 	Streaming RouteKind = "streaming"
 )
 
@@ -42,11 +42,11 @@
 	Service string
 	Kind    RouteKind
 	Timeout time.Duration
-	// Latency is the target until the first byte, Gap that between two events; a Gap of 0 is
-	// left out.
+	// Latency is the target for the time to the first byte, Gap that for the time between two
+	// events. A Gap of 0 is omitted.
 	Latency, Gap time.Duration
 	Attempts     int
-	// Rank is left out if it is 0.
+	// Rank is the priority of the route, omitted if it is 0.
 	Rank                int
 	Resumable, Affinity bool
 }
@@ -75,7 +75,7 @@
 type Service struct {
 	Name        string
 	Connections int
-	// RoleChange is how long an engine takes to change its role, 0 for backend servers.
+	// RoleChange is the time that an engine needs to change its role, 0 for backend servers.
 	RoleChange time.Duration
 }
 
@@ -83,24 +83,24 @@
 	out := map[string]any{"name": s.Name, "health_path": healthPath, "max_connections": s.Connections}
 	if s.RoleChange > 0 {
 		out["engine"] = map[string]any{
-			"kv_capacity_tokens": engineTokens, "handle_ttl_s": handleSeconds, "reconfigure_s": s.RoleChange.Seconds(),
+			"kv_capacity_tokens": kvCapacityTokens, "handle_ttl_s": handleTTLSeconds, "reconfigure_s": s.RoleChange.Seconds(),
 		}
 	}
 	return out
 }
 
-// Workspace is a workspace of a configuration, with the keys of its callers.
+// Workspace is a workspace of a configuration, with the API keys of its clients.
 type Workspace struct {
 	Name string
 	Keys []string
 }
 
-// Configuration is what the operator writes.
+// Configuration is the configuration that the operator writes.
 type Configuration struct {
 	Version  int
 	Routes   []Route
 	Services []Service
-	// Workspaces are left out if there are none; then no keys are asked for.
+	// Workspaces are omitted if there are none. Clients then need no API key.
 	Workspaces []Workspace
 }
 
@@ -116,7 +116,7 @@
 		workspaces = append(workspaces, map[string]any{"name": w.Name, "api_keys": w.Keys})
 	}
 	out := map[string]any{
-		"version": c.Version, "routes": routes, "services": services, "limits": map[string]any{"max_body_bytes": bodyBytes},
+		"version": c.Version, "routes": routes, "services": services, "limits": map[string]any{"max_body_bytes": maxBodyBytes},
 	}
 	if len(workspaces) > 0 {
 		out["tenants"] = workspaces
@@ -124,10 +124,10 @@
 	return out
 }
 
-// Configure writes the configuration.
+// Configure writes the configuration to the store.
 func (s *Server) Configure(c Configuration) { s.Set(kindConfig, configName, c.wire()) }
 
-// Registration is what an engine or backend server writes.
+// Registration is the entry of an engine or backend server in the store.
 type Registration struct {
 	Service string
 	// Stage is empty for a backend server.
@@ -135,7 +135,7 @@
 	Address string
 	Domain  string
 	Slots   int
-	// Draining is true once the instance has stated that it will leave.
+	// Draining is true once the instance has announced its shutdown.
 	Draining bool
 }
 
--- a/internal/standin/fleetstore/fleetstore.go
+++ b/internal/standin/fleetstore/fleetstore.go
@@ -1,6 +1,6 @@
-// Package fleetstore is a stand-in for the metadata store of the users'
-// platform. It speaks the store's protocol over HTTP and can be told to fail in
-// the ways that the real one does.
+// Package fleetstore implements a stand-in for the metadata store of the users'
+// platform. It implements the store's HTTP protocol and simulates failures of the
+// real store.
 package fleetstore
 
 import (
@@ -13,27 +13,28 @@
 	"time"
 )
 
-// pageItems is how many objects one page of a list has. It is small, so that
-// tests meet more than one page.
+// pageItems is the number of objects in one page of a list. It is small, so that
+// the lists in tests have more than one page.
 const pageItems = 5
 
-// Faults says how the stand-in misbehaves.
+// Faults selects the failures that the stand-in simulates.
 type Faults struct {
-	// Down answers every call with 503.
+	// Down rejects every call with 503.
 	Down bool
-	// DownKind answers calls for one kind of objects with 503.
+	// DownKind rejects the calls for this kind of objects with 503.
 	DownKind string
-	// Silent accepts calls and never answers them.
+	// Silent accepts calls and never responds to them.
 	Silent bool
-	// LoseAnswers carries writes out and drops the connection.
+	// LoseAnswers applies each write and closes the connection without a response.
 	LoseAnswers bool
-	// LateBy carries writes out after this time and drops the connection at once.
+	// LateBy, if positive, closes the connection of a write without a response and applies the
+	// write after this time.
 	LateBy time.Duration
-	// DeafWatches lets watches wait without telling them of changes.
+	// DeafWatches withholds all events from watches, which then end with their wait time.
 	DeafWatches bool
-	// Delay is by how much each answer comes later.
+	// Delay is the delay of each response to a read or a write.
 	Delay time.Duration
-	// StaleBy is how old lists and watches are whose callers accept old ones.
+	// StaleBy is the age of the data in the lists and watches of clients that accept stale data.
 	StaleBy time.Duration
 }
 
@@ -64,25 +65,26 @@
 	rev     int64
 	objects map[string]map[string]object // by kind and name
 	history []event
-	// forgotten is the revision up to which the history is gone.
-	forgotten int64
-	faults    Faults
-	changed   chan struct{}
-	calls     int
-	observe   func(Change)
-	// undo is what the changes of the last undoTime replaced.
-	undo []replaced
-	// era counts how often the store has come back from a copy; 0 if it does not say.
+	// compactedRev is the revision up to which the history has been removed.
+	compactedRev int64
+	faults       Faults
+	changed      chan struct{}
+	calls        int
+	observer     func(Change)
+	// undoLog holds the objects that the changes within undoWindow replaced, oldest first.
+	undoLog []undoEntry
+	// era is incremented each time the store is restored from an older snapshot. If it is 0,
+	// responses do not state it.
 	era int64
-	// eraText takes the place of the era in answers if it is not empty.
+	// eraText replaces the era in responses if it is not empty.
 	eraText string
 }
 
-// headerEra is in all answers of a store that counts its eras.
+// headerEra states the era in all responses of a store that counts eras.
 const headerEra = "Store-Era"
 
-// replaced is what an object was before a change.
-type replaced struct {
+// undoEntry is the state of an object and the revision of the store before a change.
+type undoEntry struct {
 	kind, name string
 	old        object
 	existed    bool
@@ -90,8 +92,9 @@
 	at         time.Time
 }
 
-// undoTime is how far back stale answers reach at the most.
-const undoTime = 10 * time.Second
+// undoWindow is the maximum age of the data in stale responses, and of a snapshot that Restore
+// returns to.
+const undoWindow = 10 * time.Second
 
 // Change is one change of an object.
 type Change struct {
@@ -100,66 +103,69 @@
 	Deleted    bool
 }
 
-// Observe has every change told, in order, to a function that must not use the store. It is
-// called before the first change.
-func (s *Server) Observe(f func(Change)) { s.observe = f }
+// Observe sets the function that is called for every change, in order. The function must not use
+// the store. Observe must be called before the first change.
+func (s *Server) Observe(f func(Change)) { s.observer = f }
 
 // New returns an empty store.
 func New() *Server {
 	return &Server{objects: map[string]map[string]object{}, changed: make(chan struct{})}
 }
 
-// SetFaults makes the store misbehave from now on.
+// SetFaults replaces the simulated failures.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.wake()
+	s.wakeWatches()
 }
 
-// Forget drops the history, so that watches have to list again.
+// Forget removes the history. Watches that continue from an older revision fail with 410 and must
+// list again.
 func (s *Server) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history, s.forgotten = nil, s.rev
-	s.wake()
+	s.history, s.compactedRev = nil, s.rev
+	s.wakeWatches()
 }
 
-// SetEra has the store count its eras, from this one on.
+// SetEra sets the era and has the store state it in all further responses.
 func (s *Server) SetEra(era int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.era = era
 }
 
-// SetEraText has answers say something else than the era; an empty text ends that.
+// SetEraText replaces the era in responses by text, which may be invalid. If text is empty, responses
+// state the era again.
 func (s *Server) SetEraText(text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.eraText = text
 }
 
-// Restore has the store come back as it was some time ago, at the most undoTime: what was written since
-// is gone, and revisions are given out again. A new era begins.
-func (s *Server) Restore(by time.Duration) {
+// Restore returns the store to its state of the given time ago, as if it had been restored from an older
+// snapshot. The age must not exceed undoWindow. Later writes are lost, their revisions are assigned
+// again, and the era is incremented.
+func (s *Server) Restore(age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at := time.Now().Add(-by)
+	at := time.Now().Add(-age)
 	kinds := slices.Collect(maps.Keys(s.objects))
 	objects, rev := map[string]map[string]object{}, s.rev
 	for _, kind := range kinds {
-		objects[kind], rev = s.asOf(kind, at)
+		objects[kind], rev = s.objectsAsOf(kind, at)
 	}
 	s.objects, s.rev = objects, rev
-	s.undo = slices.DeleteFunc(s.undo, func(u replaced) bool { return u.at.After(at) })
+	s.undoLog = slices.DeleteFunc(s.undoLog, func(u undoEntry) bool { return u.at.After(at) })
 	s.history = slices.DeleteFunc(s.history, func(e event) bool { return e.rev > rev })
-	s.forgotten = min(s.forgotten, rev)
+	s.compactedRev = min(s.compactedRev, rev)
 	s.era++
-	s.wake()
+	s.wakeWatches()
 }
 
-// eraNow returns what answers say of the era, empty for nothing.
-func (s *Server) eraNow() string {
+// eraHeaderValue returns the value of headerEra, empty if responses do not have this header.
+func (s *Server) eraHeaderValue() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -171,39 +177,40 @@
 	return strconv.FormatInt(s.era, 10)
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls received.
 func (s *Server) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Set writes an object as the operator or an engine does.
+// Set writes an object directly, without a call and regardless of simulated failures.
 func (s *Server) Set(kind, name string, spec any) {
 	raw, err := json.Marshal(spec)
 	if err != nil {
-		panic(err) // only for values that tests must not use
+		panic(err) // a caller passed a value that has no JSON encoding
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.put(kind, name, raw)
 }
 
-// Remove deletes an object as an engine that leaves does.
+// Remove deletes an object directly, without a call and regardless of simulated failures.
 func (s *Server) Remove(kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(kind, name)
 }
 
-// wake tells waiting watches to look again. The caller holds the lock.
-func (s *Server) wake() {
+// wakeWatches makes all waiting watches check for events and failures. The caller holds s.mu.
+func (s *Server) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
+// put creates or replaces an object. The caller holds s.mu.
 func (s *Server) put(kind, name string, spec json.RawMessage) object {
-	s.remember(kind, name)
+	s.recordUndo(kind, name)
 	s.rev++
 	if s.objects[kind] == nil {
 		s.objects[kind] = map[string]object{}
@@ -215,29 +222,30 @@
 	o.Metadata.Revision, o.Spec = s.rev, spec
 	s.objects[kind][name] = o
 	s.history = append(s.history, event{Object: o, kind: kind, rev: s.rev})
-	s.told(Change{Kind: kind, Name: name, Spec: spec})
-	s.wake()
+	s.notifyObserver(Change{Kind: kind, Name: name, Spec: spec})
+	s.wakeWatches()
 	return o
 }
 
-// remember keeps what an object is before it changes. The caller holds the lock.
-func (s *Server) remember(kind, name string) {
+// recordUndo adds the present state of an object, which is about to change, to the undo log. The caller
+// holds s.mu.
+func (s *Server) recordUndo(kind, name string) {
 	now := time.Now()
-	for len(s.undo) > 0 && now.Sub(s.undo[0].at) > undoTime {
-		s.undo = s.undo[1:]
+	for len(s.undoLog) > 0 && now.Sub(s.undoLog[0].at) > undoWindow {
+		s.undoLog = s.undoLog[1:]
 	}
 	old, existed := s.objects[kind][name]
-	s.undo = append(s.undo, replaced{kind, name, old, existed, s.rev, now})
+	s.undoLog = append(s.undoLog, undoEntry{kind, name, old, existed, s.rev, now})
 }
 
-// asOf returns the objects of a kind and the revision as they were at a time. The caller
-// holds the lock.
-func (s *Server) asOf(kind string, at time.Time) (map[string]object, int64) {
+// objectsAsOf returns the objects of a kind and the revision of the store as of the given time, which
+// must be within undoWindow. The caller holds s.mu.
+func (s *Server) objectsAsOf(kind string, at time.Time) (map[string]object, int64) {
 	objects, rev := maps.Clone(s.objects[kind]), s.rev
 	if objects == nil {
 		objects = map[string]object{}
 	}
-	for _, u := range slices.Backward(s.undo) {
+	for _, u := range slices.Backward(s.undoLog) {
 		if !u.at.After(at) {
 			break
 		}
@@ -253,24 +261,25 @@
 	return objects, rev
 }
 
-// told tells the observer of a change. The caller holds the lock.
-func (s *Server) told(c Change) {
-	if s.observe != nil {
-		s.observe(c)
+// notifyObserver passes a change to the observer. The caller holds s.mu.
+func (s *Server) notifyObserver(c Change) {
+	if s.observer != nil {
+		s.observer(c)
 	}
 }
 
+// remove deletes an object if it exists. The caller holds s.mu.
 func (s *Server) remove(kind, name string) {
 	o, ok := s.objects[kind][name]
 	if !ok {
 		return
 	}
-	s.remember(kind, name)
+	s.recordUndo(kind, name)
 	s.rev++
 	delete(s.objects[kind], name)
 	s.history = append(s.history, event{Object: o, Deleted: true, kind: kind, rev: s.rev})
-	s.told(Change{Kind: kind, Name: name, Deleted: true})
-	s.wake()
+	s.notifyObserver(Change{Kind: kind, Name: name, Deleted: true})
+	s.wakeWatches()
 }
 
 // ServeHTTP implements http.Handler.
@@ -278,7 +287,9 @@
 	s.Front("", Addresses{}).ServeHTTP(w, r)
 }
 
-func (s *Server) after(kind string, since, upTo int64) []event {
+// eventsAfter returns the events of a kind with a revision above since and up to upTo. The caller
+// holds s.mu.
+func (s *Server) eventsAfter(kind string, since, upTo int64) []event {
 	var out []event
 	for _, e := range s.history {
 		if e.kind == kind && e.rev > since && e.rev <= upTo {
@@ -288,8 +299,9 @@
 	return out
 }
 
-// carryOut makes a change whose condition holds.
-func (s *Server) carryOut(r *http.Request, kind, name string, body []byte) (int, object) {
+// applyWrite executes a write if its condition on the revision of the object holds. It returns the HTTP
+// status and the object of the response.
+func (s *Server) applyWrite(r *http.Request, kind, name string, body []byte) (int, object) {
 	var in object
 	if len(body) > 0 && json.Unmarshal(body, &in) != nil {
 		return http.StatusBadRequest, object{}
--- a/internal/standin/fleetstore/front.go
+++ b/internal/standin/fleetstore/front.go
@@ -11,55 +11,56 @@
 	"time"
 )
 
-// Front is the store as one caller meets it, with faults of its own besides the store's. It
-// is an http.Handler and safe for concurrent use.
+// Front is the store's HTTP handler for one client. It can simulate failures for this client only. It is
+// an http.Handler and safe for concurrent use.
 type Front struct {
-	s         *Server
-	caller    string
+	server    *Server
+	client    string
 	addresses Addresses
 
 	mu     sync.Mutex
 	faults Faults
 }
 
-// Front returns the store as a caller meets it.
-func (s *Server) Front(caller string, addresses Addresses) *Front {
-	return &Front{s: s, caller: caller, addresses: addresses}
+// Front returns the store's handler for one client. Client is the name of the client's own
+// registration if the client is a process of the product.
+func (s *Server) Front(client string, addresses Addresses) *Front {
+	return &Front{server: s, client: client, addresses: addresses}
 }
 
-// SetFaults makes the store misbehave towards this caller from now on.
+// SetFaults replaces the failures that are simulated for this client.
 func (f *Front) SetFaults(faults Faults) {
 	f.mu.Lock()
 	f.faults = faults
 	f.mu.Unlock()
-	f.s.mu.Lock()
-	defer f.s.mu.Unlock()
-	f.s.wake()
+	f.server.mu.Lock()
+	defer f.server.mu.Unlock()
+	f.server.wakeWatches()
 }
 
-// now returns the faults in force. The first of both that is set counts.
-func (f *Front) now() Faults {
+// activeFaults returns the failures simulated for this client, or those of the store if there are none.
+func (f *Front) activeFaults() Faults {
 	f.mu.Lock()
 	own := f.faults
 	f.mu.Unlock()
-	f.s.mu.Lock()
-	defer f.s.mu.Unlock()
+	f.server.mu.Lock()
+	defer f.server.mu.Unlock()
 	if own == (Faults{}) {
-		return f.s.faults
+		return f.server.faults
 	}
 	return own
 }
 
 // ServeHTTP implements http.Handler.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f.s.mu.Lock()
-	f.s.calls++
-	f.s.mu.Unlock()
-	faults := f.now()
-	w = &eraWriter{ResponseWriter: w, s: f.s}
+	f.server.mu.Lock()
+	f.server.calls++
+	f.server.mu.Unlock()
+	faults := f.activeFaults()
+	w = &eraWriter{ResponseWriter: w, server: f.server}
 	switch {
 	case faults.Silent:
-		// Until the body has been read the server does not notice that the caller has gone.
+		// The HTTP server does not detect that the client has disconnected before the body has been read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 		return
@@ -88,54 +89,55 @@
 	}
 }
 
-// eraWriter adds the era to the head of an answer, as of when the answer is given.
+// eraWriter adds the era to the headers of a response. The value is that at the time the headers are
+// written, since the era may change while a call waits.
 type eraWriter struct {
 	http.ResponseWriter
-	s       *Server
-	written bool
+	server      *Server
+	headWritten bool
 }
 
 // WriteHeader implements http.ResponseWriter.
 func (w *eraWriter) WriteHeader(status int) {
-	if era := w.s.eraNow(); era != "" && !w.written {
+	if era := w.server.eraHeaderValue(); era != "" && !w.headWritten {
 		w.Header().Set(headerEra, era)
 	}
-	w.written = true
+	w.headWritten = true
 	w.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
 func (w *eraWriter) Write(p []byte) (int, error) {
-	if !w.written {
+	if !w.headWritten {
 		w.WriteHeader(http.StatusOK)
 	}
 	return w.ResponseWriter.Write(p)
 }
 
-// shown returns an object as this caller sees it.
-func (f *Front) shown(kind string, o object) object {
+// withClientAddresses returns an object with the addresses that this client is meant to see.
+func (f *Front) withClientAddresses(kind string, o object) object {
 	if len(o.Spec) > 0 {
-		o.Spec = f.addresses.apply(f.caller, kind, o.Metadata.Name, o.Spec)
+		o.Spec = f.addresses.rewrite(f.client, kind, o.Metadata.Name, o.Spec)
 	}
 	return o
 }
 
 func (f *Front) get(w http.ResponseWriter, r *http.Request, kind, name string) {
 	q := r.URL.Query()
-	staleBy := f.now().StaleBy
+	staleBy := f.activeFaults().StaleBy
 	if q.Get("stale_ok") == "" {
 		staleBy = 0
 	}
 	switch {
 	case name != "":
-		f.s.mu.Lock()
-		o, ok := f.s.objects[kind][name]
-		f.s.mu.Unlock()
+		f.server.mu.Lock()
+		o, ok := f.server.objects[kind][name]
+		f.server.mu.Unlock()
 		if !ok {
 			w.WriteHeader(http.StatusNotFound)
 			return
 		}
-		reply(w, f.shown(kind, o))
+		reply(w, f.withClientAddresses(kind, o))
 	case q.Has("watch"):
 		f.watch(w, r, kind, staleBy)
 	default:
@@ -144,9 +146,9 @@
 }
 
 func (f *Front) list(w http.ResponseWriter, kind, after string, staleBy time.Duration) {
-	f.s.mu.Lock()
-	objects, rev := f.s.asOf(kind, time.Now().Add(-staleBy))
-	f.s.mu.Unlock()
+	f.server.mu.Lock()
+	objects, rev := f.server.objectsAsOf(kind, time.Now().Add(-staleBy))
+	f.server.mu.Unlock()
 	var names []string
 	for name := range objects {
 		if name > after {
@@ -157,7 +159,7 @@
 	out := map[string]any{"current_rev": rev, "has_more": len(names) > pageItems}
 	items := []object{}
 	for _, name := range names[:min(len(names), pageItems)] {
-		items = append(items, f.shown(kind, objects[name]))
+		items = append(items, f.withClientAddresses(kind, objects[name]))
 	}
 	out["items"] = items
 	reply(w, out)
@@ -168,11 +170,11 @@
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	deadline := time.After(time.Duration(wait) * time.Millisecond)
 	for {
-		deaf := f.now().DeafWatches
-		f.s.mu.Lock()
-		_, rev := f.s.asOf(kind, time.Now().Add(-staleBy))
-		events, gone, changed := f.s.after(kind, since, rev), since < f.s.forgotten || since > f.s.rev, f.s.changed
-		f.s.mu.Unlock()
+		deaf := f.activeFaults().DeafWatches
+		f.server.mu.Lock()
+		_, rev := f.server.objectsAsOf(kind, time.Now().Add(-staleBy))
+		events, gone, changed := f.server.eventsAfter(kind, since, rev), since < f.server.compactedRev || since > f.server.rev, f.server.changed
+		f.server.mu.Unlock()
 		rev = max(rev, since)
 		switch {
 		case gone:
@@ -180,7 +182,7 @@
 			return
 		case len(events) > 0 && !deaf:
 			for i := range events {
-				events[i].Object = f.shown(kind, events[i].Object)
+				events[i].Object = f.withClientAddresses(kind, events[i].Object)
 			}
 			reply(w, map[string]any{"events": events, "current_rev": rev})
 			return
@@ -195,13 +197,14 @@
 			reply(w, map[string]any{"events": []event{}, "current_rev": rev})
 			return
 		case <-changed:
-		case <-later(staleBy):
+		case <-nextVisible(staleBy):
 		}
 	}
 }
 
-// later ticks when a change of now is old enough to be shown, and never if all are.
-func later(staleBy time.Duration) <-chan time.Time {
+// nextVisible fires when a change made now is old enough to be visible. It never fires if staleBy is 0,
+// since all changes are visible then.
+func nextVisible(staleBy time.Duration) <-chan time.Time {
 	if staleBy == 0 {
 		return nil
 	}
@@ -215,20 +218,20 @@
 		return
 	}
 	if faults.LateBy > 0 {
-		time.AfterFunc(faults.LateBy, func() { f.s.carryOut(r, kind, name, body) })
+		time.AfterFunc(faults.LateBy, func() { f.server.applyWrite(r, kind, name, body) })
 		panic(http.ErrAbortHandler)
 	}
-	status, o := f.s.carryOut(r, kind, name, body)
+	status, o := f.server.applyWrite(r, kind, name, body)
 	if faults.LoseAnswers {
 		panic(http.ErrAbortHandler)
 	}
 	time.Sleep(faults.Delay)
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(f.shown(kind, o)) // a caller that is gone needs no answer
+	_ = json.NewEncoder(w).Encode(f.withClientAddresses(kind, o)) // fails only if the client has disconnected
 }
 
 func reply(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // a caller that is gone needs no answer
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
--- a/internal/standin/fleetstore/product.go
+++ b/internal/standin/fleetstore/product.go
@@ -2,37 +2,39 @@
 
 import "encoding/json"
 
-// Kinds of objects that the product keeps for itself.
+// Kinds of objects that the product stores for its own processes.
 const (
 	kindMembers = "rockdoor-members"
 	kindLeases  = "rockdoor-leases"
-	// dutiesLease is the name of the lease of those that give orders. The holder has that of
-	// former versions too, but so may a candidate that lost.
+	// dutiesLease is the name of the lease whose holder performs the duties, which include sending
+	// orders. The holder also has the lease of former versions, but that one does not identify
+	// the holder: a process that failed to get dutiesLease may have it too.
 	dutiesLease = "duties"
 )
 
-// Addresses replaces the addresses that a caller learns from the store. A nil function
-// leaves them as they are.
+// Addresses replaces addresses in the objects that a client reads from the store, for example to
+// route its connections through a proxy. A nil function leaves the addresses unchanged.
 type Addresses struct {
-	// Instance replaces that of an engine or backend server.
+	// Instance replaces the address of an engine or backend server.
 	Instance func(address string) string
-	// Member replaces that of another process of the product.
+	// Member replaces the peer address of another process of the product.
 	Member func(name, address string) string
 }
 
-// apply returns a spec as a caller reads it. Its own registration is left as it is.
-func (a Addresses) apply(caller, kind, name string, spec json.RawMessage) json.RawMessage {
+// rewrite returns a spec as a client reads it. The client's own registration is unchanged.
+func (a Addresses) rewrite(client, kind, name string, spec json.RawMessage) json.RawMessage {
 	switch {
 	case kind == kindInstances && a.Instance != nil:
-		return changeField(spec, a.Instance, "address")
-	case kind == kindMembers && a.Member != nil && name != caller:
-		return changeField(spec, func(address string) string { return a.Member(name, address) }, "value", "peer")
+		return rewriteField(spec, a.Instance, "address")
+	case kind == kindMembers && a.Member != nil && name != client:
+		return rewriteField(spec, func(address string) string { return a.Member(name, address) }, "value", "peer")
 	}
 	return spec
 }
 
-// changeField changes a text in JSON. What cannot be read stays as it is.
-func changeField(spec json.RawMessage, change func(old string) string, path ...string) json.RawMessage {
+// rewriteField applies change to the string at a path in a JSON document. If the path does not lead to a
+// string, it returns the document unchanged.
+func rewriteField(spec json.RawMessage, change func(old string) string, path ...string) json.RawMessage {
 	if len(path) == 0 {
 		var old string
 		if json.Unmarshal(spec, &old) != nil {
@@ -48,7 +50,7 @@
 	if json.Unmarshal(spec, &all) != nil || all[path[0]] == nil {
 		return spec
 	}
-	all[path[0]] = changeField(all[path[0]], change, path[1:]...)
+	all[path[0]] = rewriteField(all[path[0]], change, path[1:]...)
 	out, err := json.Marshal(all)
 	if err != nil {
 		return spec
@@ -56,8 +58,8 @@
 	return out
 }
 
-// Lease returns who holds the product's duties after a change, and the number of the grant.
-// It reports false for changes that grant nothing, as of a lease that cannot be read.
+// Lease returns the holder and the fencing token of the product's duties lease after a change. It
+// reports false for changes of other objects, for a deletion, and if the lease is not valid JSON.
 func (c Change) Lease() (holder string, token int64, ok bool) {
 	if c.Kind != kindLeases || c.Name != dutiesLease || c.Deleted {
 		return "", 0, false
--- a/internal/standin/fleetstore/sample.go
+++ b/internal/standin/fleetstore/sample.go
@@ -4,14 +4,14 @@
 
 // Services of the sample configuration.
 const (
-	// SampleFlags has backend servers.
+	// SampleFlags is a service of backend servers.
 	SampleFlags = "flags"
-	// SampleModels has model engines.
+	// SampleModels is a service of model engines.
 	SampleModels = "models"
 )
 
-// SetSample writes a small configuration: flag checks to backend servers and rule
-// reviews to model engines.
+// SetSample writes a small configuration with two routes: flag checks go to backend
+// servers, rule reviews go to model engines.
 func (s *Server) SetSample() {
 	const host, connections = "shop.example", 100
 	s.Configure(Configuration{
--- a/internal/standin/platformd/platformd.go
+++ b/internal/standin/platformd/platformd.go
@@ -1,6 +1,6 @@
-// Package platformd is a stand-in for the platform: its object API over HTTP,
-// its lagging list of hosts and its rate-limited weight store. It can be told
-// to fail in the ways that the real one does.
+// Package platformd implements a stand-in for the platform, for tests and
+// experiments: the object API over HTTP, the list of hosts, which may be stale,
+// and the rate-limited weight store. It simulates failures of the real platform.
 package platformd
 
 import (
@@ -21,17 +21,17 @@
 	"github.com/rockdoor/rockdoor/objstore/memstore"
 )
 
-// Faults says how the stand-in misbehaves.
+// Faults selects the failures that the stand-in simulates.
 type Faults struct {
-	// Down refuses every call.
+	// Down fails the calls for objects and for the list of hosts.
 	Down bool `json:"down"`
-	// LoseAnswers applies writes and then drops the connection.
+	// LoseAnswers applies each write and closes the connection without a response.
 	LoseAnswers bool `json:"loseAnswers"`
-	// DelayMillis is added before each call.
+	// DelayMillis is the delay before each call is handled, in milliseconds.
 	DelayMillis int `json:"delayMillis"`
 }
 
-// Server is the stand-in. It is an http.Handler and safe for concurrent use.
+// Server is a simulated platform. It is an http.Handler and safe for concurrent use.
 type Server struct {
 	router  *mux.Router
 	store   *memstore.Store
@@ -42,17 +42,18 @@
 	hosts  []objstore.Host
 }
 
-// New returns an empty stand-in whose weight store serves weightLoads loads a second.
+// New returns a server without objects or hosts. Its weight store serves weightLoads requests
+// per second.
 func New(weightLoads float64) *Server {
 	s := &Server{store: memstore.New(), weights: rate.NewLimiter(rate.Limit(weightLoads), 1)}
 	r := mux.NewRouter().UseEncodedPath()
-	r.HandleFunc("/objects/{key}", s.faulty(s.get)).Methods(http.MethodGet)
-	r.HandleFunc("/objects/{key}", s.faulty(s.put)).Methods(http.MethodPut)
-	r.HandleFunc("/objects/{key}", s.faulty(s.delete)).Methods(http.MethodDelete)
-	r.HandleFunc("/objects", s.faulty(s.list)).Methods(http.MethodGet)
-	r.HandleFunc("/watch", s.faulty(s.watch)).Methods(http.MethodGet)
-	r.HandleFunc("/hosts", s.faulty(s.getHosts)).Methods(http.MethodGet)
-	r.HandleFunc("/weights/{model}", s.faulty(s.getWeights)).Methods(http.MethodGet)
+	r.HandleFunc("/objects/{key}", s.withFaults(s.get)).Methods(http.MethodGet)
+	r.HandleFunc("/objects/{key}", s.withFaults(s.put)).Methods(http.MethodPut)
+	r.HandleFunc("/objects/{key}", s.withFaults(s.delete)).Methods(http.MethodDelete)
+	r.HandleFunc("/objects", s.withFaults(s.list)).Methods(http.MethodGet)
+	r.HandleFunc("/watch", s.withFaults(s.watch)).Methods(http.MethodGet)
+	r.HandleFunc("/hosts", s.withFaults(s.getHosts)).Methods(http.MethodGet)
+	r.HandleFunc("/weights/{model}", s.withFaults(s.getWeights)).Methods(http.MethodGet)
 	r.HandleFunc("/lab/faults", s.setFaults).Methods(http.MethodPut)
 	r.HandleFunc("/lab/hosts", s.setHosts).Methods(http.MethodPut)
 	r.HandleFunc("/lab/calls", s.getCalls).Methods(http.MethodGet)
@@ -63,10 +64,10 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.router.ServeHTTP(w, r) }
 
-// Store returns the objects behind the API.
+// Store returns the store that holds the objects of the API.
 func (s *Server) Store() *memstore.Store { return s.store }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the simulated failures.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,28 +79,29 @@
 	}
 }
 
-func (s *Server) faulty(next http.HandlerFunc) http.HandlerFunc {
+// withFaults returns a handler that applies the simulated delay and the loss of responses to writes.
+func (s *Server) withFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		f := s.faults
 		s.mu.Unlock()
 		time.Sleep(time.Duration(f.DelayMillis) * time.Millisecond)
 		if f.LoseAnswers && r.Method != http.MethodGet {
-			next(discard{http.Header{}}, r)
+			next(discardWriter{http.Header{}}, r)
 			panic(http.ErrAbortHandler)
 		}
 		next(w, r)
 	}
 }
 
-// discard is a ResponseWriter that loses the answer.
-type discard struct{ h http.Header }
+// discardWriter is a ResponseWriter that discards the response.
+type discardWriter struct{ h http.Header }
 
-func (d discard) Header() http.Header         { return d.h }
-func (d discard) Write(p []byte) (int, error) { return len(p), nil }
-func (d discard) WriteHeader(int)             {}
+func (d discardWriter) Header() http.Header         { return d.h }
+func (d discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (d discardWriter) WriteHeader(int)             {}
 
-func key(r *http.Request) string {
+func objectKey(r *http.Request) string {
 	k, _ := url.PathUnescape(mux.Vars(r)["key"])
 	return k
 }
@@ -134,22 +136,22 @@
 }
 
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
-	obj, err := s.store.Get(r.Context(), key(r))
+	obj, err := s.store.Get(r.Context(), objectKey(r))
 	reply(w, obj, err)
 }
 
 func (s *Server) put(w http.ResponseWriter, r *http.Request) {
 	value, err := io.ReadAll(io.LimitReader(r.Body, objstore.MaxValueBytes+1))
 	if err != nil {
-		http.Error(w, "value was cut", http.StatusBadRequest)
+		http.Error(w, "request body was truncated", http.StatusBadRequest)
 		return
 	}
-	obj, err := s.store.Put(r.Context(), key(r), value, objstore.Version(intParam(r, "ifVersion")), r.URL.Query().Get("writeID"))
+	obj, err := s.store.Put(r.Context(), objectKey(r), value, objstore.Version(intParam(r, "ifVersion")), r.URL.Query().Get("writeID"))
 	reply(w, obj, err)
 }
 
 func (s *Server) delete(w http.ResponseWriter, r *http.Request) {
-	reply(w, struct{}{}, s.store.Delete(r.Context(), key(r), objstore.Version(intParam(r, "ifVersion"))))
+	reply(w, struct{}{}, s.store.Delete(r.Context(), objectKey(r), objstore.Version(intParam(r, "ifVersion"))))
 }
 
 func (s *Server) list(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/serviced/serviced.go
+++ b/internal/standin/serviced/serviced.go
@@ -1,5 +1,6 @@
-// Package serviced is a stand-in for a plain service behind rockdoor. It
-// answers every call with the call's own path and body and records each run.
+// Package serviced implements a stand-in for a backend server behind rockdoor,
+// for tests and experiments. It echoes the method, path and body of each request
+// and records all requests.
 package serviced
 
 import (
@@ -15,23 +16,24 @@
 	"github.com/rockdoor/rockdoor/engine/openai"
 )
 
-const maxBody = 1 << 20
+const maxBodyBytes = 1 << 20
 
-// Faults says how the service misbehaves.
+// Faults selects the failures that the stand-in simulates.
 type Faults struct {
-	// CutBeforeHeaders closes the connection after the call was run.
+	// CutBeforeHeaders runs the request and closes the connection before the response headers.
 	CutBeforeHeaders bool `json:"cutBeforeHeaders"`
-	// CutInBody closes the connection in the middle of the answer.
+	// CutInBody closes the connection in the middle of the response body.
 	CutInBody bool `json:"cutInBody"`
-	// Silent accepts calls and says nothing.
+	// Silent accepts requests and never responds to them.
 	Silent bool `json:"silent"`
-	// RestSeconds refuses calls with 503 and asks for that much rest.
+	// RestSeconds, if positive, rejects requests with 503 and a Retry-After of this many seconds.
 	RestSeconds int `json:"restSeconds"`
-	// RateLimit is named in all answers as the rate limit, empty for none.
+	// RateLimit is sent in the rate limit header of all responses. If it is empty, the header is
+	// left out.
 	RateLimit string `json:"rateLimit"`
 }
 
-// Run is the record of one call.
+// Run is the record of one request. A rejected request is recorded too.
 type Run struct {
 	LoadID string    `json:"loadID"`
 	Server string    `json:"server"`
@@ -40,7 +42,7 @@
 	Start  time.Time `json:"start"`
 }
 
-// Server is the stand-in. It is an http.Handler and safe for concurrent use.
+// Server is a simulated backend server. It is an http.Handler and safe for concurrent use.
 type Server struct {
 	name   string
 	delay  time.Duration
@@ -51,7 +53,7 @@
 	runs   []Run
 }
 
-// New returns a service whose calls take the given time.
+// New returns a server that waits for delay before each response.
 func New(name string, delay time.Duration) *Server {
 	s := &Server{name: name, delay: delay}
 	r := mux.NewRouter()
@@ -65,34 +67,34 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.router.ServeHTTP(w, r) }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the simulated failures.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Runs returns the record of all calls.
+// Runs returns the recorded requests in the order of their arrival.
 func (s *Server) Runs() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Run{}, s.runs...)
 }
 
-// Forget drops the record of all calls.
+// Forget clears the recorded requests.
 func (s *Server) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs = nil
 }
 
-// Answer is what the service says to a call.
+// Answer returns the response body for a request.
 func Answer(method, path string, body []byte) string {
 	return method + " " + path + "\n" + string(body)
 }
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		return
 	}
