--- a/internal/standin/fleetapi/fleetapi.go
+++ b/internal/standin/fleetapi/fleetapi.go
@@ -43,8 +43,8 @@
 	Down bool
 	// LoseAnswers handles each call and closes the connection without a response.
 	LoseAnswers bool
-	// Empty is a failure domain without capacity: scaling orders for it are rejected with 409.
-	Empty string
+	// NoCapacityDomain is the failure domain whose scaling orders are rejected with 409, empty for none.
+	NoCapacityDomain string
 }
 
 // Server is a simulated API. It is an http.Handler and safe for concurrent use.
@@ -164,7 +164,7 @@
 	var o struct {
 		Zone string `json:"zone"`
 	}
-	if s.faults.Empty != "" && c.Path == pathOrders && json.Unmarshal([]byte(c.Body), &o) == nil && o.Zone == s.faults.Empty {
+	if s.faults.NoCapacityDomain != "" && c.Path == pathOrders && json.Unmarshal([]byte(c.Body), &o) == nil && o.Zone == s.faults.NoCapacityDomain {
 		return http.StatusConflict
 	}
 	s.calls = append(s.calls, c)
--- a/internal/standin/fleetcaller/fleetcaller.go
+++ b/internal/standin/fleetcaller/fleetcaller.go
@@ -57,8 +57,8 @@
 	return fmt.Sprintf("X-Model: %s\r\nX-Token-Count: %d,%d\r\nX-Prompt-Prefix: %s\r\n", p.Model, tokens, p.Output, strings.Join(parts, ","))
 }
 
-// Answer is a response as a client receives it.
-type Answer struct {
+// Response is a response as a client receives it.
+type Response struct {
 	// Status is the HTTP status code, 0 if no response headers were received.
 	Status int
 	// Sealed is true if the response has a seal, which only instances add.
@@ -72,18 +72,18 @@
 
 // ReadAnswer reads the response to one request. If it fails, it also returns the part of the
 // response that was received.
-func ReadAnswer(r *bufio.Reader) (Answer, error) {
+func ReadAnswer(r *bufio.Reader) (Response, error) {
 	resp, err := http.ReadResponse(r, &http.Request{Method: http.MethodPost})
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	a := Answer{
+	out := Response{
 		Status: resp.StatusCode, Sealed: resp.Header.Get("X-Response-Seal") != "", Body: string(body), Whole: err == nil, Last: resp.Close,
 	}
 	if err == nil && r.Buffered() > 0 {
 		err = ErrExcess
 	}
-	return a, err
+	return out, err
 }
--- a/internal/standin/fleetengine/arrival_test.go
+++ b/internal/standin/fleetengine/arrival_test.go
@@ -15,9 +15,9 @@
 	"github.com/rockdoor/rockdoor/internal/standin/fleetengine"
 )
 
-// TestArrivalsAreWhatCallersSent checks that fleetcaller and fleetengine use the same header
+// TestArrivalMatchesClientRequest checks that fleetcaller and fleetengine use the same header
 // names, and that an invalid deadline counts as none.
-func TestArrivalsAreWhatCallersSent(t *testing.T) {
+func TestArrivalMatchesClientRequest(t *testing.T) {
 	parts := []engine.Part{{ID: "a", Tokens: 7}, {ID: "b", Tokens: 2}}
 	sent := fleetcaller.Request{
 		ID: "r", Path: "/stream/1", Body: "b", Host: "h", Key: "k", Wait: 1500 * time.Millisecond,
--- a/internal/standin/fleetengine/fleetengine.go
+++ b/internal/standin/fleetengine/fleetengine.go
@@ -73,11 +73,11 @@
 	Padding int
 	// Changed is called after each change of the stage. It may be nil.
 	Changed func(stage string)
-	// Leaving has the engine state in its responses that it is shutting down. Rest is the
+	// ShuttingDown makes the engine state in its responses that it is shutting down. Rest is the
 	// Retry-After of each shed request, 0 for none. Both are set before the engine is used;
-	// SetLeaving sets Leaving afterwards.
-	Leaving bool
-	Rest    time.Duration
+	// afterwards, SetLeaving sets ShuttingDown.
+	ShuttingDown bool
+	Rest         time.Duration
 	// Deadly is the body of a poison request, empty for none: the engine crashes when it starts to
 	// run a request with this body. Crash then simulates the end of the engine's process.
 	Deadly string
@@ -138,10 +138,10 @@
 func (e *Engine) Refused() []Run { return e.snapshot(&e.shedRequests) }
 
 // record adds a request to a record.
-func (e *Engine) record(run Run, in *[]Run) {
+func (e *Engine) record(run Run, to *[]Run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	*in = append(*in, run)
+	*to = append(*to, run)
 }
 
 // Reads returns the requests whose prompts were prefilled for another engine.
@@ -190,7 +190,7 @@
 func (e *Engine) SetLeaving() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.Leaving = true
+	e.ShuttingDown = true
 }
 
 // SetRateLimit makes the engine send a rate limit in all further responses. If text is empty, it sends
@@ -205,7 +205,7 @@
 func (e *Engine) setStateHeaders(w http.ResponseWriter) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.Leaving {
+	if e.ShuttingDown {
 		w.Header().Set(headerShuttingDown, "1")
 	}
 	if e.rateLimit != "" {
--- a/internal/standin/fleetstore/fleetstore.go
+++ b/internal/standin/fleetstore/fleetstore.go
@@ -312,16 +312,16 @@
 		name = in.Metadata.Name
 	}
 	old, exists := s.objects[kind][name]
-	want := in.Metadata.Revision
+	wantRevision := in.Metadata.Revision
 	if r.Method == http.MethodDelete {
-		want, _ = strconv.ParseInt(r.URL.Query().Get("revision"), 10, 64)
+		wantRevision, _ = strconv.ParseInt(r.URL.Query().Get("revision"), 10, 64)
 	}
 	switch {
 	case r.Method == http.MethodPost && exists:
 		return http.StatusConflict, old
 	case r.Method != http.MethodPost && !exists:
 		return http.StatusNotFound, object{}
-	case r.Method != http.MethodPost && want != 0 && want != old.Metadata.Revision:
+	case r.Method != http.MethodPost && wantRevision != 0 && wantRevision != old.Metadata.Revision:
 		return http.StatusConflict, old
 	case r.Method == http.MethodDelete:
 		s.remove(kind, name)
--- a/internal/standin/fleetstore/front.go
+++ b/internal/standin/fleetstore/front.go
@@ -170,17 +170,17 @@
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	deadline := time.After(time.Duration(wait) * time.Millisecond)
 	for {
-		deaf := f.activeFaults().DeafWatches
+		withheld := f.activeFaults().DeafWatches
 		f.server.mu.Lock()
 		_, rev := f.server.objectsAsOf(kind, time.Now().Add(-staleBy))
-		events, gone, changed := f.server.eventsAfter(kind, since, rev), since < f.server.compactedRev || since > f.server.rev, f.server.changed
+		events, unknownRevision, changed := f.server.eventsAfter(kind, since, rev), since < f.server.compactedRev || since > f.server.rev, f.server.changed
 		f.server.mu.Unlock()
 		rev = max(rev, since)
 		switch {
-		case gone:
+		case unknownRevision:
 			w.WriteHeader(http.StatusGone)
 			return
-		case len(events) > 0 && !deaf:
+		case len(events) > 0 && !withheld:
 			for i := range events {
 				events[i].Object = f.withClientAddresses(kind, events[i].Object)
 			}
@@ -191,7 +191,7 @@
 		case <-r.Context().Done():
 			return
 		case <-deadline:
-			if deaf {
+			if withheld {
 				rev = since
 			}
 			reply(w, map[string]any{"events": []event{}, "current_rev": rev})
--- a/internal/standin/serviced/serviced.go
+++ b/internal/standin/serviced/serviced.go
@@ -24,8 +24,8 @@
 	CutBeforeHeaders bool `json:"cutBeforeHeaders"`
 	// CutInBody closes the connection in the middle of the response body.
 	CutInBody bool `json:"cutInBody"`
-	// Silent accepts requests and never responds to them.
-	Silent bool `json:"silent"`
+	// NoResponse accepts requests and never responds to them.
+	NoResponse bool `json:"silent"`
 	// RestSeconds, if positive, rejects requests with 503 and a Retry-After of this many seconds.
 	RestSeconds int `json:"restSeconds"`
 	// RateLimit is sent in the rate limit header of all responses. If it is empty, the header is
@@ -104,7 +104,7 @@
 		LoadID: r.Header.Get("X-Load-Id"), Server: s.name, Method: r.Method, Path: r.URL.Path, Start: time.Now(),
 	})
 	s.mu.Unlock()
-	if f.Silent {
+	if f.NoResponse {
 		<-r.Context().Done()
 		return
 	}
