--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -9,7 +9,7 @@
 )
 
 // staleConfigRetry is the Retry-After while the configuration is too stale to accept API keys. A
-// process that has lost the store and all schedulers tries to reach them about as often.
+// process that can reach neither the store nor a scheduler retries them about this often.
 const staleConfigRetry = time.Second
 
 // Outcomes of requests that are not admitted.
--- a/internal/gateway/admit_test.go
+++ b/internal/gateway/admit_test.go
@@ -15,7 +15,7 @@
 // withKeys configures workspaces, so that the gateway requires API keys: k1 and k2 belong to
 // workspace w, and k3 to workspace v, whose rank overrides that of the route. The routes in
 // public accept requests without a key.
-func (r *harness) withKeys(provenAt bootclock.Instant, public ...string) {
+func (r *harness) withKeys(freshAt bootclock.Instant, public ...string) {
 	c := config()
 	c.AddWorkspace(fleet.Workspace{Name: "w"}, []fleet.KeyHash{fleet.HashKey("k1"), fleet.HashKey("k2")})
 	c.AddWorkspace(fleet.Workspace{Name: "v", Ranked: true, Rank: 3}, []fleet.KeyHash{fleet.HashKey("k3")})
@@ -25,13 +25,13 @@
 		}
 	}
 	v := *r.view.Load()
-	v.Config, v.ConfigFreshAt = c, provenAt
+	v.Config, v.ConfigFreshAt = c, freshAt
 	r.view.Store(&v)
 }
 
-// TestKeysLeadToWorkspaces checks which keys are accepted on each kind of route, and that instances
+// TestAPIKeyDeterminesWorkspace checks which keys are accepted on each kind of route, and that instances
 // receive the workspace but never the key, whatever headers the client sends.
-func TestKeysLeadToWorkspaces(t *testing.T) {
+func TestAPIKeyDeterminesWorkspace(t *testing.T) {
 	plain, prefillEngine, decodeEngine := fleetengine.New("p", ""), fleetengine.New("r", "prefill"), fleetengine.New("d", "decode")
 	decodeEngine.Events = 2
 	r := newHarness(t, harnessOptions{plain: []*fleetengine.Engine{plain}, model: []*fleetengine.Engine{prefillEngine, decodeEngine}})
@@ -49,10 +49,10 @@
 		{"no key", pathAtMostOnce, nil, http.StatusUnauthorized, ""},
 		{"unknown key", pathAtMostOnce, http.Header{"Api-Key": {"k4"}}, http.StatusUnauthorized, ""},
 		{"two keys", pathAtMostOnce, http.Header{"Api-Key": {"k1", "k3"}}, http.StatusUnauthorized, ""},
-		{"no key where none is needed", pathIdempotent, http.Header{"X-Tenant": {"w"}}, http.StatusOK, ""},
-		{"unknown key where none is needed", pathIdempotent, http.Header{"Api-Key": {"k4"}}, http.StatusOK, ""},
-		{"key where none is needed", pathIdempotent, http.Header{"Api-Key": {"k1"}}, http.StatusOK, "w"},
-		{"prompt that is read apart", pathModel, http.Header{"Api-Key": {"k1"}, "X-Model": long["X-Model"], "X-Token-Count": long["X-Token-Count"], "X-Prompt-Prefix": long["X-Prompt-Prefix"]}, http.StatusOK, "w"},
+		{"no key on a public route", pathIdempotent, http.Header{"X-Tenant": {"w"}}, http.StatusOK, ""},
+		{"unknown key on a public route", pathIdempotent, http.Header{"Api-Key": {"k4"}}, http.StatusOK, ""},
+		{"key on a public route", pathIdempotent, http.Header{"Api-Key": {"k1"}}, http.StatusOK, "w"},
+		{"prompt that is prefilled separately", pathModel, http.Header{"Api-Key": {"k1"}, "X-Model": long["X-Model"], "X-Token-Count": long["X-Token-Count"], "X-Prompt-Prefix": long["X-Prompt-Prefix"]}, http.StatusOK, "w"},
 	} {
 		before := len(plain.Runs()) + len(decodeEngine.Runs())
 		got := r.send(http.MethodPost, c.path+"x", "id-"+c.name, "b", c.header)
@@ -72,8 +72,8 @@
 	}
 	require.Equal(t, "w", seen["id-key"])
 	require.Equal(t, "v", seen["id-forged workspace"])
-	require.Equal(t, "", seen["id-no key where none is needed"])
-	require.Equal(t, "w", seen["id-prompt that is read apart"])
+	require.Equal(t, "", seen["id-no key on a public route"])
+	require.Equal(t, "w", seen["id-prompt that is prefilled separately"])
 	require.Len(t, prefillEngine.Reads(), 1)
 	require.Equal(t, "w", prefillEngine.Reads()[0].Header.Get("X-Tenant"))
 	for _, run := range plain.Runs() {
@@ -83,9 +83,9 @@
 	}
 }
 
-// TestKeysFailClosed checks that a process whose configuration is too old to accept API keys rejects
-// requests that need one with status 503, and still serves public routes.
-func TestKeysFailClosed(t *testing.T) {
+// TestStaleConfigurationRejectsAPIKeys checks that a process whose configuration is too old to
+// accept API keys rejects requests that need one with status 503, and still serves public routes.
+func TestStaleConfigurationRejectsAPIKeys(t *testing.T) {
 	plain := fleetengine.New("p", "")
 	r := newHarness(t, harnessOptions{plain: []*fleetengine.Engine{plain}})
 	r.withKeys(bootclock.Now().Add(-testMaxConfigStaleness-time.Second), pathIdempotent)
--- a/internal/gateway/backup.go
+++ b/internal/gateway/backup.go
@@ -36,15 +36,15 @@
 // resumeAtBackup continues an interrupted stream at its backup, after the last event that the
 // client received. The platform treats it as the same run, so it is allowed for streams that
 // may run at most once. If the backup cannot continue, the original error is returned.
-func (q *request) resumeAtBackup(cut error) (lifecycle.Outcome, error) {
+func (q *request) resumeAtBackup(streamErr error) (lifecycle.Outcome, error) {
 	backup := q.backup
 	q.backup = nil
 	if backup == nil || q.lastEventID == "" || q.clientGone || q.ctx.Err() != nil {
-		return lifecycle.Lost, cut
+		return lifecycle.Lost, streamErr
 	}
 	if err := q.checkBackup(backup); err != nil {
 		level.Info(q.s.o.Logger).Log("msg", "run cannot continue at its backup", "request", q.call.ID, "backup", backup.ID, "err", err)
-		return lifecycle.Lost, cut
+		return lifecycle.Lost, streamErr
 	}
 	q.plan.Granted = true // checkBackup has counted the send against the backup's rate limit
 	resp, verdict, err := q.exchange(q.ctx, backup, engine.Send{
@@ -58,10 +58,10 @@
 			err = fault.Newf(fault.Unavailable, "the stream ends here", "backup %s did not continue the stream, status %d", backup.ID, resp.Status)
 		}
 	}
-	level.Info(q.s.o.Logger).Log("msg", "continuing run at its backup", "request", q.call.ID, "backup", backup.ID, "after", q.lastEventID, "cut", cut, "err", err)
+	level.Info(q.s.o.Logger).Log("msg", "continuing run at its backup", "request", q.call.ID, "backup", backup.ID, "after", q.lastEventID, "cut", streamErr, "err", err)
 	if err != nil {
 		q.s.count("backup_failed")
-		return lifecycle.Lost, cut
+		return lifecycle.Lost, streamErr
 	}
 	q.s.count("backup_used")
 	res, err := q.relayEvents(resp)
--- a/internal/gateway/backup_test.go
+++ b/internal/gateway/backup_test.go
@@ -13,10 +13,10 @@
 	"github.com/rockdoor/rockdoor/internal/standin/fleetengine"
 )
 
-// TestACutRunGoesOnAtItsBackup interrupts streams that may run at most once, as happens when a
+// TestInterruptedStreamContinuesAtBackup interrupts streams that may run at most once, as happens when a
 // failure domain loses its engines. Each stream must continue in another failure domain, after the
 // last event that its client received and as the same run. Without a backup it ends truncated.
-func TestACutRunGoesOnAtItsBackup(t *testing.T) {
+func TestInterruptedStreamContinuesAtBackup(t *testing.T) {
 	const first = "id: 1\ndata: s-1\n\n"
 	const whole = first + "id: 2\ndata: s-2\n\nid: 3\ndata: s-3\n\nid: 4\ndata: s-4\n\n"
 	for _, c := range []struct {
@@ -25,36 +25,36 @@
 		// wanted is the response body if the engine that interrupts its stream is chosen.
 		wanted string
 	}{{"backup in another domain", map[string]string{"i-2": "b"}, whole}, {"no other domain", nil, first}} {
-		cuts, other := fleetengine.New("i-1", "decode"), fleetengine.New("i-2", "decode")
-		cuts.Events, other.Events = 4, 4
-		r := newHarness(t, harnessOptions{model: []*fleetengine.Engine{cuts, other}, domains: c.domains, spot: true})
-		for len(cuts.Runs()) == 0 { // until this engine is chosen
-			cuts.Fail(fleetengine.CutMidEvent, 1)
+		interrupting, other := fleetengine.New("i-1", "decode"), fleetengine.New("i-2", "decode")
+		interrupting.Events, other.Events = 4, 4
+		r := newHarness(t, harnessOptions{model: []*fleetengine.Engine{interrupting, other}, domains: c.domains, spot: true})
+		for len(interrupting.Runs()) == 0 { // until this engine is chosen
+			interrupting.Fail(fleetengine.CutMidEvent, 1)
 			before := len(other.Runs())
 			a := r.send(http.MethodPost, pathAtMostOnceStream, "s", "x", nil)
-			if len(cuts.Runs()) == 0 {
+			if len(interrupting.Runs()) == 0 {
 				require.Equal(t, whole, a.body, c.name)
 				continue
 			}
 			require.Equal(t, c.wanted, a.body, c.name)
 			require.Equal(t, c.wanted != whole, a.truncated, c.name)
 			if c.domains == nil {
-				require.Empty(t, cuts.Runs()[0].Header.Get("X-Kv-Backup"))
+				require.Empty(t, interrupting.Runs()[0].Header.Get("X-Kv-Backup"))
 				require.Len(t, other.Runs(), before)
 				continue
 			}
-			require.NotEmpty(t, cuts.Runs()[0].Header.Get("X-Kv-Backup"))
+			require.NotEmpty(t, interrupting.Runs()[0].Header.Get("X-Kv-Backup"))
 			after := other.Runs()[before:]
 			require.Len(t, after, 1)
 			require.Equal(t, "1", after[0].LastEvent)
-			require.Regexp(t, "/s$", after[0].Header.Get("X-Kv-Source"), "the copy of the same run")
+			require.Regexp(t, "/s$", after[0].Header.Get("X-Kv-Source"), "the KV cache copy of the same run")
 		}
 	}
 }
 
-// TestACutRunGoesOnOnlyWhereRulesPermit interrupts a stream after the rules have excluded the
+// TestInterruptedStreamContinuesOnlyWherePermitted interrupts a stream after the rules have excluded the
 // failure domain of its backup. The stream must end there.
-func TestACutRunGoesOnOnlyWhereRulesPermit(t *testing.T) {
+func TestInterruptedStreamContinuesOnlyWherePermitted(t *testing.T) {
 	near, far := fleetengine.New("i-1", "decode"), fleetengine.New("i-2", "decode")
 	near.Events, far.Events = 3, 3
 	near.Fail(fleetengine.HangMidStream, 1)
@@ -83,9 +83,9 @@
 	require.Empty(t, far.Runs())
 }
 
-// TestCopiesOnlyWhereTheyAreNeeded checks that the KV cache is copied only for streams that may
-// run at most once and run on spot instances.
-func TestCopiesOnlyWhereTheyAreNeeded(t *testing.T) {
+// TestBackupsOnlyForAtMostOnceStreamsOnSpotInstances checks that the KV cache is copied only for
+// streams that may run at most once and run on spot instances.
+func TestBackupsOnlyForAtMostOnceStreamsOnSpotInstances(t *testing.T) {
 	for _, c := range []struct {
 		path   string
 		spot   bool
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -9,9 +9,9 @@
 	"github.com/rockdoor/rockdoor/internal/gateway"
 )
 
-// BenchmarkPath measures one request through a gateway on loopback, with the client and the
+// BenchmarkRequest measures one request through a gateway on loopback, with the client and the
 // simulated engines in the same process.
-func BenchmarkPath(b *testing.B) {
+func BenchmarkRequest(b *testing.B) {
 	all := engines("", "i-1", "i-2")
 	r := newHarness(b, harnessOptions{plain: all, budget: gateway.RetryBudgetConfig{Ratio: 0.2, Slack: 10, Window: time.Second}})
 	b.ReportAllocs()
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -10,8 +10,8 @@
 // budgetSlots is the number of slots into which the window of a budget is divided.
 const budgetSlots = 20
 
-// RetryBudgetConfig bounds the retries, which are the sends beyond the first of each request, of all
-// processes together in any window.
+// RetryBudgetConfig limits the retries of all processes together in any window. Every send of a
+// request after its first one is a retry.
 type RetryBudgetConfig struct {
 	// Ratio is the number of retries allowed per request, and Slack the number allowed in addition
 	// to that in each window.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -75,15 +75,15 @@
 
 // Server is the HTTP handler for client requests.
 type Server struct {
-	o        Options
-	budget   *retryBudget
-	watch    *suspects.CrashDetector
-	notices  *notice.Table
-	limits   *ratelimit.Table
-	buffers  memoryBudget
-	startup  startupWaiter
-	inFlight atomic.Int64
-	stopping atomic.Bool
+	o             Options
+	budget        *retryBudget
+	crashDetector *suspects.CrashDetector
+	notices       *notice.Table
+	limits        *ratelimit.Table
+	buffers       memoryBudget
+	startup       startupWaiter
+	inFlight      atomic.Int64
+	stopping      atomic.Bool
 }
 
 // New returns a server.
@@ -97,7 +97,7 @@
 	return &Server{
 		o: o, budget: newRetryBudget(o.Budget), startup: startupWaiter{started: time.Now(), ready: o.Ready},
 		notices: notice.NewTable(o.Logger), limits: o.RateLimits,
-		watch: &suspects.CrashDetector{Table: o.Quarantine, RefusesConnections: o.Client.RefusesConnections, Logger: o.Logger},
+		crashDetector: &suspects.CrashDetector{Table: o.Quarantine, RefusesConnections: o.Client.RefusesConnections, Logger: o.Logger},
 	}
 }
 
@@ -223,7 +223,7 @@
 
 func (q *request) bodyError(status int, err error) *reply {
 	q.w.Header().Set("Connection", "close")
-	return replyWithStatus(status, "bad-body", fault.Wrap(err, fault.Invalid, "body did not arrive whole", "send it whole, in time and within the limit"), 0)
+	return replyWithStatus(status, "bad-body", fault.Wrap(err, fault.Invalid, "body did not arrive whole", "send the complete body, in time and within the size limit"), 0)
 }
 
 // rejectEarly sends and logs the reply to a request that accept rejected.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -50,16 +50,16 @@
 		runs   int
 	}{
 		{"sound", pathAtMostOnce, fleetengine.None, 0, 200, 1},
-		{"once: a refusal is tried elsewhere", pathAtMostOnce, fleetengine.Shed, 1, 200, 1},
-		{"once: refused everywhere is not run", pathAtMostOnce, fleetengine.Shed, -1, 503, 0},
-		{"once: a lost answer may have run", pathAtMostOnce, fleetengine.LoseAnswer, 1, 502, 1},
-		{"once: a failure is passed on", pathAtMostOnce, fleetengine.Error, 1, 500, 1},
-		{"once: noise is no answer", pathAtMostOnce, fleetengine.Unsealed, 1, 502, 1},
-		{"once: an answer to another request is skipped", pathAtMostOnce, fleetengine.StrayFirst, 1, 200, 1},
-		{"safe: a lost answer is asked for again", pathIdempotent, fleetengine.LoseAnswer, 1, 200, 2},
-		{"safe: a failure is asked for again", pathIdempotent, fleetengine.Error, 1, 200, 2},
-		{"safe: a second failure is passed on", pathIdempotent, fleetengine.Error, -1, 500, 2},
-		{"safe: noise is asked for again", pathIdempotent, fleetengine.Unsealed, 1, 200, 2},
+		{"at most once: a rejected request is retried at another instance", pathAtMostOnce, fleetengine.Shed, 1, 200, 1},
+		{"at most once: a request that all instances reject has not run", pathAtMostOnce, fleetengine.Shed, -1, 503, 0},
+		{"at most once: a request whose response is lost may have run", pathAtMostOnce, fleetengine.LoseAnswer, 1, 502, 1},
+		{"at most once: an error response is relayed", pathAtMostOnce, fleetengine.Error, 1, 500, 1},
+		{"at most once: a response without a seal is not relayed", pathAtMostOnce, fleetengine.Unsealed, 1, 502, 1},
+		{"at most once: a response to another request is skipped", pathAtMostOnce, fleetengine.StrayFirst, 1, 200, 1},
+		{"idempotent: a request whose response is lost is retried", pathIdempotent, fleetengine.LoseAnswer, 1, 200, 2},
+		{"idempotent: an error response is retried", pathIdempotent, fleetengine.Error, 1, 200, 2},
+		{"idempotent: a second error response is relayed", pathIdempotent, fleetengine.Error, -1, 500, 2},
+		{"idempotent: a response without a seal is retried", pathIdempotent, fleetengine.Unsealed, 1, 200, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			all := engines("", "i-1", "i-2")
@@ -132,7 +132,7 @@
 	require.Zero(t, allRuns(all))
 }
 
-func TestWithoutConfigurationNothingIsRefusedForGood(t *testing.T) {
+func TestRejectionWithoutConfigurationIsRetriable(t *testing.T) {
 	r := newHarness(t, harnessOptions{plain: engines("", "i-1")})
 	r.view.Store(&fleet.View{})
 	a := r.send(http.MethodGet, "/none/", "id-1", "", nil)
@@ -140,13 +140,13 @@
 	require.NotEmpty(t, a.header.Get("Retry-After"))
 }
 
-func TestDrainingInstancesGetNothing(t *testing.T) {
+func TestDrainingInstancesGetNoRequests(t *testing.T) {
 	all := engines("", "i-1", "i-2")
 	r := newHarness(t, harnessOptions{plain: all})
 	v := *r.view.Load()
-	leaving := *v.Instances["i-1"]
-	leaving.Draining = true
-	v.Instances = map[string]*fleet.Instance{"i-1": &leaving, "i-2": v.Instances["i-2"]}
+	draining := *v.Instances["i-1"]
+	draining.Draining = true
+	v.Instances = map[string]*fleet.Instance{"i-1": &draining, "i-2": v.Instances["i-2"]}
 	v.Index()
 	r.view.Store(&v)
 	for range 10 {
@@ -155,7 +155,7 @@
 	require.Empty(t, all[0].Runs())
 }
 
-func TestRulesOfPlaceHold(t *testing.T) {
+func TestPlacementRulesAreEnforced(t *testing.T) {
 	all := engines("", "i-1", "i-2")
 	r := newHarness(t, harnessOptions{plain: all})
 	rules, err := fleet.ParseRules([]byte(`{"labels": {"domain/a": {"country": "it"}}, "selectors": {"/once/": "country=ee"}}`))
@@ -168,7 +168,7 @@
 	require.Equal(t, http.StatusOK, r.send(http.MethodGet, pathIdempotent, "id-2", "", nil).status)
 }
 
-func TestTimeoutAnswersAtOnceAndSaysThatItMayHaveRun(t *testing.T) {
+func TestTimeoutSaysThatRequestMayHaveRun(t *testing.T) {
 	all := engines("", "i-1")
 	r := newHarness(t, harnessOptions{plain: all})
 	all[0].Fail(fleetengine.Hang, -1)
@@ -186,7 +186,7 @@
 		require.Equal(t, "id: 1\ndata: s-1\n\nid: 2\ndata: s-2\n\nid: 3\ndata: s-3\n\n", a.body)
 		require.False(t, a.truncated)
 	})
-	t.Run("a cut one that may not be repeated does not look whole", func(t *testing.T) {
+	t.Run("an interrupted stream that may run only once ends truncated", func(t *testing.T) {
 		e := fleetengine.New("i-1", "")
 		e.Events = 3
 		e.Fail(fleetengine.CutMidEvent, 1)
@@ -195,7 +195,7 @@
 		require.True(t, a.truncated)
 		require.Len(t, e.Runs(), 1)
 	})
-	t.Run("a resumable one goes on elsewhere without a piece lost or doubled", func(t *testing.T) {
+	t.Run("an interrupted resumable stream continues at another engine without lost or duplicate events", func(t *testing.T) {
 		all := engines("decode", "i-1", "i-2")
 		for _, e := range all {
 			e.Events = 4
@@ -213,7 +213,7 @@
 	})
 }
 
-func TestLongPromptsAreReadApart(t *testing.T) {
+func TestLongPromptsArePrefilledSeparately(t *testing.T) {
 	prefillEngines, decodeEngines := engines("prefill", "p-1", "p-2"), engines("decode", "d-1")
 	r := newHarness(t, harnessOptions{model: append(prefillEngines, decodeEngines...)})
 	for range 5 {
@@ -227,10 +227,10 @@
 	require.Len(t, decodeEngines[0].Runs(), 6)
 }
 
-// TestRefusedRunnerKeepsThePrompt checks that a rejection by a decode engine does not cause the
+// TestDecodeRejectionDoesNotRepeatPrefill checks that a rejection by a decode engine does not cause the
 // prompt to be prefilled again. Such a retry took two sends but was charged as one, so the retry
 // budget was exceeded.
-func TestRefusedRunnerKeepsThePrompt(t *testing.T) {
+func TestDecodeRejectionDoesNotRepeatPrefill(t *testing.T) {
 	prefillEngines, decodeEngines := engines("prefill", "p-1"), engines("decode", "d-1", "d-2")
 	r := newHarness(t, harnessOptions{model: append(prefillEngines, decodeEngines...)})
 	decodeEngines[0].Fail(fleetengine.Shed, -1)
@@ -242,9 +242,9 @@
 	require.Empty(t, prefillEngines[0].Freed())
 }
 
-// TestPromptThatIsNotWantedIsFreed checks that the KV cache is released if all decode engines
+// TestUnusedKVCacheIsReleased checks that the KV cache is released if all decode engines
 // reject the request.
-func TestPromptThatIsNotWantedIsFreed(t *testing.T) {
+func TestUnusedKVCacheIsReleased(t *testing.T) {
 	prefillEngines, decodeEngines := engines("prefill", "p-1"), engines("decode", "d-1")
 	r := newHarness(t, harnessOptions{model: append(prefillEngines, decodeEngines...)})
 	decodeEngines[0].Fail(fleetengine.Shed, -1)
@@ -254,7 +254,7 @@
 	require.Eventually(t, func() bool { return len(prefillEngines[0].Freed()) == 1 }, time.Second, 5*time.Millisecond)
 }
 
-func TestRetriesStayInsideTheBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	all := engines("", "i-1", "i-2", "i-3")
 	r := newHarness(t, harnessOptions{plain: all, budget: gateway.RetryBudgetConfig{Ratio: 0.2, Slack: 16, Window: 10 * time.Second}})
 	for _, e := range all {
@@ -268,9 +268,9 @@
 	require.Greater(t, allRuns(all), requests)
 }
 
-// TestVainConnectionsCostNoBudget checks that failed connection attempts to an instance that is
-// gone but still registered are not charged to the retry budget, since nothing was sent.
-func TestVainConnectionsCostNoBudget(t *testing.T) {
+// TestFailedConnectionsAreNotChargedToBudget checks that failed connection attempts to an instance that
+// has terminated but is still registered are not charged to the retry budget, since nothing was sent.
+func TestFailedConnectionsAreNotChargedToBudget(t *testing.T) {
 	all := engines("", "i-1")
 	r := newHarness(t, harnessOptions{plain: all, budget: gateway.RetryBudgetConfig{Ratio: 0, Slack: 0, Window: 10 * time.Second}})
 	v := *r.view.Load()
@@ -282,9 +282,9 @@
 	}
 }
 
-// TestOneOutcomeARequest checks that the request of a client that disconnects is counted once,
+// TestDisconnectedClientIsCountedOnce checks that the request of a client that disconnects is counted once,
 // and not as successful.
-func TestOneOutcomeARequest(t *testing.T) {
+func TestDisconnectedClientIsCountedOnce(t *testing.T) {
 	all := engines("", "i-1")
 	r := newHarness(t, harnessOptions{plain: all})
 	all[0].Fail(fleetengine.Hang, -1)
@@ -301,9 +301,9 @@
 	require.Zero(t, counter("ok"))
 }
 
-// TestPromptIsNotUsedByAnotherService moves a route to another service between two attempts. The
+// TestKVCacheIsNotUsedByAnotherService moves a route to another service between two attempts. The
 // KV cache of the first service must not be offered to the second, and must be released.
-func TestPromptIsNotUsedByAnotherService(t *testing.T) {
+func TestKVCacheIsNotUsedByAnotherService(t *testing.T) {
 	prefillEngines, other := engines("prefill", "p-1"), engines("decode", "d-1")
 	r := newHarness(t, harnessOptions{model: prefillEngines, plain: other})
 	moved := *r.view.Load()
@@ -331,16 +331,16 @@
 	require.Eventually(t, func() bool { return len(prefillEngines[0].Freed()) == 1 }, time.Second, 5*time.Millisecond)
 }
 
-// TestHalfClosedCallerGetsNoAnswerThatLooksWhole covers clients that close their sending side after
+// TestHalfClosedClientGetsNoCompleteResponse covers clients that close their sending side after
 // the request and go on reading. The gateway treats them as disconnected, so it must not send
 // anything that looks like a complete response.
-func TestHalfClosedCallerGetsNoAnswerThatLooksWhole(t *testing.T) {
+func TestHalfClosedClientGetsNoCompleteResponse(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault fleetengine.Fault
 		path  string
 	}{
-		"before the answer": {fleetengine.Hang, pathAtMostOnce},
-		"in its middle":     {fleetengine.HangMidStream, pathStream},
+		"before the response": {fleetengine.Hang, pathAtMostOnce},
+		"during the response": {fleetengine.HangMidStream, pathStream},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := fleetengine.New("i-1", "")
@@ -353,12 +353,12 @@
 			_, err = fmt.Fprintf(conn, "POST %sx HTTP/1.1\r\nHost: %s\r\nX-Request-Id: h\r\nContent-Length: 1\r\n\r\nx", c.path, testHost)
 			require.NoError(t, err)
 			require.Eventually(t, func() bool { return len(e.Runs()) == 1 }, 2*time.Second, time.Millisecond)
-			time.Sleep(50 * time.Millisecond) // so that the first event has been passed on
+			time.Sleep(50 * time.Millisecond) // so that the first event has been relayed
 			require.NoError(t, conn.(*net.TCPConn).CloseWrite())
 			require.NoError(t, conn.SetReadDeadline(time.Now().Add(3*time.Second)))
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
-				return // the connection was closed without an answer
+				return // the connection was closed without a response
 			}
 			_, err = io.ReadAll(resp.Body)
 			require.Error(t, err, "status %d", resp.StatusCode)
@@ -366,10 +366,10 @@
 	}
 }
 
-// TestCallerIsRefusedBeforeItLeaves covers a prompt that has not been prefilled shortly before the
+// TestRejectionArrivesBeforeClientTimeout covers a prompt that has not been prefilled shortly before the
 // client timeout, which is much earlier than the deadline in the request. The client must still
 // receive a rejection that says that the request has not run and when to retry.
-func TestCallerIsRefusedBeforeItLeaves(t *testing.T) {
+func TestRejectionArrivesBeforeClientTimeout(t *testing.T) {
 	prefillEngine, decodeEngine := fleetengine.New("p", "prefill"), fleetengine.New("d", "decode")
 	prefillEngine.Fail(fleetengine.Hang, -1)
 	r := newHarness(t, harnessOptions{model: []*fleetengine.Engine{prefillEngine, decodeEngine}})
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -113,12 +113,12 @@
 	placer := placement.New("a", nil, nil)
 	limits := ratelimit.NewTable("g", reg, log.NewNopLogger())
 	placer.SetLimiter(limits)
-	schedules := scheduler.Local(placer)
+	sched := scheduler.Local(placer)
 	if o.onPlaced != nil {
-		schedules = observingScheduler{schedules, func(p placement.Plan) { o.onPlaced(r, p) }}
+		sched = observingScheduler{sched, func(p placement.Plan) { o.onPlaced(r, p) }}
 	}
 	g := gateway.New(gateway.Options{
-		View: r.view.Load, Ready: o.ready, Protocol: platform.Protocol{}, Client: upstream.New(reg), Placer: placer, Scheduler: schedules, FailureDomain: "a",
+		View: r.view.Load, Ready: o.ready, Protocol: platform.Protocol{}, Client: upstream.New(reg), Placer: placer, Scheduler: sched, FailureDomain: "a",
 		MaxConfigStaleness: testMaxConfigStaleness, Quarantine: o.quarantine, Budget: o.budget, RateLimits: limits, Metrics: reg, Logger: log.NewNopLogger(),
 	})
 	g.SetBufferLimit(o.memoryLimit)
@@ -156,9 +156,9 @@
 func (r *harness) startDraining(id string) {
 	v := *r.view.Load()
 	v.Instances = maps.Clone(v.Instances)
-	left := *v.Instances[id]
-	left.Draining = true
-	v.Instances[id] = &left
+	draining := *v.Instances[id]
+	draining.Draining = true
+	v.Instances[id] = &draining
 	v.Index()
 	r.view.Store(&v)
 }
--- a/internal/gateway/hold_test.go
+++ b/internal/gateway/hold_test.go
@@ -15,11 +15,11 @@
 	"github.com/rockdoor/rockdoor/internal/standin/fleetengine"
 )
 
-// TestCallersThatReadSlowlyCostABoundedAmount has 24 clients request responses of 512 KB that they do not
+// TestSlowClientsUseBoundedMemory has 24 clients request responses of 512 KB that they do not
 // read at first. The buffered bytes must stay within the limit, and every client must get its complete
 // response once it reads.
-func TestCallersThatReadSlowlyCostABoundedAmount(t *testing.T) {
-	const callers, size, bound = 24, 512 << 10, 2 << 20
+func TestSlowClientsUseBoundedMemory(t *testing.T) {
+	const clients, size, bound = 24, 512 << 10, 2 << 20
 	var engines []*fleetengine.Engine
 	for n := range 4 {
 		e := fleetengine.New(fmt.Sprint("i-", n), "")
@@ -29,7 +29,7 @@
 	r := newHarness(t, harnessOptions{plain: engines, memoryLimit: bound})
 	var headersReceived, bodiesRead sync.WaitGroup
 	startReading := make(chan struct{})
-	for n := range callers {
+	for n := range clients {
 		headersReceived.Add(1)
 		bodiesRead.Add(1)
 		go func() {
@@ -70,8 +70,8 @@
 	require.Eventually(t, func() bool { return r.gateway.BufferedBytes() == 0 }, time.Second, time.Millisecond)
 }
 
-// TestABodyThatCannotBeHeldIsRefusedUnrun sends a body that exceeds the memory limit.
-func TestABodyThatCannotBeHeldIsRefusedUnrun(t *testing.T) {
+// TestBodyOverMemoryLimitIsRejected sends a body that exceeds the memory limit.
+func TestBodyOverMemoryLimitIsRejected(t *testing.T) {
 	e := fleetengine.New("i-1", "")
 	r := newHarness(t, harnessOptions{plain: []*fleetengine.Engine{e}, memoryLimit: 100})
 	got := r.send(http.MethodPost, pathAtMostOnce, "r-1", strings.Repeat("x", 500), nil)
@@ -81,10 +81,10 @@
 	require.Zero(t, r.gateway.BufferedBytes())
 }
 
-// TestAnAnswerThatIsCutIsNotWhole has an instance close the connection in the middle of a response to a
+// TestTruncatedResponseIsRecognizable has an instance close the connection in the middle of a response to a
 // request that may run at most once: with a Content-Length, chunked, and larger than the memory limit.
 // The client must be able to tell that the response is incomplete.
-func TestAnAnswerThatIsCutIsNotWhole(t *testing.T) {
+func TestTruncatedResponseIsRecognizable(t *testing.T) {
 	for name, head := range map[string]string{"length": "Content-Length: 5000\r\n\r\n", "chunks": "Transfer-Encoding: chunked\r\n\r\n1388\r\n"} {
 		for _, memoryLimit := range []int64{0, 3000} {
 			e := fleetengine.New("i-1", "")
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -11,28 +11,28 @@
 	"github.com/rockdoor/rockdoor/placement"
 )
 
-// After a request has been placed, up to three calls to schedulers of 40 ms each and the setup of a
-// connection of up to 400 ms follow before its first byte is sent. Requests were sent to instances
-// whose shutdown had become known in that time. Here the chosen instance always starts draining
-// right after the placement decision.
-func TestNothingIsSentToAnInstanceThatLeftAfterTheDecision(t *testing.T) {
+// TestNothingIsSentToInstanceThatDrainsAfterPlacement lets the chosen instance start draining right
+// after the placement decision. Up to three calls to schedulers of 40 ms each and the setup of a
+// connection of up to 400 ms follow before the first byte of the request is sent. Requests were once
+// sent to instances whose shutdown had become known in that time.
+func TestNothingIsSentToInstanceThatDrainsAfterPlacement(t *testing.T) {
 	engines := func(stages ...string) (out []*fleetengine.Engine) {
 		for n, stage := range stages {
 			out = append(out, fleetengine.New(string(rune('a'+n)), stage))
 		}
 		return out
 	}
-	runner := func(p placement.Plan) *fleet.Instance { return p.Target }
-	reader := func(p placement.Plan) *fleet.Instance { return p.PrefillEngine }
+	target := func(p placement.Plan) *fleet.Instance { return p.Target }
+	prefillEngine := func(p placement.Plan) *fleet.Instance { return p.PrefillEngine }
 	for name, c := range map[string]struct {
 		path         string
 		header       http.Header
 		plain, model []*fleetengine.Engine
 		chosen       func(placement.Plan) *fleet.Instance
 	}{
-		"a run":            {pathAtMostOnce, nil, engines("", ""), nil, runner},
-		"a run of a model": {pathModel, nil, nil, engines("decode", "decode"), runner},
-		"a prompt":         {pathModel, prompt("bb"), nil, engines("prefill", "prefill", "decode"), reader},
+		"a request":          {pathAtMostOnce, nil, engines("", ""), nil, target},
+		"a model request":    {pathModel, nil, nil, engines("decode", "decode"), target},
+		"a separate prefill": {pathModel, prompt("bb"), nil, engines("prefill", "prefill", "decode"), prefillEngine},
 	} {
 		t.Run(name, func(t *testing.T) {
 			draining := ""
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -24,11 +24,11 @@
 // different engines.
 func distinctPrompts(n int) http.Header { return prompt(fmt.Sprintf("%x", 100+n)) }
 
-// TestNothingIsSentToAnInstanceThatSaysItLeaves has an instance announce its shutdown in its responses
+// TestNothingIsSentAfterAnnouncedShutdown has an instance announce its shutdown in its responses
 // while its registration still says that it is serving. The gateway once read only the registration.
 // During a store outage of twelve seconds the instance could not update it, and was sent requests all
 // that time, although its responses had announced the shutdown.
-func TestNothingIsSentToAnInstanceThatSaysItLeaves(t *testing.T) {
+func TestNothingIsSentAfterAnnouncedShutdown(t *testing.T) {
 	engines := func(stages ...string) (out []*fleetengine.Engine) {
 		for n, stage := range stages {
 			out = append(out, fleetengine.New(string(rune('a'+n)), stage))
@@ -40,9 +40,9 @@
 		header       func(n int) http.Header
 		plain, model []*fleetengine.Engine
 	}{
-		"a run":    {pathIdempotent, noHeader, engines("", "", ""), nil},
-		"a stream": {pathModel, noHeader, nil, engines("decode", "decode", "decode")},
-		"a prompt": {pathModel, distinctPrompts, nil, engines("prefill", "prefill", "decode")},
+		"a request": {pathIdempotent, noHeader, engines("", "", ""), nil},
+		"a stream":  {pathModel, noHeader, nil, engines("decode", "decode", "decode")},
+		"a prefill": {pathModel, distinctPrompts, nil, engines("prefill", "prefill", "decode")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, harnessOptions{plain: c.plain, model: c.model})
@@ -55,23 +55,23 @@
 				a := r.send(http.MethodPost, c.path, fmt.Sprint("b-", n), fmt.Sprint(n), c.header(n))
 				require.Equal(t, http.StatusOK, a.status, a.body)
 			}
-			require.Equal(t, 1, requestsReceived(leaving), "it received requests after it had announced its shutdown")
+			require.Equal(t, 1, requestsReceived(leaving), "the instance received requests after it had announced its shutdown")
 		})
 	}
 }
 
-// requestedBackoff is the backoff that an instance asks for, and maxTransitTime how long requests that were
-// sent before may take to arrive.
+// requestedBackoff is the backoff that an instance asks for. maxTransitTime is how long after the backoff
+// request earlier requests may still arrive.
 const (
 	requestedBackoff = 1200 * time.Millisecond
 	maxTransitTime   = 100 * time.Millisecond
 )
 
-// TestInstanceThatAsksForRestGetsIt has an instance reject requests and ask for a backoff. A gateway once
-// sent such an instance three or four more requests within the three seconds that it had asked for:
-// the Retry-After was not read, a rejection excluded the instance for that one request only, and
-// since it had nothing in flight, the least-work placement preferred it.
-func TestInstanceThatAsksForRestGetsIt(t *testing.T) {
+// TestNothingIsSentDuringRequestedBackoff has an instance reject requests and ask for a backoff. A
+// gateway once sent such an instance three or four more requests within the three seconds that it
+// had asked for: the Retry-After was not read, a rejection excluded the instance for that one
+// request only, and since it had nothing in flight, the least-work placement preferred it.
+func TestNothingIsSentDuringRequestedBackoff(t *testing.T) {
 	plain := []*fleetengine.Engine{fleetengine.New("a", ""), fleetengine.New("b", "")}
 	r := newHarness(t, harnessOptions{plain: plain})
 	throttled := plain[0]
@@ -94,14 +94,14 @@
 		})
 	}
 	wg.Wait()
-	require.Equal(t, before, requestsReceived(throttled), "it had asked for a backoff")
+	require.Equal(t, before, requestsReceived(throttled), "the instance had asked for a backoff")
 	throttled.Fail(fleetengine.None, 0)
-	require.Eventually(t, func() bool { send(fmt.Sprint("c-", time.Now().UnixNano())); return len(throttled.Runs()) > 0 }, 10*time.Second, 5*time.Millisecond, "its backoff has ended")
+	require.Eventually(t, func() bool { send(fmt.Sprint("c-", time.Now().UnixNano())); return len(throttled.Runs()) > 0 }, 10*time.Second, 5*time.Millisecond, "the instance gets requests after its backoff")
 }
 
-// TestAllInstancesRest has all instances ask for a backoff. A request must be rejected at once, with the
-// time until the first backoff ends as Retry-After.
-func TestAllInstancesRest(t *testing.T) {
+// TestAllInstancesInBackoff has all instances ask for a backoff. A request must be rejected at
+// once, with the time until the first backoff ends as Retry-After.
+func TestAllInstancesInBackoff(t *testing.T) {
 	plain := []*fleetengine.Engine{fleetengine.New("a", ""), fleetengine.New("b", "")}
 	r := newHarness(t, harnessOptions{plain: plain})
 	for _, e := range plain {
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -46,8 +46,8 @@
 	return quarantineRejection(strings.Join(v.CrashedInstances, ", "), v.RetryAfter)
 }
 
-func quarantineRejection(known string, retryAfter time.Duration) *reply {
-	return replyFromState(codeQuarantined, suspects.QuarantinedError(known), retryAfter)
+func quarantineRejection(evidence string, retryAfter time.Duration) *reply {
+	return replyFromState(codeQuarantined, suspects.QuarantinedError(evidence), retryAfter)
 }
 
 // newlyQuarantined reports whether the request has been quarantined since it was placed.
@@ -62,7 +62,7 @@
 	if q.clientGone || q.ctx.Err() != nil || !q.s.o.View().Accepts(q.service, i.ID) {
 		return
 	}
-	q.s.watch.ReportBroken(suspects.BrokenConnection{
+	q.s.crashDetector.ReportBroken(suspects.BrokenConnection{
 		Request: q.call.ID, Fingerprint: q.fingerprint(), Instance: i.RunID(), Address: i.Address, RunTime: bootclock.Since(q.sentAt),
 	})
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -14,10 +14,10 @@
 	"github.com/rockdoor/rockdoor/quarantine"
 )
 
-// TestQuarantinedRequestHasATrial covers a request that three instances crashed on. It must be rejected
+// TestQuarantinedRequestGetsOneTrial covers a request that three instances crashed on. It must be rejected
 // at once with a Retry-After. After that time one trial may run, and if it succeeds, further requests
 // may too. The check before sending once took the trial for a second attempt and rejected it.
-func TestQuarantinedRequestHasATrial(t *testing.T) {
+func TestQuarantinedRequestGetsOneTrial(t *testing.T) {
 	const id = "r"
 	table := quarantine.NewTable()
 	var clockOffset atomic.Int64
--- a/internal/gateway/ratelimit_test.go
+++ b/internal/gateway/ratelimit_test.go
@@ -23,9 +23,9 @@
 	testRateInterval = 5 * time.Millisecond
 )
 
-// TestEveryPathKeepsARateLimit has one engine announce a rate limit in its responses while the others
+// TestEverySendPathObeysRateLimit has one engine announce a rate limit in its responses while the others
 // have none. The limit must hold on every code path that sends requests; all of them once ignored it.
-func TestEveryPathKeepsARateLimit(t *testing.T) {
+func TestEverySendPathObeysRateLimit(t *testing.T) {
 	plain := func() []*fleetengine.Engine {
 		return []*fleetengine.Engine{fleetengine.New("a", ""), fleetengine.New("b", "")}
 	}
@@ -46,13 +46,13 @@
 		// fault is injected into all requests at the first engine.
 		fault fleetengine.Fault
 	}{
-		"runs":             {path: pathIdempotent, header: noHeader, engines: plain()},
-		"runs once":        {path: pathAtMostOnce, header: noHeader, engines: plain()},
-		"streams":          {path: pathModel, header: noHeader, engines: model("decode", "decode")},
-		"reads":            {path: pathModel, header: distinctPrompts, engines: model("prefill", "prefill", "decode")},
-		"runs after reads": {path: pathModel, header: distinctPrompts, engines: model("prefill", "decode", "decode"), limited: 1},
-		"repeats":          {path: pathIdempotent, header: noHeader, engines: plain(), limited: 1, fault: fleetengine.Error},
-		"refused":          {path: pathIdempotent, header: noHeader, engines: plain(), limited: 1, fault: fleetengine.Shed},
+		"runs":                            {path: pathIdempotent, header: noHeader, engines: plain()},
+		"at-most-once requests":           {path: pathAtMostOnce, header: noHeader, engines: plain()},
+		"streams":                         {path: pathModel, header: noHeader, engines: model("decode", "decode")},
+		"reads":                           {path: pathModel, header: distinctPrompts, engines: model("prefill", "prefill", "decode")},
+		"decodes after separate prefills": {path: pathModel, header: distinctPrompts, engines: model("prefill", "decode", "decode"), limited: 1},
+		"repeats":                         {path: pathIdempotent, header: noHeader, engines: plain(), limited: 1, fault: fleetengine.Error},
+		"refused":                         {path: pathIdempotent, header: noHeader, engines: plain(), limited: 1, fault: fleetengine.Shed},
 		"resumed": {path: pathAtMostOnceStream, header: noHeader, engines: model("decode", "decode"), limited: 1, fault: fleetengine.CutMidEvent,
 			options: harnessOptions{spot: true, domains: map[string]string{"b": "b"}}},
 	} {
@@ -80,16 +80,16 @@
 	}
 }
 
-// TestRequestsAreRefusedAtOnceWhileAllLimitTheirRate uses up the rate limits of all engines. Further
+// TestRequestsAreRejectedAtOnceWhenAllRateLimitsAreUsedUp uses up the rate limits of all engines. Further
 // requests must be rejected without delay, with Retry-After values that differ, so that the clients do
 // not retry at the same time.
-func TestRequestsAreRefusedAtOnceWhileAllLimitTheirRate(t *testing.T) {
+func TestRequestsAreRejectedAtOnceWhenAllRateLimitsAreUsedUp(t *testing.T) {
 	engines := []*fleetengine.Engine{fleetengine.New("a", ""), fleetengine.New("b", "")}
 	r := newHarness(t, harnessOptions{plain: engines})
 	for _, e := range engines {
 		e.SetRateLimit("0.5")
 	}
-	var after []string
+	var retryAfters []string
 	for n := range 30 {
 		start := time.Now()
 		a := r.send(http.MethodPost, pathIdempotent, fmt.Sprint("r-", n), "x", nil)
@@ -98,16 +98,16 @@
 		}
 		require.Equal(t, http.StatusServiceUnavailable, a.status)
 		require.Less(t, time.Since(start), 500*time.Millisecond)
-		after = append(after, a.header.Get("Retry-After"))
+		retryAfters = append(retryAfters, a.header.Get("Retry-After"))
 	}
-	require.Greater(t, len(after), 20)
-	require.Greater(t, len(slices.Compact(slices.Sorted(slices.Values(after)))), 5, "%v", after)
+	require.Greater(t, len(retryAfters), 20)
+	require.Greater(t, len(slices.Compact(slices.Sorted(slices.Values(retryAfters)))), 5, "%v", retryAfters)
 }
 
-// TestFullRateComesBack has an engine withdraw its rate limit. It must get all requests again, even if
-// the limit was 0: the gateway learns of the withdrawal only from the responses to the few requests
-// that it still sends.
-func TestFullRateComesBack(t *testing.T) {
+// TestWithdrawnRateLimitNoLongerApplies has an engine withdraw its rate limit. It must get all
+// requests again, even if the limit was 0: the gateway learns of the withdrawal only from the
+// responses to the few requests that it still sends.
+func TestWithdrawnRateLimitNoLongerApplies(t *testing.T) {
 	for _, limit := range []string{"5", "0"} {
 		t.Run(limit, func(t *testing.T) {
 			t.Parallel()
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -70,7 +70,7 @@
 	}
 	if q.responseStarted {
 		resp.Close(false)
-		return lifecycle.Lost, fault.New(fault.Unknown, "resumed stream was answered with a response that is no stream", "check the instance")
+		return lifecycle.Lost, fault.New(fault.Unknown, "instance answered a request to resume a stream with a response that is not a stream", "check the instance")
 	}
 	body, err := q.readBuffered(resp.Body, maxBufferedResponse)
 	switch {
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -62,12 +62,14 @@
 	// sends counts the sends to targets, not those to prefill engines; runs counts the sends
 	// after which the target may have started to run the request.
 	sends, runs int
-	avoid       map[string]bool
+	// avoid holds the IDs of the instances that failed or rejected the request.
+	avoid map[string]bool
 	// responseStarted is true once a part of the response has been sent to the client.
 	responseStarted bool
 	// lastEventID is the ID of the last stream event that was sent to the client.
 	lastEventID string
-	events      int
+	// events counts the events that were sent to the client.
+	events int
 	// backup is the engine that receives copies of the run's KV cache, nil for none.
 	backup *fleet.Instance
 	// lifecycle tracks whether any instance may have started to run the request.
@@ -94,8 +96,8 @@
 	writeErr   error
 	// sentAt is when the request was last sent to an instance.
 	sentAt bootclock.Instant
-	// notSent is true if the last send was called off because its instance had asked for a
-	// backoff or reached its rate limit.
+	// notSent is true if the last send was cancelled before its first byte, because its instance had
+	// asked for a backoff or reached its rate limit.
 	notSent bool
 	// trial is true if the request is quarantined and this attempt is its permitted trial.
 	trial bool
@@ -241,7 +243,7 @@
 	if err := q.http.Context().Err(); err != nil || q.clientGone {
 		return &reply{code: "caller-gone", err: errors.CombineErrors(err, q.writeErr), silent: true}
 	}
-	return replyFromState(codeDeadline, fault.New(fault.Exhausted, "time is up", "allow more time"), 0)
+	return replyFromState(codeDeadline, fault.New(fault.Exhausted, "time is up", "send the request with a longer timeout"), 0)
 }
 
 // send carries out the plan: a prefill on a separate engine if the plan has one, then the run
@@ -327,7 +329,7 @@
 
 // failureOutcome returns what a failed attempt says about the instance. It is not counted
 // against the instance if the client disconnected, the deadline passed, or the send was
-// called off because the instance had asked for no more requests.
+// cancelled because the instance had asked for a backoff or reached its rate limit.
 func (q *request) failureOutcome(err error) placement.Outcome {
 	switch {
 	case q.ctx.Err() != nil, q.notSent, !time.Now().Before(q.deadline):
@@ -383,7 +385,7 @@
 	q.sentAt = bootclock.Now()
 	switch {
 	case q.newlyQuarantined():
-		return fault.New(fault.Unavailable, "instances have crashed while running this request since it was placed", "the request is refused")
+		return fault.New(fault.Unavailable, "instances have crashed while running this request since it was placed", "the request is rejected")
 	case q.s.notices.ShuttingDown(i.RunID()), q.s.o.View().StoppedAccepting(q.service, i.ID):
 		return fault.Newf(fault.Unavailable, "another instance is tried", "instance %s stopped accepting requests after it was chosen", i.ID)
 	case q.s.notices.Backoff(i.RunID()) > 0:
--- a/internal/gateway/startup.go
+++ b/internal/gateway/startup.go
@@ -10,8 +10,8 @@
 
 const (
 	// startupWait is how long after the start of the process requests may wait for it to become
-	// ready. Most processes need half of it. One that takes longer cannot reach the store, and
-	// rejects requests at once from then on.
+	// ready. Most processes become ready in half of it. A process that takes longer most likely
+	// cannot reach the store; once the wait is over, it rejects requests at once.
 	startupWait = 1500 * time.Millisecond
 	// startupWaitShare is the max share of the client's timeout that its request waits, so that
 	// a client that is rejected after all has time to retry at another process.
