--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -64,7 +64,7 @@
 func (r *Sender) Start(ctx context.Context, s Request) *Attempt {
 	a := &Attempt{chart: charts.Attempt.Start()}
 	s.Header.Set(openai.AttemptHeader, s.ID)
-	answer, err := r.client.Do(ctx, upstream.Request{
+	resp, err := r.client.Do(ctx, upstream.Request{
 		Address: s.Address, Method: s.Method, URI: s.URI, Host: s.Address, Header: s.Header, Body: s.Body,
 		Matches: func(h http.Header) bool { return matchesAttempt(h, s.ID) },
 	})
@@ -77,7 +77,7 @@
 		a.end(charts.Cut, fault.Wrap(err, fault.Unknown, "connection broke before the answer", "ask for the outcome before sending the request again"))
 		return a
 	}
-	a.response = answer
+	a.response = resp
 	a.checkHeaders()
 	return a
 }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,7 +1,7 @@
 // Package lifecycle drives a request from its admission to its final state. It makes
 // attempts as long as that is safe and fires events in the request's state chart for
-// each one, so that the reported outcome always follows from the attempts made. How an
-// attempt is made, and whether a retry is worthwhile, is decided by the server that uses the package.
+// each one, so that the reported outcome always follows from the attempts made. The server that
+// uses the package decides how an attempt is made and whether a retry is worthwhile.
 package lifecycle
 
 import (
@@ -90,9 +90,9 @@
 		}
 		l.Fire(charts.Chosen)
 		outcome, err := s.Attempt()
-		event, again := attemptEvent(outcome, s.CanRetryAfterRun)
+		event, retry := attemptEvent(outcome, s.CanRetryAfterRun)
 		l.Fire(event)
-		if !again {
+		if !retry {
 			return s.FinalReply(outcome, err)
 		}
 		if rep := s.PrepareRetry(err); rep != nil {
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -77,16 +77,16 @@
 		state    string
 		attempts int
 	}{
-		"answered at once":                {scriptedSteps{outcomes: []Outcome{Delivered}}, "", "complete", 1},
-		"refused, then answered":          {scriptedSteps{outcomes: []Outcome{NotRun, Delivered}}, "", "complete", 2},
-		"refused until enough":            {scriptedSteps{outcomes: []Outcome{NotRun}, maxAttempts: 3}, "enough", "not_run", 3},
-		"lost and not repeatable":         {scriptedSteps{outcomes: []Outcome{Lost, Delivered}}, "ended", "unknown", 1},
-		"lost and repeated":               {scriptedSteps{outcomes: []Outcome{Lost, Delivered}, repeatable: true}, "", "complete", 2},
-		"lost, repeated, then refused":    {scriptedSteps{outcomes: []Outcome{Lost, NotRun}, repeatable: true, maxAttempts: 2}, "enough", "unknown", 2},
-		"failed":                          {scriptedSteps{outcomes: []Outcome{Failed}}, "ended", "failed", 1},
-		"no target at first":              {scriptedSteps{outcomes: []Outcome{Delivered}, chooseFailsAt: 0}, "no target", "not_run", 0},
-		"no target after a lost attempt":  {scriptedSteps{outcomes: []Outcome{Lost}, repeatable: true, chooseFailsAt: 1}, "no target", "unknown", 1},
-		"route gone after a lost attempt": {scriptedSteps{outcomes: []Outcome{Lost}, repeatable: true, refreshFailsAt: 1}, "no configuration", "unknown", 1},
+		"delivered at once":                  {scriptedSteps{outcomes: []Outcome{Delivered}}, "", "complete", 1},
+		"rejected, then delivered":           {scriptedSteps{outcomes: []Outcome{NotRun, Delivered}}, "", "complete", 2},
+		"rejected until the last attempt":    {scriptedSteps{outcomes: []Outcome{NotRun}, maxAttempts: 3}, "enough", "not_run", 3},
+		"lost, no retry allowed":             {scriptedSteps{outcomes: []Outcome{Lost, Delivered}}, "ended", "unknown", 1},
+		"lost and retried":                   {scriptedSteps{outcomes: []Outcome{Lost, Delivered}, repeatable: true}, "", "complete", 2},
+		"lost, retried, then rejected":       {scriptedSteps{outcomes: []Outcome{Lost, NotRun}, repeatable: true, maxAttempts: 2}, "enough", "unknown", 2},
+		"failed":                             {scriptedSteps{outcomes: []Outcome{Failed}}, "ended", "failed", 1},
+		"no target at first":                 {scriptedSteps{outcomes: []Outcome{Delivered}, chooseFailsAt: 0}, "no target", "not_run", 0},
+		"no target after a lost attempt":     {scriptedSteps{outcomes: []Outcome{Lost}, repeatable: true, chooseFailsAt: 1}, "no target", "unknown", 1},
+		"route removed after a lost attempt": {scriptedSteps{outcomes: []Outcome{Lost}, repeatable: true, refreshFailsAt: 1}, "no configuration", "unknown", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := c.s
@@ -113,10 +113,10 @@
 	}
 }
 
-// TestServeNeverLies checks with random outcomes that the final state is not_run exactly if no
+// TestFinalStateMatchesAttempts checks with random outcomes that the final state is not_run exactly if no
 // attempt may have started to run, and that Serve returns no reply exactly if a complete
 // response was delivered.
-func TestServeNeverLies(t *testing.T) {
+func TestFinalStateMatchesAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := scriptedSteps{
 			outcomes:   rapid.SliceOfN(rapid.SampledFrom([]Outcome{Delivered, NotRun, Lost, Failed}), 1, 6).Draw(t, "outcomes"),
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -19,44 +19,44 @@
 }
 
 func TestUrgentRequestsHaveAReserve(t *testing.T) {
-	g := NewAdmissionController(10, 0.2)
+	c := NewAdmissionController(10, 0.2)
 	w := &config.Workspace{Name: "w"}
 	for range 8 {
-		_, err := g.Admit(w, config.Normal, 1)
+		_, err := c.Admit(w, config.Normal, 1)
 		require.NoError(t, err)
 	}
-	_, err := g.Admit(w, config.Normal, 1)
+	_, err := c.Admit(w, config.Normal, 1)
 	requireRejection(t, err)
-	release, err := g.Admit(w, config.Urgent, 1)
+	release, err := c.Admit(w, config.Urgent, 1)
 	require.NoError(t, err)
 	release()
-	require.Equal(t, 8, g.InFlight())
+	require.Equal(t, 8, c.InFlight())
 }
 
 func TestWorkspaceLimitsAreSharedByTheServingProcesses(t *testing.T) {
-	g := NewAdmissionController(1000, 0.1)
+	c := NewAdmissionController(1000, 0.1)
 	w := &config.Workspace{Name: "w", Concurrency: 8}
 	for range 2 {
-		_, err := g.Admit(w, config.Normal, 4)
+		_, err := c.Admit(w, config.Normal, 4)
 		require.NoError(t, err)
 	}
-	_, err := g.Admit(w, config.Normal, 4)
+	_, err := c.Admit(w, config.Normal, 4)
 	require.Contains(t, requireRejection(t, err).Error(), "concurrent")
-	_, err = g.Admit(&config.Workspace{Name: "other"}, config.Normal, 4)
+	_, err = c.Admit(&config.Workspace{Name: "other"}, config.Normal, 4)
 	require.NoError(t, err, "another workspace is not affected")
 }
 
-func TestRateIsRefusedWithTheTimeToComeBack(t *testing.T) {
-	g := NewAdmissionController(1000, 0.1)
+func TestRateLimitRejectionHasRetryAfter(t *testing.T) {
+	c := NewAdmissionController(1000, 0.1)
 	w := &config.Workspace{Name: "w", RequestsPerSecond: 0.5}
 	for range minBurst {
-		release, err := g.Admit(w, config.Normal, 1)
+		release, err := c.Admit(w, config.Normal, 1)
 		require.NoError(t, err)
 		release()
 	}
-	_, err := g.Admit(w, config.Normal, 1)
+	_, err := c.Admit(w, config.Normal, 1)
 	require.Greater(t, requireRejection(t, err).RetryAfter, time.Second)
-	require.Zero(t, g.InFlight())
+	require.Zero(t, c.InFlight())
 }
 
 func TestRetryBudgetBoundsRetries(t *testing.T) {
@@ -71,17 +71,17 @@
 	require.LessOrEqual(t, retries, maxRetryTokens+1000/5)
 }
 
-func TestFloodingWorkspaceIsHeldToItsShare(t *testing.T) {
-	g := NewAdmissionController(1000, 0.1)
+func TestFloodingWorkspaceIsLimitedToItsShare(t *testing.T) {
+	c := NewAdmissionController(1000, 0.1)
 	flood, small := &config.Workspace{Name: "flood", Weight: 1}, &config.Workspace{Name: "small", Weight: 3}
 	for range 40 {
-		_, err := g.Admit(flood, config.Normal, 1)
+		_, err := c.Admit(flood, config.Normal, 1)
 		require.NoError(t, err)
 	}
-	requireRejection(t, g.OverShare(flood)) // even if it is the only one, to leave room for the next workspace
-	release, err := g.Admit(small, config.Normal, 1)
+	requireRejection(t, c.OverShare(flood)) // even if it is the only one, to leave room for the next workspace
+	release, err := c.Admit(small, config.Normal, 1)
 	require.NoError(t, err)
-	requireRejection(t, g.OverShare(flood))
-	require.NoError(t, g.OverShare(small))
+	requireRejection(t, c.OverShare(flood))
+	require.NoError(t, c.OverShare(small))
 	release()
 }
--- a/internal/notice/notice_test.go
+++ b/internal/notice/notice_test.go
@@ -9,21 +9,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestBoard(t *testing.T) {
-	b := NewTable(log.NewNopLogger())
-	require.Empty(t, b.InstancesRefusingWork())
-	b.RecordShutdown("a@1", "r")
-	b.RecordBackoff("b", "r", time.Hour)
-	b.RecordBackoff("b", "r", time.Minute)
-	require.True(t, b.RefusesWork("a@1"))
-	require.False(t, b.RefusesWork("a@2"), "a later run has said nothing")
-	require.Greater(t, b.Backoff("b"), 59*time.Minute, "the longer backoff applies")
-	require.ElementsMatch(t, []string{"a@1", "b"}, b.InstancesRefusingWork())
-	b.Retain(func(string) bool { return false })
-	require.True(t, b.ShuttingDown("a@1"), "its registration may come back")
+func TestTable(t *testing.T) {
+	table := NewTable(log.NewNopLogger())
+	require.Empty(t, table.InstancesRefusingWork())
+	table.RecordShutdown("a@1", "r")
+	table.RecordBackoff("b", "r", time.Hour)
+	table.RecordBackoff("b", "r", time.Minute)
+	require.True(t, table.RefusesWork("a@1"))
+	require.False(t, table.RefusesWork("a@2"), "a later run has said nothing")
+	require.Greater(t, table.Backoff("b"), 59*time.Minute, "the longer backoff applies")
+	require.ElementsMatch(t, []string{"a@1", "b"}, table.InstancesRefusingWork())
+	table.Retain(func(string) bool { return false })
+	require.True(t, table.ShuttingDown("a@1"), "its registration may come back")
 }
 
-func TestRestAsked(t *testing.T) {
+func TestRequestedBackoff(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"3": 3 * time.Second, "0.5": 500 * time.Millisecond, "1e99": maxBackoff, "": 0, "-1": 0, "NaN": 0, "soon": 0,
 	} {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -40,7 +40,7 @@
 	idleTimeout time.Duration
 }
 
-// Write sets wrote before the first byte of a request is passed to the kernel.
+// Write implements net.Conn. It sets wrote before the first byte of a request is passed to the kernel.
 func (c *conn) Write(p []byte) (int, error) {
 	c.wrote.Store(true)
 	return c.Conn.Write(p)
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -107,7 +107,8 @@
 	// writeDone is closed once the request has been written or its writing has failed.
 	writeDone chan struct{}
 	writeErr  error
-	// stop ends the watch for the end of the context.
+	// stop removes the callback that interrupts reads and writes when the context ends. It returns
+	// false if the callback has started.
 	stop func() bool
 	// mismatched is true once a response to another request has been received.
 	mismatched bool
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -91,9 +91,9 @@
 	require.Zero(t, c.OpenConns(address))
 }
 
-// TestUnusedConnectionsAreBounded checks that no more idle connections are kept than MaxIdle
+// TestIdleConnectionsAreBounded checks that no more idle connections are kept than MaxIdle
 // allows, so that all processes together stay within the connection limit of an instance.
-func TestUnusedConnectionsAreBounded(t *testing.T) {
+func TestIdleConnectionsAreBounded(t *testing.T) {
 	address := serve(t, func(n int, c net.Conn, r *bufio.Reader) {
 		for {
 			id, _, err := readRequest(r)
@@ -104,7 +104,7 @@
 		}
 	})
 	c := New(metrics.NewRegistry())
-	var answers []*Response
+	var responses []*Response
 	for range 5 {
 		r := request(address, "a", "")
 		r.MaxIdle = 2
@@ -112,18 +112,18 @@
 		require.NoError(t, err)
 		_, err = io.ReadAll(a.Body)
 		require.NoError(t, err)
-		answers = append(answers, a)
+		responses = append(responses, a)
 	}
 	require.Equal(t, 5, c.OpenConns(address))
-	for _, a := range answers {
+	for _, a := range responses {
 		a.Close(true)
 	}
 	require.Equal(t, 2, c.OpenConns(address))
 }
 
-// TestLateAnswerOfAnEarlierRequest checks that a duplicate response is never taken for the
+// TestLateResponseToEarlierRequest checks that a duplicate response is never taken for the
 // response to the next request, whether it arrives before or after that request is sent.
-func TestLateAnswerOfAnEarlierRequest(t *testing.T) {
+func TestLateResponseToEarlierRequest(t *testing.T) {
 	t.Run("before the next request", func(t *testing.T) {
 		address := serve(t, func(n int, c net.Conn, r *bufio.Reader) {
 			id, _, _ := readRequest(r)
@@ -135,7 +135,7 @@
 		time.Sleep(20 * time.Millisecond)
 		require.Equal(t, "2", get(t, c, request(address, "b", "")))
 	})
-	t.Run("in the place of the next answer", func(t *testing.T) {
+	t.Run("instead of the next response", func(t *testing.T) {
 		address := serve(t, func(n int, c net.Conn, r *bufio.Reader) {
 			first, _, _ := readRequest(r)
 			write(c, first, fmt.Sprint(n))
@@ -149,14 +149,14 @@
 		c := New(metrics.NewRegistry())
 		require.Equal(t, "1", get(t, c, request(address, "a", "")))
 		require.Equal(t, "right", get(t, c, request(address, "b", "")))
-		require.Zero(t, c.OpenConns(address), "the connection is not used again")
+		require.Zero(t, c.OpenConns(address), "the connection is not reused")
 	})
 }
 
-// TestBodyThatWasNotReadToItsEnd covers a caller that detects the end of a response by its content
-// and leaves the last bytes of the body unread. The connection must not be reused, because these
+// TestConnectionWithUnreadBodyIsNotReused covers a caller that detects the end of a response by its
+// content and leaves the last bytes of the body unread. The connection must not be reused, because these
 // bytes would be taken for the start of the next response.
-func TestBodyThatWasNotReadToItsEnd(t *testing.T) {
+func TestConnectionWithUnreadBodyIsNotReused(t *testing.T) {
 	closed := make(chan struct{})
 	address := serve(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
@@ -165,7 +165,7 @@
 				return
 			}
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n", id)
-			<-closed // sent earlier, the end of the body could be read along with the rest
+			<-closed // if the end of the body were sent earlier, it could be read along with the data
 			fmt.Fprint(c, "0\r\n\r\n")
 		}
 	})
@@ -182,9 +182,9 @@
 	}
 }
 
-// TestMixedUpAnswer covers an instance that sends the response to another request and nothing else.
-// The request must fail long before its deadline.
-func TestMixedUpAnswer(t *testing.T) {
+// TestResponseToAnotherRequestFailsEarly covers an instance that sends the response to another
+// request and nothing else. The request must fail long before its deadline.
+func TestResponseToAnotherRequestFailsEarly(t *testing.T) {
 	address := serve(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		_, _, _ = readRequest(r)
 		write(c, "other", "wrong")
@@ -192,13 +192,13 @@
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	begun := time.Now()
+	start := time.Now()
 	_, err := New(metrics.NewRegistry()).Do(ctx, request(address, "a", ""))
 	require.True(t, fault.Is(err, fault.Unknown))
-	require.Less(t, time.Since(begun), 5*time.Second)
+	require.Less(t, time.Since(start), 5*time.Second)
 }
 
-func TestWhatIsKnownAfterAFailure(t *testing.T) {
+func TestErrorSaysWhetherRequestMayHaveRun(t *testing.T) {
 	c := New(metrics.NewRegistry())
 	_, err := c.Do(context.Background(), request("127.0.0.1:1", "a", ""))
 	require.True(t, fault.Is(err, fault.Unavailable), "nothing was sent")
@@ -217,16 +217,17 @@
 	require.Zero(t, c.OpenConns(address))
 }
 
-// lateContext is a context whose deadline has passed but whose timer has not fired.
-type lateContext struct{ context.Context }
+// expiredContext is a context whose deadline has passed but whose timer has not fired.
+type expiredContext struct{ context.Context }
 
 // Deadline implements context.Context.
-func (lateContext) Deadline() (time.Time, bool) { return time.Now().Add(-time.Millisecond), true }
+func (expiredContext) Deadline() (time.Time, bool) { return time.Now().Add(-time.Millisecond), true }
 
-// TestNothingIsSentForACallerThatHasLeft checks that a request is not sent over an idle connection if its
-// client has disconnected or its deadline has passed. A process that resumed after a pause of seconds
-// once sent eight requests 2.5 s after their deadlines, before their timers had fired.
-func TestNothingIsSentForACallerThatHasLeft(t *testing.T) {
+// TestNothingIsSentAfterDisconnectOrDeadline checks that a request is not sent over an idle
+// connection if its client has disconnected or its deadline has passed. A process that resumed
+// after a pause of seconds once sent eight requests 2.5 s after their deadlines, before their
+// timers had fired.
+func TestNothingIsSentAfterDisconnectOrDeadline(t *testing.T) {
 	var arrived atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		arrived.Add(1)
@@ -236,7 +237,7 @@
 	address := s.Listener.Addr().String()
 	c := New(metrics.NewRegistry())
 	defer c.Close()
-	left, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	for range 20 {
 		a, err := c.Do(context.Background(), request(address, "a", ""))
@@ -244,7 +245,7 @@
 		_, err = io.ReadAll(a.Body)
 		require.NoError(t, err)
 		a.Close(true)
-		for _, ctx := range []context.Context{left, lateContext{context.Background()}} {
+		for _, ctx := range []context.Context{cancelled, expiredContext{context.Background()}} {
 			_, err = c.Do(ctx, request(address, "b", ""))
 			require.True(t, fault.Is(err, fault.Unavailable), "%v", err)
 		}
@@ -252,7 +253,7 @@
 	require.EqualValues(t, 20, arrived.Load())
 }
 
-func TestCutBodyIsNotWhole(t *testing.T) {
+func TestTruncatedBodyIsAnError(t *testing.T) {
 	address := serve(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		id, _, _ := readRequest(r)
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 10\r\n\r\nhalf", id)
@@ -265,9 +266,9 @@
 	a.Close(false)
 }
 
-// TestAnswerBeforeTheBodyWasRead checks that a connection is not reused if the response arrived before
-// the request body was fully written.
-func TestAnswerBeforeTheBodyWasRead(t *testing.T) {
+// TestConnectionWithUnwrittenBodyIsNotReused checks that a connection is not reused if the response
+// arrived before the request body was fully written.
+func TestConnectionWithUnwrittenBodyIsNotReused(t *testing.T) {
 	address := serve(t, func(n int, c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
 		if err != nil {
@@ -282,10 +283,10 @@
 	require.Zero(t, c.OpenConns(address))
 }
 
-// TestNothingIsWrittenAfterTheVerdict covers a connection that breaks while a large request is written
+// TestNothingIsWrittenAfterErrorSaysUnsent covers a connection that breaks while a large request is written
 // and its response is read concurrently. If Do reports that nothing was sent, no byte may reach the
 // instance afterwards.
-func TestNothingIsWrittenAfterTheVerdict(t *testing.T) {
+func TestNothingIsWrittenAfterErrorSaysUnsent(t *testing.T) {
 	var got atomic.Int64
 	address := serve(t, func(_ int, c net.Conn, _ *bufio.Reader) {
 		_ = c.(*net.TCPConn).CloseWrite() // ends the response before its first byte
@@ -322,7 +323,7 @@
 	}
 }
 
-func TestIdleTime(t *testing.T) {
+func TestIdleTimeout(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"": defaultIdleTimeout, "timeout=5": 5*time.Second - idleTimeoutMargin, "max=3, timeout=1": time.Second - idleTimeoutMargin, "timeout=0": 0, "odd": defaultIdleTimeout,
 	} {
