--- a/fleet/pool_test.go
+++ b/fleet/pool_test.go
@@ -105,10 +105,10 @@
 	require.Same(t, v.Instances["i-00017"], p.FindByRunID("i-00017"))
 	require.Nil(t, p.FindByRunID("i-00017@5"), "another run")
 	odd := &Instance{ID: "x@5"}
-	born := &Instance{ID: "x", StartTime: 7}
-	p = &Pool{All: []*Instance{born, odd}}
+	restarted := &Instance{ID: "x", StartTime: 7}
+	p = &Pool{All: []*Instance{restarted, odd}}
 	require.Same(t, odd, p.FindByRunID("x@5"))
-	require.Same(t, born, p.FindByRunID("x@7"))
+	require.Same(t, restarted, p.FindByRunID("x@7"))
 	require.Nil(t, (&View{}).Pool("r", "s").Find("i-1"))
 }
 
--- a/fleet/rules.go
+++ b/fleet/rules.go
@@ -40,7 +40,7 @@
 	for route, text := range spec.Selectors {
 		sel, err := selector.Parse(text)
 		if err != nil {
-			return nil, fault.Wrap(err, fault.Invalid, "selector of route "+route, "correct the selector")
+			return nil, fault.Wrap(err, fault.Invalid, "invalid selector of route "+route, "correct the selector")
 		}
 		r.selectors[route] = sel
 	}
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -41,8 +41,9 @@
 	// Processes is the number of registered rockdoor processes.
 	Processes int
 	// Schedulers place requests for the other processes. Watchers are the schedulers that watch the
-	// store. GossipPeers are the processes that exchange their load: the schedulers, and those that
-	// are replaced while they are unresponsive. Scheduling is true if this process is a scheduler.
+	// store. GossipPeers are the processes that exchange their load: the schedulers, and the
+	// processes that these schedulers replace while they are unresponsive. Scheduling is true if
+	// this process is a scheduler.
 	Schedulers  []members.Member
 	Watchers    []members.Member
 	GossipPeers []members.Member
--- a/placement/breaker.go
+++ b/placement/breaker.go
@@ -3,8 +3,9 @@
 import "time"
 
 const (
-	// maxConsecutiveFailures is the number of failed attempts in a row that opens the breaker. An
-	// engine that fails a third of its requests reaches it in about one of 80 series of four.
+	// maxConsecutiveFailures is the number of failed attempts in a row that opens the breaker. At an
+	// engine that fails a third of its requests, about one in 80 series of four attempts fails as a
+	// whole.
 	maxConsecutiveFailures = 4
 	// minOpenTime and maxOpenTime bound the time for which an open breaker rejects all requests
 	// before it lets one probe through. Each failed probe doubles the time.
--- a/placement/breaker_test.go
+++ b/placement/breaker_test.go
@@ -23,11 +23,11 @@
 		_, ticket := p.Place(testJob(all[1:], "s", 100))
 		ticket.FirstEvent()
 	}
-	refused := 0
+	rejected := 0
 	send := func() bool {
 		plan, ticket := p.Place(testJob(all, "s", 100))
 		if plan.Target == all[0] {
-			refused++
+			rejected++
 			ticket.RunEnded(Failed)
 			return false
 		}
@@ -41,8 +41,8 @@
 			own.RunEnded(Succeeded)
 		}
 	}
-	require.Less(t, refused, 12)
-	require.Greater(t, refused, maxConsecutiveFailures, "an open breaker still admits probes")
+	require.Less(t, rejected, 12)
+	require.Greater(t, rejected, maxConsecutiveFailures, "an open breaker still admits probes")
 
 	now = now.Add(maxOpenTime)
 	sent := 0
--- a/placement/explain.go
+++ b/placement/explain.go
@@ -44,7 +44,7 @@
 	var out []Candidate
 	for _, i := range j.Permitted {
 		st := p.state(i)
-		c := Candidate{Instance: i.ID, Domain: i.Domain, Role: i.Role, Load: p.load(st), Slowdown: st.slowdown, GapMs: st.gapMs, Failures: st.failures, Unavailable: p.unavailableReason(j, i, st)}
+		c := Candidate{Instance: i.ID, Domain: i.Domain, Role: i.Role, Load: p.load(st), Slowdown: st.slowdown, GapMs: st.gapMs, Failures: st.failureRate, Unavailable: p.unavailableReason(j, i, st)}
 		if i.Role == engine.RolePrefill {
 			e := p.estimate(j, i, holders, p.prefillRank(j.Route, false))
 			c.Uncached, c.QueueDelayMs, c.PrefillMs, c.Score = e.uncached, e.queueMs, e.prefillMs, e.score
@@ -66,7 +66,7 @@
 	case !p.breakerCanSend(st, p.now()):
 		return "fails all that it gets"
 	case !p.withinRateLimit(j, i):
-		return "limits its rate of requests and admits no more now"
+		return "has reached its rate limit"
 	case i.Role != engine.RolePrefill && p.isFull(&j.Service, i, st):
 		return "is full"
 	}
--- a/placement/group_test.go
+++ b/placement/group_test.go
@@ -20,8 +20,8 @@
 	return &fleet.Pool{All: all}
 }
 
-func groupedJob(pool *fleet.Pool, subject string, tokens int) *Job {
-	j := testJob(pool.All, subject, tokens)
+func groupedJob(pool *fleet.Pool, prefix string, tokens int) *Job {
+	j := testJob(pool.All, prefix, tokens)
 	j.Groups = pool.Groups
 	return j
 }
@@ -45,9 +45,9 @@
 func TestProcessesAgreeOnPreferredEngine(t *testing.T) {
 	pool := testPool(2000)
 	for n := range 200 {
-		subject := fmt.Sprint("subject-", n)
-		one, _ := New("a", nil, nil).Place(groupedJob(pool, subject, 9000))
-		other, _ := New("b", nil, nil).Place(groupedJob(&fleet.Pool{All: pool.All}, subject, 9000))
+		prefix := fmt.Sprint("subject-", n)
+		one, _ := New("a", nil, nil).Place(groupedJob(pool, prefix, 9000))
+		other, _ := New("b", nil, nil).Place(groupedJob(&fleet.Pool{All: pool.All}, prefix, 9000))
 		require.Equal(t, ReasonPreferred, one.Reason)
 		require.Same(t, one.PrefillEngine, other.PrefillEngine)
 	}
@@ -57,16 +57,16 @@
 // in time in another group.
 func TestBurstOnOneGroupSpills(t *testing.T) {
 	pool := testPool(1000)
-	home := fleet.GroupIndex("s", len(pool.Groups()))
+	preferredGroup := fleet.GroupIndex("s", len(pool.Groups()))
 	p := New("a", func(id string) Load {
-		if fleet.GroupIndex(id, len(pool.Groups())) == home {
+		if fleet.GroupIndex(id, len(pool.Groups())) == preferredGroup {
 			return pendingLoad(0, 5, 20000)
 		}
 		return Load{}
 	}, nil)
 	plan, _ := p.Place(groupedJob(pool, "s", 9000))
 	require.False(t, plan.Late)
-	require.NotEqual(t, home, fleet.GroupIndex(plan.PrefillEngine.ID, len(pool.Groups())))
+	require.NotEqual(t, preferredGroup, fleet.GroupIndex(plan.PrefillEngine.ID, len(pool.Groups())))
 }
 
 // TestRejectionByFullFleetHasBoundedCost covers a fleet in which all engines are full.
@@ -85,13 +85,13 @@
 	pool := testPool(1000)
 	j := groupedJob(pool, "s", 100)
 	j.Avoid = map[string]bool{}
-	left := pool.All[0] // a decode engine
+	remaining := pool.All[0] // a decode engine
 	for _, i := range pool.All[1:] {
 		j.Avoid[i.ID] = true
 	}
 	plan, ticket := New("a", nil, nil).Place(j)
 	require.NotNil(t, ticket)
-	require.Same(t, left, plan.Target)
+	require.Same(t, remaining, plan.Target)
 }
 
 // TestCallsWithoutPrefixSpread places calls to a plain service of 1,000 instances.
--- a/placement/limit.go
+++ b/placement/limit.go
@@ -36,8 +36,8 @@
 }
 
 // tieBreaker returns a random addition to a score, so that processes which see equal loads choose
-// different instances. An instance with a rate limit gets none and wins the tie, because requests
-// granted for now would expire unused.
+// different instances. An instance with a rate limit gets none and wins the tie, because a
+// grant that is not used now expires.
 func (p *Placer) tieBreaker(i *fleet.Instance) float64 {
 	if p.anyRateLimited() && p.limiter.Limited(i.RunID()) {
 		return 0
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -69,7 +69,8 @@
 	// Groups divides Permitted like fleet.Pool.Groups. If it is nil, there is one group. It is a
 	// function so that only the process that decides divides the pool.
 	Groups func() [][]*fleet.Instance
-	// Avoid holds the IDs of instances that failed this request.
+	// Avoid holds the IDs of instances that must not get this request: they failed or rejected it, or
+	// have announced a shutdown or asked for a backoff.
 	Avoid map[string]bool
 	// AwaitsRateLimit is true if the job was tried before and is waiting for rate limits.
 	AwaitsRateLimit bool
@@ -140,8 +141,8 @@
 	limiter          Limiter
 }
 
-// New returns a placer for a process in a failure domain. peers returns the load that the other
-// processes have at an instance, isChangingRole reports whether an engine is about to change its
+// New returns a placer for a process in a failure domain. peerLoad returns the load that the other
+// processes have at an instance, and isChangingRole reports whether an engine is about to change its
 // role. Either may be nil.
 func New(domain string, peerLoad func(id string) Load, isChangingRole func(*fleet.Instance) bool) *Placer {
 	if peerLoad == nil {
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -22,10 +22,10 @@
 	return out
 }
 
-func testJob(all []*fleet.Instance, subject string, tokens int) *Job {
+func testJob(all []*fleet.Instance, prefix string, tokens int) *Job {
 	return &Job{
 		Route: &fleet.Route{Name: "r", LatencyTarget: 200 * time.Millisecond}, Service: fleet.Service{Name: "s"},
-		Call:      &engine.Call{PromptTokens: tokens, Parts: []engine.Part{{ID: subject, Tokens: tokens * 2 / 3}, {ID: "own", Tokens: tokens / 3}}},
+		Call:      &engine.Call{PromptTokens: tokens, Parts: []engine.Part{{ID: prefix, Tokens: tokens * 2 / 3}, {ID: "own", Tokens: tokens / 3}}},
 		Remaining: 2 * time.Second, Permitted: all,
 	}
 }
@@ -34,10 +34,10 @@
 	all := instancesByRole(6, 2)
 	spread := map[string]int{}
 	for n := range 600 {
-		subject := fmt.Sprint("subject-", n)
-		plan, ticket := New("a", nil, nil).Place(testJob(all, subject, 9000))
+		prefix := fmt.Sprint("subject-", n)
+		plan, ticket := New("a", nil, nil).Place(testJob(all, prefix, 9000))
 		require.Equal(t, ReasonPreferred, plan.Reason)
-		require.Equal(t, PreferredEngine(subject, all[:6]), plan.PrefillEngine)
+		require.Equal(t, PreferredEngine(prefix, all[:6]), plan.PrefillEngine)
 		spread[plan.PrefillEngine.ID]++
 		ticket.Cancel()
 	}
@@ -46,8 +46,8 @@
 	}
 	moved := 0
 	for n := range 600 {
-		subject := fmt.Sprint("subject-", n)
-		if PreferredEngine(subject, all[:6]) != PreferredEngine(subject, all[:5]) {
+		prefix := fmt.Sprint("subject-", n)
+		if PreferredEngine(prefix, all[:6]) != PreferredEngine(prefix, all[:5]) {
 			moved++
 		}
 	}
@@ -143,8 +143,8 @@
 func TestEvictedPartsArePrefilledAgain(t *testing.T) {
 	all := instancesByRole(1, 1)
 	p := New("a", nil, nil)
-	place := func(subject string) Plan {
-		j := testJob(all, subject, 9000)
+	place := func(prefix string) Plan {
+		j := testJob(all, prefix, 9000)
 		j.Service.KVCapacity = 40000
 		plan, ticket := p.Place(j)
 		require.NotNil(t, ticket)
--- a/placement/policy.go
+++ b/placement/policy.go
@@ -15,8 +15,8 @@
 	LateByRank Mechanism = "late-in-order"
 	// RejectWouldTimeOut rejects requests that cannot be prefilled before the client times out.
 	RejectWouldTimeOut Mechanism = "refuse-hopeless"
-	// TargetMargin reserves a part of the latency target for estimation errors.
-	TargetMargin Mechanism = "target-margin"
+	// LatencyTargetMargin reserves a part of the latency target for estimation errors.
+	LatencyTargetMargin Mechanism = "target-margin"
 	// RankedQueue counts only prompts that are prefilled before a new one towards its queueing delay.
 	RankedQueue Mechanism = "ranked-queue"
 	// HalfOfRunning counts half of a less urgent prompt as queueing delay if no others are pending.
@@ -57,7 +57,7 @@
 )
 
 var mechanisms = []Mechanism{
-	SeparatePrefill, LateLast, LateByRank, RejectWouldTimeOut, TargetMargin, RankedQueue, HalfOfRunning, Attention, CleanSamples, Outliers, Slowdown, KnownPrefixes,
+	SeparatePrefill, LateLast, LateByRank, RejectWouldTimeOut, LatencyTargetMargin, RankedQueue, HalfOfRunning, Attention, CleanSamples, Outliers, Slowdown, KnownPrefixes,
 	Fetch, PreferredEngines, LocalPrefill, LocalTarget, TargetNearPrefill, StartingCounts, SlowTargets, SparePrefillCandidates, QueueLimit, Penalty, Breakers,
 }
 
--- a/placement/policy_test.go
+++ b/placement/policy_test.go
@@ -33,7 +33,7 @@
 func TestPrefillMechanismsCanBeDisabled(t *testing.T) {
 	with := runScenario(New("a", nil, nil))
 	for _, m := range []Mechanism{
-		SeparatePrefill, LateLast, LateByRank, RejectWouldTimeOut, TargetMargin, RankedQueue, HalfOfRunning, Attention, CleanSamples, Outliers, Slowdown, KnownPrefixes,
+		SeparatePrefill, LateLast, LateByRank, RejectWouldTimeOut, LatencyTargetMargin, RankedQueue, HalfOfRunning, Attention, CleanSamples, Outliers, Slowdown, KnownPrefixes,
 		Fetch, PreferredEngines, LocalPrefill, Penalty, Breakers,
 	} {
 		p := New("a", nil, nil)
--- a/placement/reader.go
+++ b/placement/reader.go
@@ -30,8 +30,8 @@
 // because it is prefilled only when nothing else is pending.
 func (p *Placer) choosePrefillEngine(plan *Plan, j *Job, parts []Part, prefillEngines []*fleet.Instance) {
 	holders := p.cacheHolders(j, parts, prefillEngines)
-	p.chooseWithinTarget(plan, j, prefillEngines, holders)
-	if plan.Late = j.Remaining <= 0 || p.missesTarget(j, plan); !plan.Late {
+	p.chooseWithinLatencyTarget(plan, j, prefillEngines, holders)
+	if plan.Late = j.Remaining <= 0 || p.missesLatencyTarget(j, plan); !plan.Late {
 		return
 	}
 	p.chooseFastest(plan, j, prefillEngines, holders, p.prefillRank(j.Route, true))
@@ -42,13 +42,13 @@
 	}
 }
 
-// chooseWithinTarget picks an engine as if the request could meet its target. If it would be late,
-// and its workspace has few pending prompts, the prompt gets the first rank. A workspace that sends
-// more than the prefill engines can handle thus doesn't starve the others.
-func (p *Placer) chooseWithinTarget(plan *Plan, j *Job, prefillEngines []*fleet.Instance, holders cacheHolders) {
+// chooseWithinLatencyTarget picks an engine as if the request could meet its latency target. If it
+// would be late, and its workspace has few pending prompts, the prompt gets the first rank. A
+// workspace that sends more than the prefill engines can handle thus doesn't starve the others.
+func (p *Placer) chooseWithinLatencyTarget(plan *Plan, j *Job, prefillEngines []*fleet.Instance, holders cacheHolders) {
 	rank := p.prefillRank(j.Route, false)
 	p.chooseFastest(plan, j, prefillEngines, holders, rank)
-	if rank == firstRank || !p.missesTarget(j, plan) {
+	if rank == firstRank || !p.missesLatencyTarget(j, plan) {
 		return
 	}
 	busy := p.model(j.Service.Name).BusyMs(Backlog{1, PrefillWork(j.Call.PromptTokens, plan.Uncached)})
@@ -57,11 +57,11 @@
 	}
 }
 
-// missesTarget reports whether the plan's response is expected past its latency target.
-func (p *Placer) missesTarget(j *Job, plan *Plan) bool {
+// missesLatencyTarget reports whether the plan's response is expected past its latency target.
+func (p *Placer) missesLatencyTarget(j *Job, plan *Plan) bool {
 	estimate := plan.QueueDelay + plan.PrefillTime + millis(p.model(j.Service.Name).firstEventMs)
 	share := latencyTargetShare
-	if !p.policy.Has(TargetMargin) {
+	if !p.policy.Has(LatencyTargetMargin) {
 		share = 1
 	}
 	return j.Route.LatencyTarget > 0 && estimate > time.Duration(share*float64(j.Route.LatencyTarget))-j.Elapsed
@@ -162,7 +162,7 @@
 
 // penalty returns the factor by which recent failures worsen an instance's score.
 func (p *Placer) penalty(st *instanceState) float64 {
-	if st.failures == 0 || !p.policy.Has(Penalty) {
+	if st.failureRate == 0 || !p.policy.Has(Penalty) {
 		return 1
 	}
 	return st.penalty(p.now())
--- a/placement/runner.go
+++ b/placement/runner.go
@@ -10,12 +10,14 @@
 )
 
 const (
-	// remoteShare is the handicap of an instance in another failure domain, as a share of its slots.
+	// The shares below are added to the score of an instance, as a share of its slots.
+	//
+	// remoteShare applies to an instance in another failure domain.
 	remoteShare = 0.15
-	// transferShare is the handicap of an engine in another failure domain than the prefill engine:
+	// transferShare applies to an engine in another failure domain than the prefill engine, because
 	// the KV cache takes twice as long to get there.
 	transferShare = 0.3
-	// prefillCandidateShare is the handicap of an engine that is likely to become a prefill engine.
+	// prefillCandidateShare applies to an engine that is likely to become a prefill engine.
 	prefillCandidateShare = 0.5
 	// tieBreak is the maximum random addition to a score, in requests, which spreads the choices of
 	// processes that see equal loads.
--- a/placement/shares_test.go
+++ b/placement/shares_test.go
@@ -51,12 +51,12 @@
 	require.Equal(t, firstRank, first.Rank)
 	require.False(t, first.Late)
 	require.True(t, place("").Late)
-	passed := 0
+	overtaking := 0
 	for plan := place("another"); plan.Rank == firstRank; plan = place("another") {
-		passed++
+		overtaking++
 	}
-	require.Positive(t, passed)
-	require.Less(t, passed, manyPrompts/4, "only up to a fraction of its share")
+	require.Positive(t, overtaking)
+	require.Less(t, overtaking, manyPrompts/4, "only up to a fraction of its share")
 	for _, ticket := range tickets {
 		ticket.Cancel()
 	}
@@ -66,9 +66,9 @@
 	}
 }
 
-// TestOneWorkspaceChangesNothing floods once without a workspace and once from a single one. The
+// TestSingleWorkspaceGetsNoPreference floods once without a workspace and once from a single one. The
 // same prompts must be late.
-func TestOneWorkspaceChangesNothing(t *testing.T) {
+func TestSingleWorkspaceGetsNoPreference(t *testing.T) {
 	p, without, late := floodedPlacer(t, "")
 	require.Empty(t, p.workspacePending("s").byWorkspace)
 	_, with, same := floodedPlacer(t, "large")
--- a/placement/state.go
+++ b/placement/state.go
@@ -58,10 +58,11 @@
 	local Load
 	// slowdown is the ratio of measured prefill times to the model's estimates.
 	slowdown float64
-	// failures is the share of recent requests that failed, as of failedAt.
-	failures float64
-	failedAt time.Time
-	breaker  breaker
+	// failureRate is the smoothed share of attempts that failed. failedAt is the time of the last
+	// failure.
+	failureRate float64
+	failedAt    time.Time
+	breaker     breaker
 	// replaced is true if the instance's address now belongs to another instance.
 	replaced bool
 	cache    *prefixCache
@@ -108,7 +109,7 @@
 // penalty returns the factor by which recent failures worsen the instance's score.
 func (s *instanceState) penalty(now time.Time) float64 {
 	age := now.Sub(s.failedAt).Seconds() / failureHalfLife.Seconds()
-	return 1 + failurePenalty*s.failures/(1+age*age)
+	return 1 + failurePenalty*s.failureRate/(1+age*age)
 }
 
 // recordOutcome records the end of an attempt that began at startedAt.
@@ -122,16 +123,16 @@
 	if failed {
 		outcome, s.failedAt = 1, now
 	}
-	s.failures += (outcome - s.failures) * failureSmoothing
-	if s.failures < failureSmoothing/10 {
-		s.failures = 0
+	s.failureRate += (outcome - s.failureRate) * failureSmoothing
+	if s.failureRate < failureSmoothing/10 {
+		s.failureRate = 0
 	}
 }
 
 // recordUnreachable records that the connection to the instance failed.
 func (s *instanceState) recordUnreachable(now time.Time) {
 	s.breaker.recordFailure(now)
-	s.failures, s.failedAt = max(s.failures, unreachableFailureShare), now
+	s.failureRate, s.failedAt = max(s.failureRate, unreachableFailureShare), now
 }
 
 // observePrefill updates the slowdown factor from a prefill's measured and expected times.
--- a/placement/ticket.go
+++ b/placement/ticket.go
@@ -33,8 +33,8 @@
 	// targetPlacedAt is when the target was chosen.
 	targetPlacedAt time.Time
 	prefilledAt    time.Time
-	// queueEmpty is true if no prompt was pending at the prefill engine. prefillsBefore is the number
-	// of its prefills at that time.
+	// queueEmpty is true if no other prompt was pending at the prefill engine when the job was placed.
+	// prefillsBefore is the number of prompts that the engine had prefilled by then.
 	queueEmpty     bool
 	prefillsBefore uint64
 	// expectedMs is the estimated time until the prefill ends, in ms, without the engine's slowdown
@@ -88,7 +88,7 @@
 	p.busy[st.id] = st
 }
 
-// PrefillEnded records the end of a separate prefill. read is true if the prompt was prefilled.
+// PrefillEnded records the end of a separate prefill. prefilled is true if it was successful.
 func (t *Ticket) PrefillEnded(prefilled bool, o Outcome) {
 	t.p.mu.Lock()
 	defer t.p.mu.Unlock()
