--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -185,7 +185,7 @@
 		})
 	})
 	k.engineBuf = in.Engines
-	in.Queue = queue / time.Duration(max(prefillEngines, 1))
+	in.QueueDelay = queue / time.Duration(max(prefillEngines, 1))
 	return in
 }
 
--- a/internal/rolekeeper/rolekeeper_test.go
+++ b/internal/rolekeeper/rolekeeper_test.go
@@ -160,9 +160,9 @@
 	}
 }
 
-// TestPausedHolderGivesNoOrder checks that a holder which was paused until its grant expired cannot
+// TestPausedHolderSendsNoOrder checks that a holder which was paused until its grant expired cannot
 // send an order any more.
-func TestPausedHolderGivesNoOrder(t *testing.T) {
+func TestPausedHolderSendsNoOrder(t *testing.T) {
 	p := newTestPool(t, "decode")
 	k, stop := p.keeper("a")
 	var g duty.Grant
--- a/internal/scaler/scaler.go
+++ b/internal/scaler/scaler.go
@@ -43,10 +43,9 @@
 
 // Scaler orders engines for all services that permit scaling.
 type Scaler struct {
-	opts   Options
-	logger log.Logger
-	// by service
-	policies map[string]*capacity.Policy
+	opts     Options
+	logger   log.Logger
+	policies map[string]*capacity.Policy // by service
 	// token is the fencing token under which the orders were sent.
 	token  int64
 	orders map[orderKey]*sentOrder
@@ -61,8 +60,9 @@
 // sentOrder is the last order for an orderKey.
 type sentOrder struct {
 	engines int
-	// otherKind is the number of engines of the other kind at that time. If the limit for both kinds
-	// together cut the order, it should be repeated once some of those have terminated.
+	// otherKind is the number of engines of the other kind at that time. The limit for both kinds
+	// together may have kept the platform from starting all engines of the order. The order is
+	// therefore repeated once some engines of the other kind have terminated.
 	otherKind int
 	// retryAt is when the order is repeated if it has not been executed. failed is true if sending it
 	// failed.
--- a/roles/packing.go
+++ b/roles/packing.go
@@ -21,9 +21,9 @@
 	// engineCount is the last number of engines. grewAt is when it last increased.
 	engineCount int
 	grewAt      time.Time
-	// queuedSince is when prompts began to queue, crowdedSince when there began to be too few decode
-	// engines. Both are zero while the condition doesn't hold.
-	queuedSince, crowdedSince time.Time
+	// queuedSince is when prompts began to queue, and decodeShortageSince is when decode engines became
+	// too few. Each is zero while its condition doesn't hold.
+	queuedSince, decodeShortageSince time.Time
 }
 
 const (
@@ -40,11 +40,11 @@
 	queueTimeConstant = 500 * time.Millisecond
 	// maxQueueMs is the queueing delay, in ms, above which another prefill engine is useful.
 	maxQueueMs = 40.0
-	// minQueuedTime and minCrowdedTime are how long prompts must have queued, or decode engines been
-	// too few, before a role changes. minQueuedTime is shorter because queued prompts miss their
-	// latency target sooner.
-	minQueuedTime  = 300 * time.Millisecond
-	minCrowdedTime = 700 * time.Millisecond
+	// minQueuedTime is how long prompts must have queued, and minDecodeShortageTime how long decode
+	// engines must have been too few, before a role changes. minQueuedTime is shorter because
+	// queued prompts miss their latency target sooner.
+	minQueuedTime         = 300 * time.Millisecond
+	minDecodeShortageTime = 700 * time.Millisecond
 	// minQueuedTimeBusy is how long prompts must have queued before an engine with more than
 	// maxRequestsToSwitch requests switches to prefill. Such an engine first finishes its longest
 	// request, which takes longer than a burst, and does nothing else meanwhile. Engines that aren't
@@ -92,10 +92,10 @@
 	settled := p.registrationSettled(in.Now, decodeEngines+prefillEngines)
 	reason := fmt.Sprintf("%.0f requests decoding, %d decode engines with %d slots each, %.0f ms of prompts queued", p.runningRequests, decodeEngines, slots, p.queueMs)
 	switch {
-	case p.firstRequestAt.IsZero() && in.Queue == 0 && settled && prefillEngines < initialPrefillEngines(prefillEngines+decodeEngines, in.Gateways):
+	case p.firstRequestAt.IsZero() && in.QueueDelay == 0 && settled && prefillEngines < initialPrefillEngines(prefillEngines+decodeEngines, in.Gateways):
 		return chooseEngine(in.Engines, engine.RoleMixed, engine.RolePrefill, "no request has been decoded yet")
-	case elapsed(p.crowdedSince, in.Now, minCrowdedTime) && prefillEngines > minPrefill:
-		p.crowdedSince = in.Now
+	case elapsed(p.decodeShortageSince, in.Now, minDecodeShortageTime) && prefillEngines > minPrefill:
+		p.decodeShortageSince = in.Now
 		return chooseEngine(in.Engines, engine.RolePrefill, engine.RoleMixed, reason)
 	case elapsed(p.queuedSince, in.Now, minQueuedTime) && p.canSwitchToPrefill(in, decodeEngines, prefillEngines, slots):
 		c := chooseEngine(in.Engines, engine.RoleMixed, engine.RolePrefill, reason)
@@ -170,9 +170,9 @@
 		p.firstRequestAt = in.Now
 	}
 	p.runningRequests += (float64(running) - p.runningRequests) * (1 - math.Exp2(-dt.Seconds()/runningHalfLife.Seconds()))
-	p.queueMs += (in.Queue.Seconds()*1000 - p.queueMs) * (1 - math.Exp(-dt.Seconds()/queueTimeConstant.Seconds()))
+	p.queueMs += (in.QueueDelay.Seconds()*1000 - p.queueMs) * (1 - math.Exp(-dt.Seconds()/queueTimeConstant.Seconds()))
 	p.queuedSince = conditionSince(p.queuedSince, in.Now, p.queueMs > maxQueueMs)
-	p.crowdedSince = conditionSince(p.crowdedSince, in.Now, tooFewDecode || p.runningRequests*decodeHeadroom > float64(decodeSlots))
+	p.decodeShortageSince = conditionSince(p.decodeShortageSince, in.Now, tooFewDecode || p.runningRequests*decodeHeadroom > float64(decodeSlots))
 }
 
 // conditionSince returns the time since when a condition has held, zero if it doesn't hold. old is
--- a/roles/packing_test.go
+++ b/roles/packing_test.go
@@ -49,7 +49,7 @@
 				s.engines[i].Requests = running / max(1, len(s.engines)-s.prefillEngines())
 			}
 		}
-		if c := p.Decide(Input{Now: s.now, Engines: s.engines, Queue: queue, Gateways: s.gateways}); c != nil {
+		if c := p.Decide(Input{Now: s.now, Engines: s.engines, QueueDelay: queue, Gateways: s.gateways}); c != nil {
 			s.changes++
 			for i := range s.engines {
 				if s.engines[i].Name == c.Engine {
--- a/roles/roles.go
+++ b/roles/roles.go
@@ -60,8 +60,8 @@
 	Engines []Engine
 	Demand  Demand
 	Weights Weights
-	// Queue is the average time for which pending prompts keep a prefill engine busy.
-	Queue time.Duration
+	// QueueDelay is the average time for which pending prompts keep a prefill engine busy.
+	QueueDelay time.Duration
 	// Gateways is the number of processes that receive requests.
 	Gateways int
 }
@@ -162,9 +162,9 @@
 		p.balance = make([]float64, len(in.Engines)+1)
 		return nil
 	}
-	price := roleChangeTime.Seconds()
+	changeCost := roleChangeTime.Seconds()
 	if in.Weights.Goodput > 0 {
-		price += in.Weights.Change / in.Weights.Goodput
+		changeCost += in.Weights.Change / in.Weights.Goodput
 	}
 	prefillEngines := 0
 	for _, e := range in.Engines {
@@ -174,18 +174,18 @@
 	}
 	for r := 1; r <= len(in.Engines); r++ {
 		gain := missingEngines(in.Demand, r-1, len(in.Engines)) - missingEngines(in.Demand, r, len(in.Engines))
-		p.balance[r] = advanceBalance(p.balance[r], gain, dt, price)
+		p.balance[r] = advanceBalance(p.balance[r], gain, dt, changeCost)
 	}
 	reason := func(balance float64) string {
-		return fmt.Sprintf("lost %.1f engine-seconds, a change costs %.1f; %.0f prompt and %.0f output tokens/s", math.Abs(balance), price, in.Demand.Prefill, in.Demand.Decode)
+		return fmt.Sprintf("lost %.1f engine-seconds, a change costs %.1f; %.0f prompt and %.0f output tokens/s", math.Abs(balance), changeCost, in.Demand.Prefill, in.Demand.Decode)
 	}
 	var c *Change
 	changed := prefillEngines
 	switch {
-	case prefillEngines < len(in.Engines) && p.balance[prefillEngines+1] >= price:
+	case prefillEngines < len(in.Engines) && p.balance[prefillEngines+1] >= changeCost:
 		changed = prefillEngines + 1
 		c = chooseEngine(in.Engines, engine.RoleMixed, engine.RolePrefill, reason(p.balance[changed]))
-	case prefillEngines > 0 && p.balance[prefillEngines] <= -price:
+	case prefillEngines > 0 && p.balance[prefillEngines] <= -changeCost:
 		c = chooseEngine(in.Engines, engine.RolePrefill, engine.RoleMixed, reason(p.balance[changed]))
 	}
 	if c != nil {
@@ -196,11 +196,11 @@
 
 // advanceBalance updates a balance for an interval dt. The result stays within the cost of a
 // change.
-func advanceBalance(balance, gain float64, dt time.Duration, price float64) float64 {
+func advanceBalance(balance, gain float64, dt time.Duration, changeCost float64) float64 {
 	step := balanceDecay * dt.Seconds()
 	switch {
 	case gain != 0:
-		return min(max(balance+gain*dt.Seconds(), -price), price)
+		return min(max(balance+gain*dt.Seconds(), -changeCost), changeCost)
 	case balance > 0:
 		return max(0, balance-step)
 	}
