--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -59,8 +59,8 @@
 	err      error
 }
 
-// Start sends the request and waits for the response headers. The state of the returned
-// attempt is answering or a final one.
+// Start sends the request and waits for the response headers. The returned attempt is in the state
+// answering, in which its body can be read, or in a final state.
 func (r *Sender) Start(ctx context.Context, s Request) *Attempt {
 	a := &Attempt{chart: charts.Attempt.Start()}
 	s.Header.Set(openai.AttemptHeader, s.ID)
@@ -90,7 +90,7 @@
 }
 
 // checkHeaders ends the attempt if the response headers say that the target rejected the request
-// without running it. Otherwise the attempt is answering.
+// without running it. Otherwise the attempt enters the state answering.
 func (a *Attempt) checkHeaders() {
 	if a.Status() == http.StatusServiceUnavailable && a.Header().Get(openai.NotRunHeader) != "" {
 		a.end(charts.Rejected, fault.New(fault.Unavailable, "target rejected the request", "another target is tried if one is permitted"))
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -51,8 +51,8 @@
 	Ready    <-chan struct{}
 	Protocol engine.Protocol
 	Client   *upstream.Client
-	// Scheduler decides where requests run. Placer answers Explain, which shows what this
-	// process would decide itself.
+	// Scheduler decides where requests run. Explain uses Placer to show what this process would
+	// decide itself.
 	Scheduler scheduler.Scheduler
 	Placer    *placement.Placer
 	// FailureDomain is the failure domain of this process.
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -310,7 +310,7 @@
 		q.avoid[plan.Target.ID] = true
 		return lifecycle.Lost, fault.Newf(fault.Unknown, "check the instance", "instance %s sent a response without its seal", plan.Target.ID)
 	}
-	if resp.Status >= http.StatusInternalServerError && q.takeRetry() {
+	if resp.Status >= http.StatusInternalServerError && q.takeErrorRetry() {
 		resp.DiscardBody()
 		q.ticket.RunEnded(placement.Failed)
 		q.avoid[plan.Target.ID] = true
@@ -349,9 +349,9 @@
 	return placement.Succeeded
 }
 
-// takeRetry reports whether a request that an instance answered with a failure should be
-// retried rather than the failure passed on. If so, the retry is charged to the budget.
-func (q *request) takeRetry() bool {
+// takeErrorRetry reports whether a request should be retried after an error response, instead of
+// relaying that response to the client. If so, the retry is charged to the budget.
+func (q *request) takeErrorRetry() bool {
 	if !q.route.Repeatable() || q.runs >= q.route.MaxAttempts || q.sends >= maxSends || time.Until(q.deadline) < minRemaining {
 		return false
 	}
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -113,9 +113,9 @@
 	}
 }
 
-// TestFinalStateMatchesAttempts checks with random outcomes that the final state is not_run exactly if no
-// attempt may have started to run, and that Serve returns no reply exactly if a complete
-// response was delivered.
+// TestFinalStateMatchesAttempts checks with random outcomes that the final state is not_run if and
+// only if no attempt may have started to run, and that Serve returns no reply if and only if a
+// complete response was delivered.
 func TestFinalStateMatchesAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := scriptedSteps{
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -192,7 +192,7 @@
 }
 
 // TestRequestThatWouldTimeOutIsRejected checks that a request which no engine is expected to prefill
-// before the client times out is not held until then.
+// before the client times out is rejected at once.
 func TestRequestThatWouldTimeOutIsRejected(t *testing.T) {
 	all := instancesByRole(2, 1)
 	p := New("a", func(string) Load { return pendingLoad(lateRank, 100, 800000) }, nil)
--- a/placement/reader.go
+++ b/placement/reader.go
@@ -13,7 +13,7 @@
 	// remotePrefillMs is added to the score of a prefill engine in another failure domain, in ms. The
 	// request body travels there, and the KV cache back.
 	remotePrefillMs = 20.0
-	// fetchedTokenCost is the share of fetched tokens that is expected to be prefilled all the same.
+	// fetchedTokenCost is the share of fetched tokens that is expected to be prefilled anyway.
 	// A fetch is cheap, but the cache holder may have evicted the parts.
 	fetchedTokenCost = 0.15
 	// latencyTargetShare is the share of the latency target within which the response must be
@@ -103,8 +103,8 @@
 	parts []Part
 	// preferred is the engine that prefills a prefix which no engine has cached.
 	preferred *fleet.Instance
-	// holder has the most tokens of the parts cached, namely heldTokens. It is nil if no engine has
-	// any.
+	// holder is the engine that has the most tokens of the parts cached, nil if no engine has any.
+	// heldTokens is the number of these tokens.
 	holder     *fleet.Instance
 	heldTokens int
 }
--- a/placement/ticket.go
+++ b/placement/ticket.go
@@ -109,7 +109,8 @@
 	if !t.late {
 		r.observePrefill(toMillis(took), t.expectedMs)
 	}
-	// A prefill that waited for one of another process says nothing about the engine's speed.
+	// The duration of a prefill that waited for a prompt of another process doesn't show the engine's
+	// speed.
 	if !t.p.policy.Has(CleanSamples) || t.hadEngineAlone(r) {
 		t.model.Observe(t.prefillLoad.Pending.All().Work, took)
 	}
--- a/roles/roles.go
+++ b/roles/roles.go
@@ -99,7 +99,7 @@
 const (
 	prefillTokensPerSecond = 20000.0 // prompt tokens per second
 	decodeTokensPerSecond  = 1800.0  // output tokens per second at which the target for gaps between events is met
-	// plannedUtilization is the share of an engine's speed that is available for planning.
+	// plannedUtilization is the share of an engine's speed that the policy counts on.
 	plannedUtilization = 0.7
 	// roleChangeTime is how long an engine is unavailable during a role change, including the time to
 	// drain.
