--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -59,12 +59,12 @@
 	err      error
 }
 
-// Start sends the request and waits for the response headers. The state of the returned
-// attempt is answering or a final one.
+// Start sends the request and waits for the response headers. The returned attempt is in the state
+// answering, in which its body can be read, or in a final state.
 func (r *Sender) Start(ctx context.Context, s Request) *Attempt {
 	a := &Attempt{chart: charts.Attempt.Start()}
 	s.Header.Set(openai.AttemptHeader, s.ID)
-	answer, err := r.client.Do(ctx, upstream.Request{
+	resp, err := r.client.Do(ctx, upstream.Request{
 		Address: s.Address, Method: s.Method, URI: s.URI, Host: s.Address, Header: s.Header, Body: s.Body,
 		Matches: func(h http.Header) bool { return matchesAttempt(h, s.ID) },
 	})
@@ -77,7 +77,7 @@
 		a.end(charts.Cut, fault.Wrap(err, fault.Unknown, "connection broke before the answer", "ask for the outcome before sending the request again"))
 		return a
 	}
-	a.response = answer
+	a.response = resp
 	a.checkHeaders()
 	return a
 }
@@ -90,7 +90,7 @@
 }
 
 // checkHeaders ends the attempt if the response headers say that the target rejected the request
-// without running it. Otherwise the attempt is answering.
+// without running it. Otherwise the attempt enters the state answering.
 func (a *Attempt) checkHeaders() {
 	if a.Status() == http.StatusServiceUnavailable && a.Header().Get(openai.NotRunHeader) != "" {
 		a.end(charts.Rejected, fault.New(fault.Unavailable, "target rejected the request", "another target is tried if one is permitted"))
