--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -18,9 +18,9 @@
 // directory is a summary of a large fleet in the store: its size, its schedulers and its watchers.
 // It spares a starting process the list of all members. When all 985 processes of a fleet restarted
 // at once, 985 lists of 985 members were 390 MB, more than the store could send before their
-// timeouts, so that every list failed. Processes that schedule for others, or did so until they were
-// unresponsive, still list the members, since they have to know at once whose place they take. The
-// directory is a hint: if none of the processes in it answers, the members are listed.
+// timeouts, so that every list failed. Schedulers, and processes that were schedulers until they
+// became unresponsive, still list the members, since they have to know at once which processes they
+// replace. The directory is a hint: if none of the processes in it answers, the members are listed.
 type directory struct {
 	Processes int `json:"processes"`
 	// Instances is the number of engines and backend servers.
--- a/internal/discovery/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -34,9 +34,9 @@
 	fake.Set("rockdoor-directory", "main", map[string]any{"write": "w", "value": json.RawMessage(text)})
 }
 
-// TestAProcessOfALargeFleetJoinsWithoutTheMembers has a process start while the store fails lists of the
-// members, as one does that 985 processes ask for 985 members at once. The directory names the schedulers.
-func TestAProcessOfALargeFleetJoinsWithoutTheMembers(t *testing.T) {
+// TestJoinFromDirectoryWithoutMemberList has a process start while the store fails lists of the
+// members, as a store does that 985 processes ask for 985 members at once. The directory names the schedulers.
+func TestJoinFromDirectoryWithoutMemberList(t *testing.T) {
 	fake := fleetstore.New()
 	setDirectory(fake, `{"processes": 985, "instances": 10003, "watchers": ["other"], "schedulers": [
 		{"name": "other", "domain": "a", "peer": "10.0.0.9:1", "weight": 1}, {"name": "other-2", "domain": "a", "peer": "10.0.0.8:1", "weight": 1}]}`)
@@ -59,9 +59,9 @@
 	return relay, view
 }
 
-// TestAProcessIsReadyWithTheHeadOfACopy has a scheduler send the configuration alone. The process is ready
+// TestProcessIsReadyWithPartialSnapshot has a scheduler send the configuration alone. The process is ready
 // with it, as that scheduler places its requests, and fetches the instances later.
-func TestAProcessIsReadyWithTheHeadOfACopy(t *testing.T) {
+func TestProcessIsReadyWithPartialSnapshot(t *testing.T) {
 	relay, view := startWithPartialSnapshot(t)
 	require.False(t, view().Complete())
 	require.False(t, view().StoppedAccepting("s", "i-1"), "the instances are not known yet")
@@ -70,9 +70,9 @@
 	require.True(t, view().StoppedAccepting("s", "i-2"))
 }
 
-// TestAFirstCopyLeavesTimeForRequests has a process that already serves requests receive 2,000 registrations.
+// TestFirstSnapshotIsDecodedInBatches has a process that already serves requests receive 2,000 registrations.
 // It must decode them in batches with pauses, and add the pauses to the age of the data.
-func TestAFirstCopyLeavesTimeForRequests(t *testing.T) {
+func TestFirstSnapshotIsDecodedInBatches(t *testing.T) {
 	const pauses = 150 * time.Millisecond // the pauses take 200 ms in all
 	var events []objstore.Event
 	for n := range 2000 {
@@ -88,8 +88,8 @@
 	require.Len(t, view().Instances, 2000)
 }
 
-// TestADirectoryOfNoUseIsPassedOver has directories that are of a small fleet, incomplete or not decodable.
-func TestADirectoryOfNoUseIsPassedOver(t *testing.T) {
+// TestUnusableDirectoryIsIgnored has directories that are of a small fleet, incomplete or not decodable.
+func TestUnusableDirectoryIsIgnored(t *testing.T) {
 	for _, text := range []string{`{"processes": 3, "schedulers": [{"name": "other"}]}`, `{"processes": 985}`, `[]`, `"x"`} {
 		fake := fleetstore.New()
 		setDirectory(fake, text)
@@ -99,14 +99,14 @@
 	}
 }
 
-// TestTheFirstWatcherKeepsTheDirectory checks the directory that the first watcher of a large fleet writes.
-func TestTheFirstWatcherKeepsTheDirectory(t *testing.T) {
+// TestFirstWatcherWritesDirectory checks the directory that the first watcher of a large fleet writes.
+func TestFirstWatcherWritesDirectory(t *testing.T) {
 	fake := fleetstore.New()
 	for n := range members.MaxFullMesh + 2 {
 		setMember(t, fake, fmt.Sprint("m-", n))
 	}
 	self := members.Member{Name: "z-self", Incarnation: members.NewIncarnation(), Domain: "a", Weight: 2}
-	watcher := discoveryOf(t, self, fake, make(fakeRelay), nil)
+	watcher := startDiscoveryAs(t, self, fake, make(fakeRelay), nil)
 	server := httptest.NewServer(fake)
 	defer server.Close()
 	store := platform.NewStore(server.Listener.Addr().String())
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -38,10 +38,10 @@
 // startFollowing starts a process of a fleet in which another process is the scheduler.
 func startFollowing(t *testing.T, relay discovery.Relay) func() *fleet.View {
 	t.Helper()
-	return followingOn(t, fleetstore.New(), relay)
+	return startFollowingOn(t, fleetstore.New(), relay)
 }
 
-func followingOn(t *testing.T, fake *fleetstore.Server, relay discovery.Relay) func() *fleet.View {
+func startFollowingOn(t *testing.T, fake *fleetstore.Server, relay discovery.Relay) func() *fleet.View {
 	t.Helper()
 	for n := range members.MaxFullMesh + 2 {
 		setMember(t, fake, fmt.Sprint("m-", n))
@@ -59,29 +59,29 @@
 
 func startOn(t *testing.T, fake http.Handler, relay discovery.Relay) func() *fleet.View {
 	t.Helper()
-	return startWith(t, fake, relay, nil)
+	return startWithCallback(t, fake, relay, nil)
 }
 
-// startWith starts a process that calls missing if it may have lost its registration.
-func startWith(t *testing.T, fake http.Handler, relay discovery.Relay, missing func()) func() *fleet.View {
+// startWithCallback starts a process that calls onUnregistered if it may have lost its registration.
+func startWithCallback(t *testing.T, fake http.Handler, relay discovery.Relay, onUnregistered func()) func() *fleet.View {
 	t.Helper()
-	return discoveryOn(t, fake, relay, missing).View
+	return startDiscovery(t, fake, relay, onUnregistered).View
 }
 
-func discoveryOn(t *testing.T, fake http.Handler, relay discovery.Relay, missing func()) *discovery.Discovery {
+func startDiscovery(t *testing.T, fake http.Handler, relay discovery.Relay, onUnregistered func()) *discovery.Discovery {
 	t.Helper()
-	return discoveryOf(t, members.Member{Name: "self", Incarnation: members.NewIncarnation(), Domain: "a"}, fake, relay, missing)
+	return startDiscoveryAs(t, members.Member{Name: "self", Incarnation: members.NewIncarnation(), Domain: "a"}, fake, relay, onUnregistered)
 }
 
-// discoveryOf starts a process with the given registration.
-func discoveryOf(t *testing.T, self members.Member, fake http.Handler, relay discovery.Relay, missing func()) *discovery.Discovery {
+// startDiscoveryAs starts a process with the given registration.
+func startDiscoveryAs(t *testing.T, self members.Member, fake http.Handler, relay discovery.Relay, onUnregistered func()) *discovery.Discovery {
 	t.Helper()
 	server := httptest.NewServer(fake)
 	t.Cleanup(server.Close)
 	store := platform.NewStore(server.Listener.Addr().String()).WithPageTimeout(discovery.StoreCallTimeout(applyLimit))
 	require.NoError(t, members.Register(context.Background(), store, platform.MemberPrefix, self))
 	d := discovery.New(discovery.Options{
-		Self: self, RunID: self.Incarnation, Relay: relay, OnUnregistered: missing,
+		Self: self, RunID: self.Incarnation, Relay: relay, OnUnregistered: onUnregistered,
 		Store: store, Stale: store.WithStaleReads(),
 		Prefixes: discovery.Prefixes{
 			Config: platform.ConfigPrefix, Instances: platform.InstancePrefix, Rules: platform.RulesPrefix, Members: platform.MemberPrefix, Directory: platform.DirectoryPrefix,
@@ -123,7 +123,7 @@
 	require.Eventually(t, holds, testTimeout, tick)
 }
 
-func TestConfigurationOnlyMovesUp(t *testing.T) {
+func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	fake, view := start(t)
 	setConfig(fake, 5)
 	eventually(t, func() bool { return version(view()) == 5 })
@@ -135,7 +135,7 @@
 	eventually(t, func() bool { return version(view()) == 9 })
 }
 
-func TestHistoryThatIsGoneIsListedAgain(t *testing.T) {
+func TestWatchGapCausesNewList(t *testing.T) {
 	fake, view := start(t)
 	setConfig(fake, 1)
 	eventually(t, func() bool { return version(view()) == 1 })
@@ -147,9 +147,9 @@
 	eventually(t, func() bool { return version(view()) == 2 })
 }
 
-// TestSilentStore checks that a watch whose connection is cut silently is detected, and that a change
+// TestUnresponsiveStore checks that a watch whose connection is cut silently is detected, and that a change
 // made meanwhile is in force soon after the end of the outage.
-func TestSilentStore(t *testing.T) {
+func TestUnresponsiveStore(t *testing.T) {
 	fake, view := start(t)
 	setConfig(fake, 1)
 	setInstance(fake, "i-1", "ready")
@@ -162,7 +162,7 @@
 	eventually(t, func() bool { return version(view()) == 2 && view().StoreUp })
 }
 
-func TestDrainingAndGone(t *testing.T) {
+func TestDrainingAndRemovedInstances(t *testing.T) {
 	fake, view := start(t)
 	setInstance(fake, "i-1", "ready")
 	setInstance(fake, "i-2", "ready")
@@ -174,9 +174,9 @@
 	eventually(t, func() bool { return len(view().Usable("s")) == 0 })
 }
 
-// TestLapsedWhileTheStoreWasAway checks that instances whose registrations expire in an outage are kept
+// TestRegistrationExpiredDuringOutageIsKept checks that instances whose registrations expire in an outage are kept
 // until they have had time to register again.
-func TestLapsedWhileTheStoreWasAway(t *testing.T) {
+func TestRegistrationExpiredDuringOutageIsKept(t *testing.T) {
 	fake, view := start(t)
 	setInstance(fake, "i-1", "ready")
 	setInstance(fake, "i-2", "ready")
@@ -199,10 +199,10 @@
 	require.True(t, view().Accepts("s", "i-1"))
 }
 
-// TestGoneAndBackInOneAnswer covers registrations that expire in an outage and are renewed before the store
+// TestRegistrationRemovedAndRenewedInOneAnswer covers registrations that expire in an outage and are renewed before the store
 // is reached again, so that one answer of a watch deletes and creates them. This once removed every engine
 // for the rest of a simulated day.
-func TestGoneAndBackInOneAnswer(t *testing.T) {
+func TestRegistrationRemovedAndRenewedInOneAnswer(t *testing.T) {
 	fake, view := start(t)
 	setInstance(fake, "i-1", "ready")
 	eventually(t, func() bool { return len(view().Usable("s")) == 1 })
@@ -216,9 +216,9 @@
 	require.True(t, view().Accepts("s", "i-1"))
 }
 
-// TestLapsedWhileAnotherFeedFailed covers an outage that only the feed of the configuration notices, since
+// TestRegistrationExpiredWhileAnotherFeedFailedIsKept covers an outage that only the feed of the configuration notices, since
 // the watch of the instances is waiting. A registration that is removed then counts as expired.
-func TestLapsedWhileAnotherFeedFailed(t *testing.T) {
+func TestRegistrationExpiredWhileAnotherFeedFailedIsKept(t *testing.T) {
 	fake, view := start(t)
 	setInstance(fake, "i-1", "ready")
 	eventually(t, func() bool { return len(view().Usable("s")) == 1 })
@@ -230,9 +230,9 @@
 	eventually(t, func() bool { return !view().Accepts("s", "i-1") })
 }
 
-// TestProofNeedsAnAnswer checks that the staleness of the configuration grows while the store does not
-// answer, and that an answer which was delayed does not reset it.
-func TestProofNeedsAnAnswer(t *testing.T) {
+// TestConfigStalenessGrowsWithoutAnswers checks that the staleness of the configuration grows while the store does not
+// answer, and that it is low again once the store answers.
+func TestConfigStalenessGrowsWithoutAnswers(t *testing.T) {
 	fake, view := start(t)
 	setConfig(fake, 1)
 	eventually(t, func() bool { return version(view()) == 1 && view().ConfigStaleness() < applyLimit })
@@ -242,9 +242,9 @@
 	eventually(t, func() bool { return view().ConfigStaleness() < applyLimit })
 }
 
-// TestRegistrationsOfOtherWriters checks that a registration which cannot be decoded removes its instance
+// TestInvalidRegistrationRemovesOnlyItsInstance checks that a registration which cannot be decoded removes its instance
 // but no other one, and that the instance is back with its next valid registration.
-func TestRegistrationsOfOtherWriters(t *testing.T) {
+func TestInvalidRegistrationRemovesOnlyItsInstance(t *testing.T) {
 	fake, view := start(t)
 	for _, invalid := range []any{
 		"text", 7, []int{1}, nil, map[string]any{"service": 5, "address": "10.0.0.1:80"}, map[string]any{"service": "s", "address": "10.0.0.1:80", "slots": "many", "phase": "ready"},
@@ -259,12 +259,12 @@
 	}
 }
 
-// TestAProcessLearnsThatItsRegistrationWent covers a process that watches the members, and one that lists
+// TestLostRegistrationIsNoticed covers a process that watches the members, and one that lists
 // them because no scheduler answers.
-func TestAProcessLearnsThatItsRegistrationWent(t *testing.T) {
+func TestLostRegistrationIsNoticed(t *testing.T) {
 	fake := fleetstore.New()
 	called := make(chan struct{}, 100)
-	startWith(t, fake, nil, func() { called <- struct{}{} })
+	startWithCallback(t, fake, nil, func() { called <- struct{}{} })
 	time.Sleep(applyLimit)
 	require.Empty(t, called)
 	fake.Remove("rockdoor-members", "self")
@@ -275,7 +275,7 @@
 	for n := range members.MaxFullMesh + 2 {
 		setMember(t, fake, fmt.Sprint("m-", n))
 	}
-	startWith(t, fake, unavailableRelay{}, func() { called <- struct{}{} })
+	startWithCallback(t, fake, unavailableRelay{}, func() { called <- struct{}{} })
 	time.Sleep(testTimeout / 2)
 	require.Empty(t, called)
 	fake.Remove("rockdoor-members", "self")
@@ -293,7 +293,7 @@
 
 // Any object of the kind counted as the configuration. After a draft with a higher version, the configuration
 // was ignored until its version had passed that of the draft.
-func TestOtherObjectsAreNoConfiguration(t *testing.T) {
+func TestOtherConfigObjectsAreIgnored(t *testing.T) {
 	fake, view := start(t)
 	setConfig(fake, 5)
 	eventually(t, func() bool { return version(view()) == 5 })
@@ -306,7 +306,7 @@
 
 // Each end of an outage restarted the time for which an instance with an expired registration is kept. A
 // process that lost the store again and again kept a removed instance for as long as this went on.
-func TestLossesInSuccessionKeepNobodyForLonger(t *testing.T) {
+func TestRepeatedOutagesDoNotExtendUseOfExpiredInstance(t *testing.T) {
 	fake, view := start(t)
 	setInstance(fake, "i-1", "ready")
 	eventually(t, func() bool { return view().Accepts("s", "i-1") })
@@ -320,7 +320,7 @@
 		fake.SetFaults(fleetstore.Faults{DownKind: "servers"})
 		eventually(t, func() bool { return !view().StoreUp })
 	}
-	require.False(t, view().Accepts("s", "i-1"), "it left %s ago", time.Since(removed))
+	require.False(t, view().Accepts("s", "i-1"), "removed %s ago", time.Since(removed))
 }
 
 // delayAnswers sends each answer after a delay, with the store's content as of the request.
@@ -337,7 +337,7 @@
 // The age of the data counted from the arrival of an answer, so that answers that took 30 ms made the data
 // 30 ms younger than it was. An answer may take 0.75 s where changes must be in force within 3 s, and other
 // processes judge the data by this age.
-func TestAnAnswerIsAsOldAsItsWay(t *testing.T) {
+func TestAnswerDelayCountsAsAge(t *testing.T) {
 	const delay = 30 * time.Millisecond
 	fake := fleetstore.New()
 	setConfig(fake, 1)
--- a/internal/discovery/era_test.go
+++ b/internal/discovery/era_test.go
@@ -30,7 +30,7 @@
 	view := startOn(t, fake, nil)
 	eventually(t, func() bool { return len(view().Usable("s")) == 4 })
 	time.Sleep(snapshotAge)
-	taken := time.Now()
+	snapshotAt := time.Now()
 	for n := range 20 {
 		setSlots(fake, "i-often", "ready", 5+n)
 	}
@@ -42,7 +42,7 @@
 		return version(view()) == 2 && view().Accepts("s", "i-new") && view().Instances["i-gone"] == nil
 	})
 	require.False(t, view().Accepts("s", "i-drains"))
-	fake.Restore(time.Since(taken) + snapshotAge/10)
+	fake.Restore(time.Since(snapshotAt) + snapshotAge/10)
 	eventually(t, func() bool { return view().Era == 4 })
 	return fake, view
 }
@@ -50,7 +50,7 @@
 // A store that is restored from an older snapshot uses revisions again. Its data was taken for older than
 // the known data until its revisions had passed the earlier ones; here a draining instance went on getting
 // requests.
-func TestAStoreComesBackFromAnOlderCopy(t *testing.T) {
+func TestStoreRestoredFromOlderSnapshot(t *testing.T) {
 	fake, view := startRestored(t)
 	setInstance(fake, "i-often", "draining")
 	eventually(t, func() bool { return !view().Accepts("s", "i-often") })
@@ -60,7 +60,7 @@
 
 // The snapshot has instances as ready that have begun to drain or were removed since, and an older
 // configuration. None of this may come into force again.
-func TestWhatWasKnownDoesNotComeBackWithTheCopy(t *testing.T) {
+func TestRestoredStoreDoesNotRevertKnownChanges(t *testing.T) {
 	_, view := startRestored(t)
 	for start := time.Now(); time.Since(start) < 2*expiredRetention; time.Sleep(tick) {
 		v := view()
@@ -72,7 +72,7 @@
 }
 
 // An instance that is missing from the snapshot is kept for the time that instances have to register again.
-func TestWhatTheCopyLacksHasTimeToBeWrittenAgain(t *testing.T) {
+func TestInstanceMissingAfterRestoreMayRegisterAgain(t *testing.T) {
 	fake, view := startRestored(t)
 	require.True(t, view().Accepts("s", "i-new"))
 	time.Sleep(expiredRetention / 3)
@@ -86,7 +86,7 @@
 }
 
 // What the operator and the instances write after the restore counts, also if its number was used before.
-func TestWhatIsWrittenAnewCounts(t *testing.T) {
+func TestWritesAfterRestoreAreApplied(t *testing.T) {
 	fake, view := startRestored(t)
 	fake.Set("config", "main", map[string]any{"version": 2, "services": []map[string]any{{"name": "anew"}}})
 	eventually(t, func() bool { _, ok := view().Config.Services["anew"]; return ok })
@@ -97,7 +97,7 @@
 }
 
 // Rules that an operator was told are in force stay in force until rules are applied again.
-func TestRulesHoldWhereTheStoreComesBackOlder(t *testing.T) {
+func TestRulesStayInForceAfterRestore(t *testing.T) {
 	fake := fleetstore.New()
 	fake.SetEra(1)
 	view := startOn(t, fake, nil)
@@ -115,11 +115,11 @@
 // A process that has seen the restore must ignore data from one that has not, such as a process that has
 // lost the store or whose software does not know eras: its data is young, but of the store before the
 // restore. The process must read the store directly.
-func TestCopiesOfAnEarlierEraAreNotWaitedFor(t *testing.T) {
+func TestUpdatesOfEarlierEraAreIgnored(t *testing.T) {
 	fake := fleetstore.New()
 	fake.SetEra(2)
 	relay := make(fakeRelay)
-	view := followingOn(t, fake, relay)
+	view := startFollowingOn(t, fake, relay)
 	setConfig(fake, 1)
 	sendUpdate(relay, true, int(objstore.InEra(2, 30)), objstore.Event{Object: objstore.Object{
 		Key: "config/main", Version: objstore.Version(objstore.InEra(2, 30)), Value: []byte(`{"version": 1}`),
--- a/internal/discovery/flood_test.go
+++ b/internal/discovery/flood_test.go
@@ -15,9 +15,9 @@
 	maxRequests = 16
 )
 
-// TestAFloodOfChangesIsAskedForInParts has instances register much faster than a process polls: the number of
+// TestStoreCallsAreBoundedInBurst has instances register much faster than a process polls: the number of
 // calls to the store must depend on the time, not on the number of instances.
-func TestAFloodOfChangesIsAskedForInParts(t *testing.T) {
+func TestStoreCallsAreBoundedInBurst(t *testing.T) {
 	fake, view := start(t)
 	setConfig(fake, 1)
 	setInstance(fake, "i-0", "ready")
@@ -33,8 +33,8 @@
 	require.Greater(t, n, 10*maxRequests)
 }
 
-// TestAFloodOfChangesIsFollowedInParts has a scheduler answer each request at once, with a change.
-func TestAFloodOfChangesIsFollowedInParts(t *testing.T) {
+// TestFollowRequestsAreBoundedInBurst has a scheduler answer each request at once, with a change.
+func TestFollowRequestsAreBoundedInBurst(t *testing.T) {
 	relay := make(fakeRelay)
 	view := startFollowing(t, relay)
 	requests := 0
@@ -50,8 +50,8 @@
 	eventually(t, func() bool { return len(view().Usable("s")) >= requests-1 })
 }
 
-// TestTheFirstChangeIsToldAtOnce measures how long a single change takes after a quiet time.
-func TestTheFirstChangeIsToldAtOnce(t *testing.T) {
+// TestFirstChangeIsAppliedAtOnce measures how long a single change takes after a quiet time.
+func TestFirstChangeIsAppliedAtOnce(t *testing.T) {
 	fake, view := start(t)
 	setConfig(fake, 1)
 	eventually(t, func() bool { return version(view()) == 1 })
--- a/internal/discovery/follow.go
+++ b/internal/discovery/follow.go
@@ -26,9 +26,9 @@
 	relayed bool
 	// full is true if events holds all existing objects.
 	full bool
-	// askedAt is when the request was sent to the store. confirmedAt is as of when its answer is
-	// known to hold: at most the wait after askedAt, since any time beyond may have been spent on
-	// the network.
+	// askedAt is when the request was sent to the store. confirmedAt is the time up to which the
+	// answer is known to be complete: at most the wait of the watch after askedAt, since any
+	// further time may have been spent on the network.
 	askedAt, confirmedAt bootclock.Instant
 	// revision is the store's revision up to which the events are complete.
 	revision objstore.Revision
@@ -119,8 +119,8 @@
 	}
 }
 
-// readOnce lists the objects once and sends an event if that fails. It returns no error if ctx
-// has ended.
+// readOnce lists the objects once and sends them as a full update, or sends an event if that
+// fails. It returns no error if ctx has ended.
 func (f *follower) readOnce(ctx context.Context) error {
 	_, err := f.list(ctx)
 	if err == nil || ctx.Err() != nil {
--- a/internal/discovery/instances.go
+++ b/internal/discovery/instances.go
@@ -25,7 +25,7 @@
 	// connection.
 	expiredUseShare = 0.75
 	// minOutage is how long calls must have failed for this to count as an outage of the
-	// store. Any watch that was cut and one more failed call are over by then.
+	// store. A watch whose connection was cut and one further failed call end before that.
 	minOutage = 500 * time.Millisecond
 	// maxLoggedEach is the max number of registrations in one answer that are logged one by
 	// one. The log takes 2,000 lines a second; at a start with 3,000 registrations it dropped
@@ -136,7 +136,7 @@
 // removeInstance removes an instance whose registration is missing. If the registration may have
 // expired in an outage of the store, the instance is kept for a while, since the platform then drops
 // registrations of instances that still run. A draining instance is removed at once, and so is one
-// about which another process has decided already.
+// whose removal was relayed, since its sender has decided about that already.
 func (d *Discovery) removeInstance(id string, relayed bool) {
 	i := d.instances[id]
 	if i == nil || i.Expired && !relayed {
@@ -160,16 +160,16 @@
 // instance beyond the propagation limit after three watchers had lost the store for 1.1 s.
 func (d *Discovery) keepExpired(i *fleet.Instance) {
 	now := bootclock.Now()
-	l := expiry{dropAt: now.Add(d.o.ExpiredRetention), outage: d.outage || d.recentlyRestored()}
-	if !l.outage {
-		l.dropAt = min(l.dropAt, d.expiryStart().Add(time.Duration(expiredUseShare*float64(d.o.PropagationLimit))))
+	e := expiry{dropAt: now.Add(d.o.ExpiredRetention), outage: d.outage || d.recentlyRestored()}
+	if !e.outage {
+		e.dropAt = min(e.dropAt, d.expiryStart().Add(time.Duration(expiredUseShare*float64(d.o.PropagationLimit))))
 	}
 	expired := *i
 	expired.Expired = true
 	d.instances[i.ID], d.changedIDs[i.ID] = &expired, true
-	d.expired[i.ID] = l
-	level.Info(d.logger).Log("msg", "instance lapsed", "id", i.ID, "service", i.Service, "address", i.Address, "kept_for", l.dropAt.Sub(now).Round(time.Millisecond),
-		"absence", l.outage, "counted_from", ageOrNever(d.expiryStart()), "confirmed", ageOrNever(d.prevConfirmedAt), "failed", ageOrNever(d.failedAt), "back", ageOrNever(d.recoveredAt))
+	d.expired[i.ID] = e
+	level.Info(d.logger).Log("msg", "instance lapsed", "id", i.ID, "service", i.Service, "address", i.Address, "kept_for", e.dropAt.Sub(now).Round(time.Millisecond),
+		"absence", e.outage, "counted_from", ageOrNever(d.expiryStart()), "confirmed", ageOrNever(d.prevConfirmedAt), "failed", ageOrNever(d.failedAt), "back", ageOrNever(d.recoveredAt))
 }
 
 // expiryStart returns the time from which the use of an expired instance counts: when the store last
@@ -188,10 +188,10 @@
 func (d *Discovery) assessOutage(now bootclock.Instant) {
 	unconfirmed := now.Sub(d.prevConfirmedAt)
 	d.outage = unconfirmed >= d.o.PropagationLimit && now.Sub(d.failingSince) >= minOutage
-	for id, l := range d.expired {
-		if d.outage && l.outage {
-			l.dropAt = now.Add(d.o.ExpiredRetention)
-			d.expired[id] = l
+	for id, e := range d.expired {
+		if d.outage && e.outage {
+			e.dropAt = now.Add(d.o.ExpiredRetention)
+			d.expired[id] = e
 		}
 	}
 }
@@ -227,11 +227,11 @@
 // dropExpired removes the expired instances that did not register again in time.
 func (d *Discovery) dropExpired() {
 	dropped := false
-	for id, l := range d.expired {
-		if l.outage && d.failingFeeds[feedInstances] {
+	for id, e := range d.expired {
+		if e.outage && d.failingFeeds[feedInstances] {
 			continue // a new registration could not be seen yet
 		}
-		if bootclock.Now() >= l.dropAt {
+		if bootclock.Now() >= e.dropAt {
 			d.dropInstance(id, "expired and not registered again")
 			dropped = true
 		}
--- a/internal/discovery/mode.go
+++ b/internal/discovery/mode.go
@@ -84,14 +84,14 @@
 // updateSchedulers determines the schedulers from the members.
 func (d *Discovery) updateSchedulers() {
 	all := slices.Collect(maps.Values(d.members))
-	mesh := members.Schedulers(all, nil)
+	gossipPeers := members.Schedulers(all, nil)
 	schedulers := members.Schedulers(all, d.isExcluded)
 	for _, m := range schedulers {
-		if !members.Contains(mesh, m.Name) {
-			mesh = append(mesh, m)
+		if !members.Contains(gossipPeers, m.Name) {
+			gossipPeers = append(gossipPeers, m)
 		}
 	}
-	d.setSchedulers(schedulers, members.Watchers(schedulers, d.cur.Processes), mesh)
+	d.setSchedulers(schedulers, members.Watchers(schedulers, d.cur.Processes), gossipPeers)
 }
 
 // isExcluded reports whether a member is unresponsive, so that another one takes its place as scheduler.
@@ -99,10 +99,10 @@
 	return name != d.o.Self.Name && d.o.IsUnresponsive(name)
 }
 
-// setSchedulers sets the schedulers, the watchers and the mesh, and logs a change.
-func (d *Discovery) setSchedulers(all, watchers, mesh []members.Member) {
+// setSchedulers sets the schedulers, the watchers and the gossip peers, and logs a change of the first two.
+func (d *Discovery) setSchedulers(all, watchers, gossipPeers []members.Member) {
 	same := sameNames(all, d.cur.Schedulers) && sameNames(watchers, d.cur.Watchers)
-	d.cur.Schedulers, d.cur.Watchers, d.cur.GossipPeers = all, watchers, mesh
+	d.cur.Schedulers, d.cur.Watchers, d.cur.GossipPeers = all, watchers, gossipPeers
 	d.cur.Scheduling = members.Contains(all, d.o.Self.Name)
 	if !same {
 		level.Info(d.logger).Log("msg", "schedulers", "names", strings.Join(members.Names(all), ","), "watchers", strings.Join(members.Names(watchers), ","), "processes", d.cur.Processes)
@@ -135,7 +135,8 @@
 		d.stopMode()
 	}
 	if d.mode == following && next == watching && d.cur.Processes > members.MaxFullMesh {
-		// A fleet that seems small may be a new one of which the other process has not seen all members.
+		// Not in a fleet that seems small: it may be a new one, and the process that named this one a
+		// watcher may not have seen all of its members yet.
 		d.appointedAt = bootclock.Now()
 	}
 	level.Info(d.logger).Log("msg", "mode", "watching", next == watching, "processes", d.cur.Processes)
--- a/internal/discovery/relay.go
+++ b/internal/discovery/relay.go
@@ -44,9 +44,9 @@
 	// ten times as long.
 	registrationCheckAfter = time.Minute
 	// schedulerMaxAgeShare and maxAgeShare are the shares of the propagation limit from which
-	// on data is too old for a scheduler and for another process. Without faults it reaches
-	// half that age, and from a share of 0.6 on a scheduler with fresher data is looked for.
-	// The rest of the limit is for the answer of the store.
+	// on data is too old for a scheduler and for another process. Without faults data reaches
+	// half that age, and from a share of 0.6 on a process looks for a scheduler with fresher
+	// data. The rest of the limit is for the answer of the store.
 	schedulerMaxAgeShare = 0.65
 	maxAgeShare          = 0.8
 	// directReadRetry is the min time between two direct reads because of old data; the actual
@@ -88,7 +88,7 @@
 	InstancesRevision objstore.Revision
 	Schedulers        []members.Member
 	Watchers          []members.Member
-	Mesh              []members.Member
+	GossipPeers       []members.Member
 
 	// decoded holds instances of Events that have been decoded already, by key.
 	decoded map[string]*fleet.Instance
@@ -146,7 +146,8 @@
 
 // directReadDelay returns how long no scheduler must have answered before this process reads the store
 // directly. The delay is short for a process with a complete view, since its data gets old. After a
-// restart of the whole fleet many processes have none; each of them adds its share of the jitter.
+// restart of the whole fleet many processes have no complete view; each of them adds its own delay
+// within the jitter interval.
 func (d *Discovery) directReadDelay(err error) time.Duration {
 	after := directReadAfter
 	if !d.View().Complete() && fault.Is(err, fault.Denied) {
@@ -270,7 +271,7 @@
 	d.applyRelayUpdate(f)
 	d.cur.StoreUp = f.StoreUp
 	d.cur.Processes = f.Processes
-	d.setSchedulers(f.Schedulers, f.Watchers, f.Mesh)
+	d.setSchedulers(f.Schedulers, f.Watchers, f.GossipPeers)
 	if f.Partial && d.cur.FullSnapshotAt == 0 {
 		d.cur.FullSnapshotAt = bootclock.Now().Add(d.ownJitter(d.jitterRange(snapshotInterval)))
 	}
--- a/internal/discovery/relay_test.go
+++ b/internal/discovery/relay_test.go
@@ -60,9 +60,9 @@
 	return objstore.Event{Object: objstore.Object{Key: "config/main", Version: objstore.Version(version), Value: fmt.Appendf(nil, `{"version": %d}`, version)}}
 }
 
-// TestACopyThatIsBehindTakesNothingOut has a process change to a scheduler whose data is older than a
+// TestLaggingSnapshotRemovesNoInstance has a process change to a scheduler whose data is older than a
 // registration that the process knows. The instance must stay; newer data must remove it for good.
-func TestACopyThatIsBehindTakesNothingOut(t *testing.T) {
+func TestLaggingSnapshotRemovesNoInstance(t *testing.T) {
 	relay := make(fakeRelay)
 	view := startFollowing(t, relay)
 	sendUpdate(relay, true, 10, registered("i-1", 5), registered("i-2", 10))
@@ -107,7 +107,7 @@
 func TestAllWatchersAreCutOff(t *testing.T) {
 	relay := make(fakeRelay)
 	fake := fleetstore.New()
-	view := followingOn(t, fake, relay)
+	view := startFollowingOn(t, fake, relay)
 	setConfig(fake, 2)
 	setInstance(fake, "i-1", "draining")
 	cut := time.Now()
@@ -140,10 +140,10 @@
 // Registrations that expire in an outage of the store must stay in use for a while, since the platform
 // then drops those of instances that still run. A process that read the store directly removed them at
 // once: its failed reads were not recorded as an outage.
-func TestLapsedAsAProcessSeesItThatLooksItself(t *testing.T) {
+func TestRegistrationExpiredBeforeDirectReadIsKept(t *testing.T) {
 	relay := make(fakeRelay)
 	fake := fleetstore.New()
-	view := followingOn(t, fake, relay)
+	view := startFollowingOn(t, fake, relay)
 	setConfig(fake, 1)
 	setInstance(fake, "i-1", "ready")
 	cut := time.Now()
@@ -177,7 +177,7 @@
 // instance for less than a tick. The other fetched a snapshot from it in this time, and counted the time
 // for which it may keep the instance from the age of the snapshot: 13 of 96 requests reached the instance
 // beyond the propagation limit.
-func TestACopyDoesNotProlongWhatHasLapsed(t *testing.T) {
+func TestFetchedSnapshotDoesNotExtendUseOfExpiredInstance(t *testing.T) {
 	fake := fleetstore.New()
 	setInstance(fake, "i-1", "ready")
 	view := startOn(t, fake, staleSnapshotRelay{instance: registered("i-1", 1)})
@@ -192,7 +192,7 @@
 	fake.SetFaults(fleetstore.Faults{})
 	eventually(t, func() bool { return view().StoreUp })
 	time.Sleep(max(propagationLimit-time.Since(removed), propagationLimit/10))
-	require.False(t, view().Accepts("s", "i-1"), "it left %s ago", time.Since(removed))
+	require.False(t, view().Accepts("s", "i-1"), "removed %s ago", time.Since(removed))
 }
 
 // A process changed to a scheduler that lagged behind, and received from it the removal of an earlier
@@ -204,9 +204,9 @@
 	sendUpdate(relay, true, 12, registered("i-1", 12))
 	eventually(t, func() bool { return view().Accepts("s", "i-1") })
 	sendUpdate(relay, true, 6, registered("i-1", 5))
-	gone := registered("i-1", 5)
-	gone.Deleted, gone.Object.Value = true, nil
-	sendUpdate(relay, false, 8, gone)
+	removal := registered("i-1", 5)
+	removal.Deleted, removal.Object.Value = true, nil
+	sendUpdate(relay, false, 8, removal)
 	sendUpdate(relay, false, 12, registered("i-1", 12), registered("i-2", 12))
 	eventually(t, func() bool { return view().Accepts("s", "i-2") })
 	require.True(t, view().Accepts("s", "i-1"))
--- a/internal/discovery/rules_test.go
+++ b/internal/discovery/rules_test.go
@@ -42,24 +42,24 @@
 // data if the watchers lost the store one after the other. Only the configuration was then kept from going
 // back to an older version; older rules were applied, and requests ran where the newest rules forbid it.
 // The log had "rules in force revision=10" and after it "rules in force revision=5" or "rules removed".
-func TestRulesOnlyMoveUp(t *testing.T) {
+func TestRulesVersionNeverDecreases(t *testing.T) {
 	relay := make(fakeRelay)
 	view := startFollowing(t, relay)
 	configs := 0
-	whole := func(events ...objstore.Event) {
+	sendSnapshot := func(events ...objstore.Event) {
 		configs++
 		sendUpdate(relay, true, 1, append(events, configAt(configs))...)
 		eventually(t, func() bool { return version(view()) == int64(configs) })
 	}
-	whole(rulesAt(5, onlyB))
+	sendSnapshot(rulesAt(5, onlyB))
 	require.True(t, permits(view(), "b"))
-	whole(rulesAt(10, onlyA))
+	sendSnapshot(rulesAt(10, onlyA))
 	require.False(t, permits(view(), "b"))
-	whole(rulesAt(5, onlyB))
+	sendSnapshot(rulesAt(5, onlyB))
 	require.False(t, permits(view(), "b"), "the rules went back to an older version")
-	whole()
+	sendSnapshot()
 	require.False(t, permits(view(), "b"), "a snapshot without rules removes none")
-	whole(rulesAt(12, onlyB))
+	sendSnapshot(rulesAt(12, onlyB))
 	require.False(t, permits(view(), "a"))
 }
 
@@ -89,7 +89,7 @@
 		fake.Set("rockdoor-rules", "main", map[string]any{"write": "w", "value": json.RawMessage(text)})
 	}
 	setRules(onlyA)
-	view := followingOn(t, fake, relay)
+	view := startFollowingOn(t, fake, relay)
 	cut := time.Now()
 	sendAgingUpdates(t, relay, cut,
 		configAt(1),
@@ -115,7 +115,7 @@
 // decoded. It recorded their version as the one in force, and then ignored the last valid rules, which its
 // scheduler has and enforces, as older ones. Without rules it permitted everything; its last log line about
 // rules was the rejection of revision 20.
-func TestRulesThatCannotBeReadLeaveTheLastGoodOnes(t *testing.T) {
+func TestUndecodableRulesAreIgnored(t *testing.T) {
 	relay := make(fakeRelay)
 	view := startFollowing(t, relay)
 	sendUpdate(relay, true, 1, rulesAt(20, `{"selectors": {"*": "domain=a"}, "newer": 1}`))
@@ -143,7 +143,7 @@
 // Rules are read with answers that may be seconds old, and such an answer can have a newer revision than
 // its content. After one without rules and with revision 60 a process ignored the rules of revision 31 for
 // good, and permitted everything.
-func TestAStaleListWithoutRulesTakesNoneOut(t *testing.T) {
+func TestStaleEmptyListRemovesNoRules(t *testing.T) {
 	fake := &emptyListServer{Server: fleetstore.New()}
 	for range 30 {
 		setConfig(fake.Server, 1)
@@ -161,31 +161,31 @@
 	require.NotNil(t, view().Rules)
 }
 
-// TestRulesThatAreRemovedByACopyStayRemoved has a relayed removal followed by an older snapshot.
-func TestRulesThatAreRemovedByACopyStayRemoved(t *testing.T) {
+// TestRulesRemovedByRelayStayRemoved has a relayed removal followed by an older snapshot.
+func TestRulesRemovedByRelayStayRemoved(t *testing.T) {
 	relay := make(fakeRelay)
 	view := startFollowing(t, relay)
 	sendUpdate(relay, true, 1, rulesAt(5, onlyB))
 	eventually(t, func() bool { return view().Rules != nil })
-	gone := rulesAt(5, "")
-	gone.Deleted = true
-	sendUpdate(relay, false, 1, gone)
+	removal := rulesAt(5, "")
+	removal.Deleted = true
+	sendUpdate(relay, false, 1, removal)
 	eventually(t, func() bool { return view().Rules == nil })
 	sendUpdate(relay, true, 1, rulesAt(5, onlyB), configAt(1))
 	eventually(t, func() bool { return version(view()) == 1 })
 	require.Nil(t, view().Rules)
 }
 
-// TestOlderWordOfRulesChangesNothing has a process receive a removal that is older than its rules, and a
+// TestOlderRulesUpdateIsIgnored has a process receive a removal that is older than its rules, and a
 // snapshot without rules but with newer registrations.
-func TestOlderWordOfRulesChangesNothing(t *testing.T) {
+func TestOlderRulesUpdateIsIgnored(t *testing.T) {
 	relay := make(fakeRelay)
 	view := startFollowing(t, relay)
 	sendUpdate(relay, true, 1, rulesAt(10, onlyA))
 	eventually(t, func() bool { return view().Rules != nil })
-	gone := rulesAt(5, "")
-	gone.Deleted = true
-	sendUpdate(relay, false, 1, gone, configAt(1))
+	removal := rulesAt(5, "")
+	removal.Deleted = true
+	sendUpdate(relay, false, 1, removal, configAt(1))
 	eventually(t, func() bool { return version(view()) == 1 })
 	require.NotNil(t, view().Rules)
 	sendUpdate(relay, true, 100, configAt(2))
@@ -193,10 +193,10 @@
 	require.NotNil(t, view().Rules)
 }
 
-// TestFollowersHearThatRulesWereRemoved checks the feed that a watching process has for its followers.
-func TestFollowersHearThatRulesWereRemoved(t *testing.T) {
+// TestFollowersReceiveRemovalOfRules checks the feed that a watching process has for its followers.
+func TestFollowersReceiveRemovalOfRules(t *testing.T) {
 	fake := fleetstore.New()
-	d := discoveryOn(t, fake, nil, nil)
+	d := startDiscovery(t, fake, nil, nil)
 	fake.Set("rockdoor-rules", "main", map[string]any{"write": "w", "value": json.RawMessage(onlyA)})
 	eventually(t, func() bool { return d.View().Rules != nil })
 	before, _ := d.Feed().Since(feed.Position{})
--- a/internal/discovery/spread_test.go
+++ b/internal/discovery/spread_test.go
@@ -11,9 +11,9 @@
 	"github.com/rockdoor/rockdoor/members"
 )
 
-// TestLooksOfAFleetAreSpreadByWhatTheyCost has fleets of several sizes start while no scheduler answers. The
+// TestDirectReadsAreSpreadByTheirCost has fleets of several sizes start while no scheduler answers. The
 // number of registrations that they list from the store per second must be bounded at any size.
-func TestLooksOfAFleetAreSpreadByWhatTheyCost(t *testing.T) {
+func TestDirectReadsAreSpreadByTheirCost(t *testing.T) {
 	for _, c := range []struct{ processes, instances int }{{100, 1000}, {300, 3000}, {985, 10_003}, {2000, 20_000}} {
 		d := New(Options{Self: members.Member{Name: "self"}, RunID: "r", Metrics: metrics.NewRegistry(), Logger: log.NewNopLogger()})
 		d.joinFromDirectory(directory{Processes: c.processes, Instances: c.instances, Schedulers: []members.Member{{Name: "other"}}, Watchers: []string{"other"}})
--- a/internal/scheduler/codec.go
+++ b/internal/scheduler/codec.go
@@ -130,7 +130,7 @@
 		dst **fleet.Instance
 	}{{m.GetReader(), &p.PrefillEngine}, {m.GetRunner(), &p.Target}, {m.GetFetchFrom(), &p.FetchFrom}} {
 		if *part.dst = fleet.Find(permitted, part.id); *part.dst == nil && part.id != "" {
-			err = fault.Newf(fault.Conflict, "this process decides", "the view of this process does not permit instance %s", part.id)
+			err = fault.Newf(fault.Conflict, "this process places the request itself", "the view of this process does not permit instance %s", part.id)
 		}
 	}
 	return p, err
--- a/internal/scheduler/codec_test.go
+++ b/internal/scheduler/codec_test.go
@@ -11,9 +11,9 @@
 	"github.com/rockdoor/rockdoor/placement"
 )
 
-// TestAJobKeepsItsCallersRankAndWorkspace sends a job to a scheduler whose configuration has a
+// TestJobKeepsRankAndWorkspaceOfSender sends a job to a scheduler whose configuration has a
 // different rank for the route. The rank set by the sender must be used.
-func TestAJobKeepsItsCallersRankAndWorkspace(t *testing.T) {
+func TestJobKeepsRankAndWorkspaceOfSender(t *testing.T) {
 	config := &fleet.Config{Routes: []fleet.Route{{Name: "r", Rank: 1}}, Services: map[string]fleet.Service{"s": {Name: "s"}}}
 	config.Index()
 	view := &fleet.View{Config: config, InstancesKnown: true}
--- a/internal/scheduler/directory.go
+++ b/internal/scheduler/directory.go
@@ -23,32 +23,32 @@
 // process's own failure domain come first, in the given order, then the others in an order
 // that differs between processes. This spreads the load of a failure domain that lost its
 // schedulers. Schedulers that recently failed to respond come last.
-func (d *ranking) order(all []members.Member, limit int) []members.Member {
-	var near, far, resting []members.Member
+func (r *ranking) order(all []members.Member, limit int) []members.Member {
+	var near, far, inBackoff []members.Member
 	for _, m := range all {
 		switch {
-		case m.Name == d.self.Name:
-		case d.backoffs.InBackoff(m.Name):
-			resting = append(resting, m)
-		case m.Domain == d.self.Domain:
+		case m.Name == r.self.Name:
+		case r.backoffs.InBackoff(m.Name):
+			inBackoff = append(inBackoff, m)
+		case m.Domain == r.self.Domain:
 			near = append(near, m)
 		default:
 			far = append(far, m)
 		}
 	}
-	slices.SortFunc(far, func(a, b members.Member) int { return cmp.Compare(d.score(a), d.score(b)) })
-	out := append(append(near, far...), resting...)
+	slices.SortFunc(far, func(a, b members.Member) int { return cmp.Compare(r.score(a), r.score(b)) })
+	out := append(append(near, far...), inBackoff...)
 	return out[:min(limit, len(out))]
 }
 
-func (d *ranking) score(m members.Member) uint64 {
-	return xxhash.Sum64String(d.self.Name + "\x00" + m.Name)
+func (r *ranking) score(m members.Member) uint64 {
+	return xxhash.Sum64String(r.self.Name + "\x00" + m.Name)
 }
 
-func (d *ranking) recordFailure(m members.Member, err error) {
-	if d.backoffs.Failed(m.Name) {
-		level.Info(d.logger).Log("msg", "scheduler does not respond", "scheduler", m.Name, "address", m.Peer, "err", err)
+func (r *ranking) recordFailure(m members.Member, err error) {
+	if r.backoffs.Failed(m.Name) {
+		level.Info(r.logger).Log("msg", "scheduler does not respond", "scheduler", m.Name, "address", m.Peer, "err", err)
 	}
 }
 
-func (d *ranking) recordResponse(m members.Member) { d.backoffs.Responded(m.Name) }
+func (r *ranking) recordResponse(m members.Member) { r.backoffs.Responded(m.Name) }
--- a/internal/scheduler/follow.go
+++ b/internal/scheduler/follow.go
@@ -25,8 +25,8 @@
 	longPollShare = 0.1
 	// staleShare is the part of Options.PropagationLimit above which a snapshot is stale, because its
 	// sender is probably partitioned from the store. Normal staleness is up to 0.45: 0.25
-	// between two responses of the store and 0.1 for each of two hops. A follower leaves a
-	// stale snapshot by 0.7.
+	// between two responses of the store and 0.1 for each of two hops. A follower switches
+	// away from a stale snapshot at 0.7 at the latest.
 	staleShare = 0.6
 	// schedulerStaleShare is staleShare for a scheduler. It must switch to a fresher snapshot
 	// before its followers notice that it is stale: otherwise hundreds of followers switch at
@@ -60,7 +60,7 @@
 
 // Follow implements discovery.Relay.
 func (c *Client) Follow(ctx context.Context, after feed.Position) (discovery.RelayUpdate, error) {
-	var lastErr error = fault.New(fault.Unavailable, "no scheduler is known", "the process reads the store itself")
+	var lastErr error = fault.New(fault.Unavailable, "no scheduler is known", "the process reads the store directly")
 	order, maxAttempts := c.followOrder(), maxFollowAttempts
 	if c.needsPartialSnapshot() {
 		order = c.partialSnapshotOrder()
@@ -124,7 +124,7 @@
 	return f, err
 }
 
-// fetchFirstFresher returns the whole snapshot of the first candidate whose snapshot is fresher
+// fetchFirstFresher returns the full snapshot of the first candidate whose snapshot is fresher
 // than age, and that candidate. A candidate without a fresher snapshot sends a message without
 // objects. The error is of kind NotFound if all candidates responded and none has a fresher one.
 func (c *Client) fetchFirstFresher(ctx context.Context, age time.Duration, candidates []members.Member) (discovery.RelayUpdate, members.Member, error) {
@@ -210,7 +210,7 @@
 	}
 	for _, s := range m.GetSchedulers() {
 		member := members.Member{Name: s.GetName(), Domain: s.GetDomain(), Peer: s.GetPeer()}
-		f.Mesh = append(f.Mesh, member)
+		f.GossipPeers = append(f.GossipPeers, member)
 		if !s.GetReplaced() {
 			f.Schedulers = append(f.Schedulers, member)
 		}
--- a/internal/scheduler/head.go
+++ b/internal/scheduler/head.go
@@ -53,18 +53,18 @@
 }
 
 // get returns the partial snapshot of a feed: all objects whose keys do not have the prefix of registrations.
-func (h *partialSnapshotCache) get(f *feed.Feed, instancePrefix string) feed.Update {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.cached.Position == (feed.Position{RunID: f.RunID(), Sequence: f.Sequence()}) {
-		return h.cached
+func (c *partialSnapshotCache) get(f *feed.Feed, instancePrefix string) feed.Update {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.cached.Position == (feed.Position{RunID: f.RunID(), Sequence: f.Sequence()}) {
+		return c.cached
 	}
-	whole, _ := f.Since(feed.Position{})
-	h.cached = feed.Update{Position: whole.Position}
-	for _, e := range whole.Events {
+	full, _ := f.Since(feed.Position{})
+	c.cached = feed.Update{Position: full.Position}
+	for _, e := range full.Events {
 		if !strings.HasPrefix(e.Object.Key, instancePrefix) {
-			h.cached.Events = append(h.cached.Events, e)
+			c.cached.Events = append(c.cached.Events, e)
 		}
 	}
-	return h.cached
+	return c.cached
 }
--- a/internal/scheduler/head_test.go
+++ b/internal/scheduler/head_test.go
@@ -40,8 +40,8 @@
 	require.Equal(t, s.view.Load().Instances["ad-1"], plan.Target)
 }
 
-// TestSchedulersThatAreNotReadyArePassedOver covers schedulers that become ready after those of another failure domain.
-func TestSchedulersThatAreNotReadyArePassedOver(t *testing.T) {
+// TestSchedulersThatAreNotReadyAreSkipped covers schedulers that become ready after those of another failure domain.
+func TestSchedulersThatAreNotReadyAreSkipped(t *testing.T) {
 	first, second, other, n := newNode(t, "a-1"), newNode(t, "a-2"), newNode(t, "b-1"), newNode(t, "a-n")
 	all := []*node{first, second, other}
 	setView(append(all, n), all, "ap-1", "ad-1")
@@ -52,9 +52,9 @@
 	starting.Config, starting.Watchers = nil, []members.Member{other.self}
 	placing := n.view.Swap(&starting)
 	begun := time.Now()
-	head, err := n.Follow(context.Background(), feed.Position{})
+	partial, err := n.Follow(context.Background(), feed.Position{})
 	require.NoError(t, err)
-	require.True(t, head.Partial)
+	require.True(t, partial.Partial)
 	require.Less(t, time.Since(begun), n.Client.o.longPollWait(), "schedulers that are not ready are not waited for")
 	n.view.Store(placing)
 	plan, ticket := n.Place(context.Background(), jobFor(n, "x"))
@@ -76,8 +76,8 @@
 	require.Nil(t, plan.PrefillEngine)
 }
 
-// TestTheHeadOfACopyIsOfTheSameSize checks that the size of a partial snapshot does not depend on the number of instances.
-func TestTheHeadOfACopyIsOfTheSameSize(t *testing.T) {
+// TestPartialSnapshotSizeDoesNotDependOnInstances checks that the size of a partial snapshot does not depend on the number of instances.
+func TestPartialSnapshotSizeDoesNotDependOnInstances(t *testing.T) {
 	size := func(instances int) int {
 		s, n := newNode(t, "a-s"), newNode(t, "a-n")
 		s.Server.o.InstancePrefix = "servers/"
@@ -91,26 +91,26 @@
 		first := *n.view.Load()
 		first.Config, first.InstancesKnown = nil, false
 		n.view.Store(&first)
-		head, err := n.Follow(context.Background(), feed.Position{})
+		partial, err := n.Follow(context.Background(), feed.Position{})
 		require.NoError(t, err)
-		require.True(t, head.Partial)
-		require.False(t, head.Full)
-		require.Equal(t, feed.Position{}, head.Position)
-		require.Equal(t, []objstore.Event{{Object: config}}, head.Events)
+		require.True(t, partial.Partial)
+		require.False(t, partial.Full)
+		require.Equal(t, feed.Position{}, partial.Position)
+		require.Equal(t, []objstore.Event{{Object: config}}, partial.Events)
 		resp := s.Server.follow(context.Background(), &peerpb.Follow{Head: true, Unpacks: true})
 		first.Config = &fleet.Config{}
 		n.view.Store(&first)
-		whole, err := n.Follow(context.Background(), head.Position)
+		full, err := n.Follow(context.Background(), partial.Position)
 		require.NoError(t, err)
-		require.True(t, whole.Full)
-		require.Len(t, whole.Events, instances+1)
+		require.True(t, full.Full)
+		require.Len(t, full.Events, instances+1)
 		return proto.Size(resp)
 	}
 	require.InDelta(t, size(100), size(5000), 8, "bytes")
 }
 
-// TestAWholeCopyComesBeforeASchedulerPlaces checks that a scheduler with only a partial snapshot rejects placements.
-func TestAWholeCopyComesBeforeASchedulerPlaces(t *testing.T) {
+// TestSchedulerWithPartialSnapshotRejectsPlacements checks that a scheduler with only a partial snapshot rejects placements.
+func TestSchedulerWithPartialSnapshotRejectsPlacements(t *testing.T) {
 	s := newNode(t, "a-s")
 	setView([]*node{s}, []*node{s}, "ad-1")
 	j := jobFor(s, "x")
--- a/internal/scheduler/heard.go
+++ b/internal/scheduler/heard.go
@@ -8,7 +8,7 @@
 )
 
 // HasContact reports whether this process receives messages from another process: as a scheduler from
-// its clients, which call at least twice a second, or by the other means in Options.
+// its clients, which call at least twice a second, or by the means that Options.HasContact covers.
 func (s *Server) HasContact(name string) bool {
 	if s.o.HasContact(name) {
 		return true
@@ -39,9 +39,9 @@
 	if err != nil {
 		return nil, err
 	}
-	var unheard []string
+	var withoutContact []string
 	for _, p := range resp.GetHeartbeat().GetSilent() {
-		unheard = append(unheard, p.GetName())
+		withoutContact = append(withoutContact, p.GetName())
 	}
-	return unheard, nil
+	return withoutContact, nil
 }
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -42,9 +42,9 @@
 
 // Followers describes how up to date the followers of a scheduler are.
 type Followers struct {
-	// Serving is the number of followers that called recently.
-	Serving int `json:"serving"`
-	// Behind is how many of them have lacked a change for more than a quarter of Options.PropagationLimit,
+	// Active is the number of followers that called recently.
+	Active int `json:"serving"`
+	// Behind is how many of them have lacked a change for more than maxLagShare of Options.PropagationLimit.
 	// MaxLagMs is the maximum lag in ms.
 	Behind   int   `json:"behind"`
 	MaxLagMs int64 `json:"mostMs"`
@@ -68,7 +68,7 @@
 		if !c.follower {
 			continue
 		}
-		out.Serving++
+		out.Active++
 		lag := s.positions.lag(c.position, now)
 		if lag > threshold {
 			out.Behind++
@@ -82,7 +82,7 @@
 func (s *Server) updateFollowerMetrics(now time.Time) {
 	s.positions.record(s.feed.Sequence(), now)
 	f := s.followers(now)
-	metrics.GetOrRegisterGauge("scheduler.followers", s.o.Metrics).Update(int64(f.Serving))
+	metrics.GetOrRegisterGauge("scheduler.followers", s.o.Metrics).Update(int64(f.Active))
 	metrics.GetOrRegisterGauge("scheduler.followers_behind", s.o.Metrics).Update(int64(f.Behind))
 	metrics.GetOrRegisterGauge("scheduler.followers_behind_ms", s.o.Metrics).Update(f.MaxLagMs)
 }
--- a/internal/scheduler/progress_test.go
+++ b/internal/scheduler/progress_test.go
@@ -28,13 +28,13 @@
 	for _, name := range []string{"a", "b", "c"} {
 		ask(name, 1)
 	}
-	require.Equal(t, Followers{Serving: 3}, sweep(0))
+	require.Equal(t, Followers{Active: 3}, sweep(0))
 	s.feed.Put(registration(2))
-	require.Equal(t, Followers{Serving: 3}, sweep(time.Millisecond))
+	require.Equal(t, Followers{Active: 3}, sweep(time.Millisecond))
 	ask("a", 2)
 	ask("b", 2)
 	late := s.o.PropagationLimit / 2
-	require.Equal(t, Followers{Serving: 3, Behind: 1, MaxLagMs: late.Milliseconds()}, sweep(late+time.Millisecond))
+	require.Equal(t, Followers{Active: 3, Behind: 1, MaxLagMs: late.Milliseconds()}, sweep(late+time.Millisecond))
 	s.recordFollower(&peerpb.Identity{Name: "c", Incarnation: "c"}, &peerpb.Follow{Run: "another", Position: 7})
 	require.Equal(t, 1, sweep(late).Behind, "a position in the feed of another run does not count")
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -136,10 +136,10 @@
 	return placement.Plan{}, nil
 }
 
-// TestManyDecideAsOne places prompts with the same prefix from two processes through one scheduler.
+// TestProcessesShareOneScheduler places prompts with the same prefix from two processes through one scheduler.
 // The second prompt must go to the engine that prefilled the first one, the load of both must be
 // counted, and it must be removed at the end.
-func TestManyDecideAsOne(t *testing.T) {
+func TestProcessesShareOneScheduler(t *testing.T) {
 	s, a, b := newNode(t, "a-sched"), newNode(t, "a-1"), newNode(t, "b-1")
 	setView([]*node{s, a, b}, []*node{s}, "ap1", "ap2", "ap3", "bp4", "bp5", "ad1", "bd2")
 	ctx := context.Background()
@@ -174,9 +174,9 @@
 	return sum
 }
 
-// TestASilentSchedulerIsPassedOver covers suspended schedulers: only one request may wait for a
+// TestUnresponsiveSchedulerIsSkipped covers suspended schedulers: only one request may wait for a
 // suspended scheduler. With all of them suspended, the process places requests itself.
-func TestASilentSchedulerIsPassedOver(t *testing.T) {
+func TestUnresponsiveSchedulerIsSkipped(t *testing.T) {
 	near, far, a := newNode(t, "a-near"), newNode(t, "b-far"), newNode(t, "a-1")
 	setView([]*node{near, far, a}, []*node{near, far}, "ap1", "ad1")
 	ctx := context.Background()
@@ -200,9 +200,9 @@
 	require.Equal(t, "a-1", plan.DecidedBy)
 }
 
-// TestPlansAreCheckedByTheOneWhoSends covers a scheduler with a different list of instances. The
+// TestPlansAreCheckedAgainstViewOfSender covers a scheduler with a different list of instances. The
 // instances that it chooses must not be used unless the view of the sender permits them.
-func TestPlansAreCheckedByTheOneWhoSends(t *testing.T) {
+func TestPlansAreCheckedAgainstViewOfSender(t *testing.T) {
 	s, a := newNode(t, "a-sched"), newNode(t, "a-1")
 	setView([]*node{s}, []*node{s}, "ap1", "ad1")
 	setView([]*node{a}, []*node{s}, "ap2", "ad2")
@@ -213,9 +213,9 @@
 	require.Eventually(t, func() bool { return len(s.placer.LocalLoads()) == 0 }, time.Second, time.Millisecond, "the ticket at the scheduler is cancelled")
 }
 
-// TestTicketsOfLostClientsAreGivenUp covers clients that are killed with requests in flight, and a
+// TestTicketsOfLostClientsAreCancelled covers clients that are killed with requests in flight, and a
 // client that restarts.
-func TestTicketsOfLostClientsAreGivenUp(t *testing.T) {
+func TestTicketsOfLostClientsAreCancelled(t *testing.T) {
 	s, a := newNode(t, "a-sched"), newNode(t, "a-1")
 	setView([]*node{s, a}, []*node{s}, "ap1", "ad1")
 	_, _ = placeRemotely(t, a, "x")
@@ -230,9 +230,9 @@
 	require.Nil(t, s.ticket(&peerpb.Identity{Name: "a-1", Incarnation: "2"}, s.lastTicketID))
 }
 
-// TestAStoppedSchedulerLearnsWhatItMissed suspends a scheduler while requests that it placed end
+// TestResumedSchedulerCancelsEndedTickets suspends a scheduler while requests that it placed end
 // and new placement calls time out. After it resumes, it must not count any of these requests.
-func TestAStoppedSchedulerLearnsWhatItMissed(t *testing.T) {
+func TestResumedSchedulerCancelsEndedTickets(t *testing.T) {
 	s, a := newNode(t, "a-sched"), newNode(t, "a-1")
 	setView([]*node{s, a}, []*node{s}, "ap1", "ad1")
 	ctx := context.Background()
@@ -258,7 +258,7 @@
 // The response to the last placement call of a process came too late, and its ticket was younger
 // than unlistedGrace when the scheduler received the list of open tickets without it. No further
 // list was sent, since no call followed, so the ticket counted as load until the next call.
-func TestATicketIsGivenUpThoughNothingIsAskedAgain(t *testing.T) {
+func TestUnlistedTicketIsCancelledWithoutFurtherCalls(t *testing.T) {
 	s, a := newNode(t, "a-sched"), newNode(t, "a-1")
 	setView([]*node{s, a}, []*node{s}, "ap1", "ad1")
 	_, first := placeRemotely(t, a, "x")
@@ -305,9 +305,9 @@
 	require.True(t, f.Events[0].Deleted)
 }
 
-// TestAStaleCopyIsLeftForAFresherOne covers schedulers that are partitioned from the store and still
+// TestFollowerSwitchesToFresherSnapshot covers schedulers that are partitioned from the store and still
 // respond to their followers. The only one that is not must be found in a single round.
-func TestAStaleCopyIsLeftForAFresherOne(t *testing.T) {
+func TestFollowerSwitchesToFresherSnapshot(t *testing.T) {
 	near, near2, far, a := newNode(t, "a-near"), newNode(t, "a-near2"), newNode(t, "b-far"), newNode(t, "a-1")
 	setView([]*node{near, near2, far, a}, []*node{near, near2, far}, "ap1")
 	for _, n := range []*node{near, near2} {
@@ -332,10 +332,10 @@
 	}
 }
 
-// TestASchedulerLeavesAStaleCopyFirst has a scheduler and another process follow a snapshot of the same age. The
+// TestSchedulerSwitchesBeforeItsFollowers has a scheduler and another process follow a snapshot of the same age. The
 // scheduler must switch to a fresher snapshot while the other process does not switch yet: otherwise all followers
 // of the scheduler would download the whole deployment from another scheduler at once.
-func TestASchedulerLeavesAStaleCopyFirst(t *testing.T) {
+func TestSchedulerSwitchesBeforeItsFollowers(t *testing.T) {
 	old, fresh, other, scheduler := newNode(t, "a-old"), newNode(t, "b-fresh"), newNode(t, "a-1"), newNode(t, "a-2")
 	setView([]*node{old, fresh, other, scheduler}, []*node{old, fresh}, "ap1")
 	stale := *old.view.Load()
@@ -352,11 +352,11 @@
 	require.Equal(t, "b-fresh", f.Position.RunID)
 }
 
-// TestASchedulerFindsTheOneFreshCopy covers a scheduler that looks for a fresher snapshot when the
+// TestSchedulerFindsTheOnlyFreshSnapshot covers a scheduler that looks for a fresher snapshot when the
 // store responds to only one of five other schedulers. Asking three at random missed that one in
 // four of ten cases, and the next try was seconds later. Snapshots that are not fresher must be sent
 // without objects.
-func TestASchedulerFindsTheOneFreshCopy(t *testing.T) {
+func TestSchedulerFindsTheOnlyFreshSnapshot(t *testing.T) {
 	var all []*node
 	for n := range 6 {
 		all = append(all, newNode(t, fmt.Sprint("s-", n)))
@@ -384,10 +384,10 @@
 	require.True(t, fault.Is(err, fault.NotFound))
 }
 
-// TestProofIsAsOldAsTheQuestion checks up to when a follower may consider its configuration the
+// TestConfigFreshnessCountsFromTheRequest checks up to when a follower may consider its configuration the
 // newest: not later than was confirmed at the time of its call, however long the call was held or
 // the response took, and never for a configuration that it has not received.
-func TestProofIsAsOldAsTheQuestion(t *testing.T) {
+func TestConfigFreshnessCountsFromTheRequest(t *testing.T) {
 	s, a := newNode(t, "a-sched"), newNode(t, "a-1")
 	setView([]*node{s, a}, []*node{s}, "ap1")
 	const age = 700 * time.Millisecond
--- a/internal/scheduler/server.go
+++ b/internal/scheduler/server.go
@@ -176,15 +176,15 @@
 		return &peerpb.Response{Body: &peerpb.Response_Placed{Placed: encodePlan(&plan, 0, false)}}
 	}
 	plan, t := placeWithWait(ctx, s.o.Placer, job)
-	number := uint64(0)
+	id := uint64(0)
 	if t != nil {
-		number = s.addTicket(from, t)
+		id = s.addTicket(from, t)
 	}
 	metrics.GetOrRegisterTimer("scheduler.place", s.o.Metrics).Update(time.Since(begun))
-	return &peerpb.Response{Body: &peerpb.Response_Placed{Placed: encodePlan(&plan, number, m.GetLacksInstances())}}
+	return &peerpb.Response{Body: &peerpb.Response_Placed{Placed: encodePlan(&plan, id, m.GetLacksInstances())}}
 }
 
-// addTicket stores a ticket and returns its number.
+// addTicket stores a ticket and returns its ID.
 func (s *Server) addTicket(from *peerpb.Identity, t *placement.Ticket) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -195,21 +195,21 @@
 	return s.lastTicketID
 }
 
-// ticket returns a stored ticket, or nil if there is none of that number.
-func (s *Server) ticket(from *peerpb.Identity, number uint64) *placement.Ticket {
+// ticket returns a stored ticket, or nil if there is none with that ID.
+func (s *Server) ticket(from *peerpb.Identity, id uint64) *placement.Ticket {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c := s.clients[from.GetName()]; c != nil {
-		return c.tickets[number].Ticket
+		return c.tickets[id].Ticket
 	}
 	return nil
 }
 
-func (s *Server) removeTicket(from *peerpb.Identity, number uint64) {
+func (s *Server) removeTicket(from *peerpb.Identity, id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c := s.clients[from.GetName()]; c != nil {
-		delete(c.tickets, number)
+		delete(c.tickets, id)
 	}
 }
 
--- a/internal/scheduler/start_test.go
+++ b/internal/scheduler/start_test.go
@@ -76,9 +76,9 @@
 		n%5+1, 64+n/250, n%250, 'a'+n%5, h>>50)}
 }
 
-// TestAllCopyADeploymentAtOnce has many processes download 3,000 registrations from their
+// TestManyFollowersDownloadSnapshotAtOnce has many processes download 3,000 registrations from their
 // scheduler at the same time over one link.
-func TestAllCopyADeploymentAtOnce(t *testing.T) {
+func TestManyFollowersDownloadSnapshotAtOnce(t *testing.T) {
 	const followers, instances = 20, 3000
 	s := newNodeOn(t, "a-sched", func(l net.Listener) net.Listener {
 		return &sharedLink{l, rate.NewLimiter(linkBytesPerSecond, linkChunkBytes)}
@@ -120,29 +120,29 @@
 	}
 }
 
-// TestPackedCopies checks that a snapshot is compressed once for all followers, that a follower of
+// TestPackedSnapshots checks that a snapshot is compressed once for all followers, that a follower of
 // an older version receives uncompressed objects, and that damaged data is rejected.
-func TestPackedCopies(t *testing.T) {
+func TestPackedSnapshots(t *testing.T) {
 	s := newNode(t, "a-sched")
 	for n := range 100 {
 		s.feed.Put(registration(n))
 	}
 	setView([]*node{s}, []*node{s})
-	whole := func(unpacks bool) *peerpb.FollowUpdate {
+	follow := func(unpacks bool) *peerpb.FollowUpdate {
 		return s.follow(context.Background(), &peerpb.Follow{Unpacks: unpacks}).GetUpdate()
 	}
-	packed := whole(true)
+	packed := follow(true)
 	require.Empty(t, packed.GetObjects())
-	require.Same(t, &packed.GetPacked()[0], &whole(true).GetPacked()[0], "compressed once")
+	require.Same(t, &packed.GetPacked()[0], &follow(true).GetPacked()[0], "compressed once")
 	f, err := decodeUpdate(packed)
 	require.NoError(t, err)
-	old, err := decodeUpdate(whole(false))
+	old, err := decodeUpdate(follow(false))
 	require.NoError(t, err)
 	require.Equal(t, old.Events, f.Events)
-	require.Less(t, 4*len(packed.GetPacked()), proto.Size(whole(false)))
+	require.Less(t, 4*len(packed.GetPacked()), proto.Size(follow(false)))
 
 	s.feed.Remove(registration(3).Key)
-	f, err = decodeUpdate(whole(true))
+	f, err = decodeUpdate(follow(true))
 	require.NoError(t, err)
 	require.Len(t, f.Events, 99, "a later snapshot is compressed anew")
 	one := s.follow(context.Background(), &peerpb.Follow{Run: f.Position.RunID, Position: f.Position.Sequence - 1, Unpacks: true}).GetUpdate()
@@ -175,22 +175,22 @@
 	require.Len(t, f.Events, 1)
 }
 
-// TestSchedulersSayWhomTheyDoNotHear checks that a scheduler has contact with the processes that
+// TestSchedulersReportProcessesWithoutContact checks that a scheduler has contact with the processes that
 // follow it and with no others.
-func TestSchedulersSayWhomTheyDoNotHear(t *testing.T) {
+func TestSchedulersReportProcessesWithoutContact(t *testing.T) {
 	s, holder, a := newNode(t, "a-sched"), newNode(t, "b-holder"), newNode(t, "a-1")
 	setView([]*node{s, holder, a}, []*node{s, holder})
 	_, err := a.Follow(context.Background(), feed.Position{})
 	require.NoError(t, err)
 	names := []string{"a-1", "gone", "b-holder"}
-	left, err := holder.WithoutContact(context.Background(), s.self, names)
+	withoutContact, err := holder.WithoutContact(context.Background(), s.self, names)
 	require.NoError(t, err)
-	require.Equal(t, []string{"gone"}, left)
+	require.Equal(t, []string{"gone"}, withoutContact)
 	require.True(t, s.HasContact("a-1"))
 	s.sweep(time.Now().Add(2 * clientTimeout))
-	left, err = holder.WithoutContact(context.Background(), s.self, names)
+	withoutContact, err = holder.WithoutContact(context.Background(), s.self, names)
 	require.NoError(t, err)
-	require.Equal(t, []string{"a-1", "gone"}, left)
+	require.Equal(t, []string{"a-1", "gone"}, withoutContact)
 }
 
 // TestAConfigurationOfManyWorkspaces follows a scheduler whose configuration has two key digests for
