--- a/internal/cachescan/cachescan.go
+++ b/internal/cachescan/cachescan.go
@@ -52,7 +52,7 @@
 	defer cancel()
 	var g errgroup.Group
 	g.SetLimit(maxConcurrent)
-	var asked atomic.Int64
+	var called atomic.Int64
 	all := 0
 	v := o.View()
 	for name, service := range v.Config.Services {
@@ -70,17 +70,18 @@
 				if ctx.Err() != nil { // the scan ended while this call was waiting to start
 					return nil
 				}
-				asked.Add(1)
-				o.ask(ctx, i, service.KVCapacity)
+				called.Add(1)
+				o.scanEngine(ctx, i, service.KVCapacity)
 				return nil
 			})
 		}
 	}
 	_ = g.Wait() // no call returns an error
-	level.Info(o.Logger).Log("msg", "caches listed", "asked", asked.Load(), "engines", all, "took", time.Since(begun).Round(time.Millisecond))
+	level.Info(o.Logger).Log("msg", "caches listed", "asked", called.Load(), "engines", all, "took", time.Since(begun).Round(time.Millisecond))
 }
 
-func (o *Options) ask(ctx context.Context, i *fleet.Instance, capacity int) {
+// scanEngine lists the cache of one engine.
+func (o *Options) scanEngine(ctx context.Context, i *fleet.Instance, capacity int) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	parts, err := o.Lister.CachedParts(ctx, i.Address)
--- a/internal/cachescan/cachescan_test.go
+++ b/internal/cachescan/cachescan_test.go
@@ -71,11 +71,11 @@
 // slowLister is a lister that takes 5 ms for each engine. It counts all calls, and those after the deadline.
 type slowLister struct {
 	deadline    time.Time
-	asked, late atomic.Int64
+	calls, late atomic.Int64
 }
 
 func (l *slowLister) CachedParts(context.Context, string) ([]engine.Part, error) {
-	l.asked.Add(1)
+	l.calls.Add(1)
 	if time.Now().After(l.deadline) {
 		l.late.Add(1)
 	}
@@ -101,7 +101,7 @@
 			require.LessOrEqual(t, time.Since(begun), maxScanTime+listTimeout)
 		})
 		inTime := maxConcurrent * int(maxScanTime/(5*time.Millisecond))
-		require.InDelta(t, min(n, inTime), lister.asked.Load(), maxConcurrent, "%d engines", n)
+		require.InDelta(t, min(n, inTime), lister.calls.Load(), maxConcurrent, "%d engines", n)
 		require.Zero(t, lister.late.Load(), "called after the end of the scan")
 	}
 }
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -61,7 +61,8 @@
 	Placer *placement.Placer
 	// RoleChanges returns the engines whose role this process is changing, and their new roles.
 	RoleChanges func() map[string]engine.Role
-	// Members returns the gateways that exchange digests, or none if this process is not among them.
+	// Members returns the gateways that exchange digests, which are the schedulers, or none if this
+	// process is not among them.
 	Members func() []members.Member
 	// Clock receives the clock readings of the other gateways' hosts.
 	Clock  *truetime.Clock
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -123,8 +123,8 @@
 	nodes[1].stop()
 }
 
-// TestDigestsAreExchangedMoreOftenUnderLoad checks the interval between digests. In the peaks of the
-// standard days, the other schedulers placed more in 50 ms than an engine prefills in that time.
+// TestDigestsAreExchangedMoreOftenUnderLoad checks the interval between digests. In the load peaks of
+// simulated days, the other schedulers placed more in 50 ms than an engine prefills in that time.
 func TestDigestsAreExchangedMoreOftenUnderLoad(t *testing.T) {
 	var all []members.Member
 	p := placement.New("a", nil, nil)
@@ -148,9 +148,9 @@
 	require.Equal(t, idleInterval, s.interval())
 }
 
-// TestPeerThatHasNotAnsweredIsNotCalledAgain checks that calls to a slow peer do not
+// TestPeerWithPendingCallIsNotCalledAgain checks that calls to a slow peer do not
 // accumulate.
-func TestPeerThatHasNotAnsweredIsNotCalledAgain(t *testing.T) {
+func TestPeerWithPendingCallIsNotCalledAgain(t *testing.T) {
 	all := []members.Member{{Name: "b"}, {Name: "c"}}
 	s := New(Options{Self: members.Member{Name: "a"}, Members: func() []members.Member { return all }, Logger: log.NewNopLogger()})
 	require.Len(t, s.peersToCall(), 2)
@@ -159,8 +159,8 @@
 	require.Equal(t, []members.Member{{Name: "b"}}, s.peersToCall())
 }
 
-// BenchmarkHear applies digests of 64 peers, each with work at 60 instances.
-func BenchmarkHear(b *testing.B) {
+// BenchmarkApplyDigest applies digests of 64 peers, each with work at 60 instances.
+func BenchmarkApplyDigest(b *testing.B) {
 	s := New(Options{Placer: placement.New("a", nil, nil), Logger: log.NewNopLogger()})
 	d := &peerpb.LoadDigest{}
 	for n := range 60 {
@@ -177,10 +177,10 @@
 	}
 }
 
-// TestARegistrationThatWentIsRenewed covers a running process whose registration is removed. A report
+// TestMissingRegistrationIsRenewed covers a running process whose registration is removed. A report
 // of a missing registration shortly after registering must be ignored as stale, and a process that
 // stops must not register again.
-func TestARegistrationThatWentIsRenewed(t *testing.T) {
+func TestMissingRegistrationIsRenewed(t *testing.T) {
 	fake := fleetstore.New()
 	server := httptest.NewServer(fake)
 	defer server.Close()
@@ -213,11 +213,11 @@
 	require.False(t, registered())
 }
 
-// TestWhoIsNotToldTakesNobodyForSilent covers a process that stops working for others and later starts again. In a
+// TestProcessWithoutDigestsConsidersNoPeerUnresponsive covers a process that stops working for others and later starts again. In a
 // fleet that had grown past the size at which all processes exchange digests, a process that no longer did so
 // considered all 17 others unresponsive, placed requests in parallel with their schedulers, and sent a quarter more
 // to a rate-limited instance than its limit.
-func TestWhoIsNotToldTakesNobodyForSilent(t *testing.T) {
+func TestProcessWithoutDigestsConsidersNoPeerUnresponsive(t *testing.T) {
 	all := []members.Member{{Name: "a"}, {Name: "b"}}
 	membersNow := all
 	s := New(Options{Self: members.Member{Name: "z"}, Members: func() []members.Member { return membersNow }, Logger: log.NewNopLogger()})
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -61,9 +61,9 @@
 	require.Len(t, client.idle[address], 1, "and one stream carries consecutive calls")
 }
 
-// TestStreamThatRestedIsNotUsed checks that a call is not lost on an idle stream that the
-// other end has closed.
-func TestStreamThatRestedIsNotUsed(t *testing.T) {
+// TestExpiredIdleStreamIsNotUsed checks that a call is not lost on an idle stream that the
+// other end may have closed.
+func TestExpiredIdleStreamIsNotUsed(t *testing.T) {
 	_, address := serve(t, echo)
 	client, _ := serve(t, echo)
 	require.NoError(t, call(t, client, address))
@@ -75,9 +75,9 @@
 	require.NoError(t, call(t, client, address), "a stream whose session has ended is not used either")
 }
 
-// TestCallsAtTheSameTimeGetTheirOwnAnswers checks that concurrent calls do not share a
+// TestConcurrentCallsGetTheirOwnResponses checks that concurrent calls do not share a
 // stream.
-func TestCallsAtTheSameTimeGetTheirOwnAnswers(t *testing.T) {
+func TestConcurrentCallsGetTheirOwnResponses(t *testing.T) {
 	_, address := serve(t, echo)
 	client, _ := serve(t, echo)
 	var wg sync.WaitGroup
@@ -115,7 +115,7 @@
 	require.NoError(t, call(t, client, address))
 }
 
-func TestSilentPeerEndsAtTheDeadline(t *testing.T) {
+func TestCallToUnresponsivePeerEndsAtDeadline(t *testing.T) {
 	release := make(chan struct{})
 	_, address := serve(t, func(r *peerpb.Request) *peerpb.Response { <-release; return echo(r) })
 	client, _ := serve(t, echo)
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -53,7 +53,7 @@
 		}
 		return newStream(session, r.stream), nil
 	case <-ctx.Done():
-		session.Close() // its accept backlog is full, so nothing is served there
+		session.Close() // the peer's accept backlog is full, so it serves no calls of this session
 		return nil, ctx.Err()
 	}
 }
--- a/internal/ratelimit/grants.go
+++ b/internal/ratelimit/grants.go
@@ -109,9 +109,9 @@
 }
 
 // BlocksUngranted reports whether a request that was placed without a grant must not be sent, because its
-// instance limits its rate. The process that placed it does not know the limit, for example because it
-// has just started, or knows that the limit has ended. It is sent the limit known here and responds with
-// what it knows.
+// instance limits its rate. The process that placed the request does not know the limit, for example
+// because it has just started, or knows that the limit has ended. The limit known here is sent to that
+// process, which responds with what it knows.
 func (t *Table) BlocksUngranted(run string) bool {
 	if t.activeLimits.Load() == 0 {
 		return false
@@ -205,8 +205,9 @@
 	return out
 }
 
-// Grant returns how many requests to a run it grants to a process, at most as many as requested. It
-// returns 0 if this process is not the coordinator.
+// Grant grants a process requests to a run, at most as many as requested, and returns how many. expired
+// is the number of earlier grants of that process that expired unsent. Grant returns 0 if this process
+// is not the coordinator.
 func (t *Table) Grant(run, process string, requested, expired int) (granted int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -226,8 +227,8 @@
 	return granted
 }
 
-// AddGrants adds requests granted by the coordinator. The grants were requested at asked and expire
-// counting from then.
+// AddGrants adds requests granted by the coordinator. Their lifetime counts from asked, when they were
+// requested.
 func (t *Table) AddGrants(run string, requests int, asked bootclock.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/ratelimit/history_test.go
+++ b/internal/ratelimit/history_test.go
@@ -299,8 +299,8 @@
 	require.InDelta(t, 3, float64(high)/float64(low), 0.6)
 }
 
-// TestSumHoldsUnderFaults injects random freezes, restarts and partitions, half of the time at the coordinator.
-func TestSumHoldsUnderFaults(t *testing.T) {
+// TestSumStaysWithinTheRateUnderFaults injects random freezes, restarts and partitions, half of the time at the coordinator.
+func TestSumStaysWithinTheRateUnderFaults(t *testing.T) {
 	for seed := range uint64(60) {
 		h := newSimulation(seed, 2+int(seed%15), []float64{3, 6.4, 30}[seed%3], 100)
 		begun := h.clock.at
--- a/internal/ratelimit/sharer.go
+++ b/internal/ratelimit/sharer.go
@@ -261,9 +261,9 @@
 		return
 	}
 	s.synced.Store(true)
-	answer := resp.GetRateLimits()
-	s.learn(answer.GetLimits(), to.Name)
-	for _, r := range answer.GetRequests() {
+	limits := resp.GetRateLimits()
+	s.learn(limits.GetLimits(), to.Name)
+	for _, r := range limits.GetRequests() {
 		s.o.Table.AddGrants(r.GetInstance(), int(r.GetRequests()), begun)
 	}
 }
@@ -272,18 +272,18 @@
 func (s *Syncer) HandlePeer(_ context.Context, req *peerpb.Request) *peerpb.Response {
 	from, message := req.GetFrom().GetName(), req.GetRateLimits()
 	s.learn(message.GetLimits(), from)
-	answer := &peerpb.RateLimits{}
+	out := &peerpb.RateLimits{}
 	if message.GetAll() {
-		answer.Limits = encodeAll(s.o.Table.AllLimits())
+		out.Limits = encodeAll(s.o.Table.AllLimits())
 	} else {
-		answer.Limits = encodeAll(s.o.Table.reportsFor(message.GetLimits()))
+		out.Limits = encodeAll(s.o.Table.reportsFor(message.GetLimits()))
 	}
 	for _, r := range message.GetRequests() {
 		if granted := s.o.Table.Grant(r.GetInstance(), from, int(r.GetRequests()), int(r.GetLapsed())); granted > 0 {
-			answer.Requests = append(answer.Requests, &peerpb.RateRequests{Instance: r.GetInstance(), Requests: uint32(granted)})
+			out.Requests = append(out.Requests, &peerpb.RateRequests{Instance: r.GetInstance(), Requests: uint32(granted)})
 		}
 	}
-	return &peerpb.Response{Body: &peerpb.Response_RateLimits{RateLimits: answer}}
+	return &peerpb.Response{Body: &peerpb.Response_RateLimits{RateLimits: out}}
 }
 
 func (s *Syncer) learn(limits []*peerpb.RateLimit, from string) {
--- a/internal/ratelimit/sharer_test.go
+++ b/internal/ratelimit/sharer_test.go
@@ -72,10 +72,10 @@
 	return all
 }
 
-// TestProcessThatDecidesUnknownToOthersAsksTheirKeeper covers a process that still places requests in place
+// TestUnknownDeciderAsksCoordinatorOfTheOthers covers a process that still places requests in place
 // of another one that has come back. It received no digests and granted requests in addition to the
 // coordinator of the others, so their instance received 27 requests at a rate of 20 in 4 s.
-func TestProcessThatDecidesUnknownToOthersAsksTheirKeeper(t *testing.T) {
+func TestUnknownDeciderAsksCoordinatorOfTheOthers(t *testing.T) {
 	all := startProcesses(t, "a", "b")
 	for _, p := range all {
 		p.table.RecordResponse("i@1", "r", limited(5), bootclock.Now())
@@ -84,9 +84,9 @@
 	require.Equal(t, "a", all[0].Coordinator())
 }
 
-// TestProcessesTellEachOtherOfLimits checks that all processes soon know a limit, including a process
+// TestLimitsAreSentToAllProcesses checks that all processes soon know a limit, including a process
 // that starts later, that only grants of the coordinator are used, and that the end of a limit is sent too.
-func TestProcessesTellEachOtherOfLimits(t *testing.T) {
+func TestLimitsAreSentToAllProcesses(t *testing.T) {
 	all := startProcesses(t, "a", "b", "c")
 	known := func(want bool) func() bool {
 		return func() bool {
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -153,10 +153,10 @@
 type singleProcess struct{ self string }
 
 // Coordinator implements Fleet.
-func (a singleProcess) Coordinator() string { return a.self }
+func (s singleProcess) Coordinator() string { return s.self }
 
 // Share implements Fleet.
-func (a singleProcess) Share() float64 { return 1 }
+func (s singleProcess) Share() float64 { return 1 }
 
 func runAfter(d time.Duration, f func()) { time.AfterFunc(d, f) }
 
--- a/internal/ratelimit/table_test.go
+++ b/internal/ratelimit/table_test.go
@@ -34,14 +34,14 @@
 	return t, c
 }
 
-// TestAnswersThatOvertakeEachOther covers responses with and without a limit that arrive out of order.
-func TestAnswersThatOvertakeEachOther(t *testing.T) {
+// TestResponsesOutOfOrder covers responses with and without a limit that arrive out of order.
+func TestResponsesOutOfOrder(t *testing.T) {
 	b, clock := newTestTable(log.NewNopLogger())
 	early := clock.at
 	clock.advance(time.Second)
 	b.RecordResponse("a@1", "r", limited(10), clock.at)
 	require.Equal(t, limited(10), b.Limit("a@1").RateLimit)
-	require.False(t, b.Limit("a@2").Limited, "a later run has said nothing")
+	require.False(t, b.Limit("a@2").Limited, "the later run has reported no limit")
 	clock.advance(time.Second)
 	b.RecordResponse("a@1", "r", noLimit, early)
 	require.True(t, b.Limit("a@1").Limited, "the request was sent before the limit was reported")
@@ -55,7 +55,7 @@
 	require.Zero(t, b.activeLimits.Load())
 }
 
-// TestLimitIsLogged checks that the begin and end of a limit are logged, and that a limit that changes with
+// TestLimitIsLogged checks that the start and end of a limit are logged, and that a limit that changes with
 // each response does not flood the log.
 func TestLimitIsLogged(t *testing.T) {
 	var out strings.Builder
@@ -75,7 +75,7 @@
 	require.Contains(t, out.String(), `msg="rate limit has ended" instance=a@1 per_second=0 before=99 request=r-2`)
 }
 
-func TestRunsThatLeftAreForgotten(t *testing.T) {
+func TestRemovedRunsAreDropped(t *testing.T) {
 	b, clock := newTestTable(log.NewNopLogger())
 	b.RecordResponse("a@1", "r", limited(10), clock.at)
 	b.Retain(func(string) bool { return false })
@@ -86,9 +86,9 @@
 	require.Zero(t, b.activeLimits.Load())
 }
 
-// TestWhoFollowsKnowsLimits covers a follower of a scheduler. It must receive changed limits and their ends,
+// TestFollowersReceiveLimits covers a follower of a scheduler. It must receive changed limits and their ends,
 // and must not send them on.
-func TestWhoFollowsKnowsLimits(t *testing.T) {
+func TestFollowersReceiveLimits(t *testing.T) {
 	scheduler := NewTable("s", metrics.NewRegistry(), log.NewNopLogger())
 	follower := NewTable("f", metrics.NewRegistry(), log.NewNopLogger())
 	follow := func(position uint64) uint64 {
@@ -120,9 +120,9 @@
 	require.True(t, follower.Limited("b@1"))
 }
 
-// TestNewerWordIsToldAlsoWhileOlderIsCopied covers a process that learns a limit from a response shortly before
+// TestNewerLimitIsSentDespiteOlderUpdate covers a process that learns a limit from a response shortly before
 // its scheduler sends an older one. The newer limit must be kept and sent to the other processes.
-func TestNewerWordIsToldAlsoWhileOlderIsCopied(t *testing.T) {
+func TestNewerLimitIsSentDespiteOlderUpdate(t *testing.T) {
 	scheduler := NewTable("s", metrics.NewRegistry(), log.NewNopLogger())
 	follower := NewTable("f", metrics.NewRegistry(), log.NewNopLogger())
 	scheduler.RecordResponse("a@1", "r", limited(10), bootclock.Now())
@@ -134,23 +134,23 @@
 	require.Contains(t, follower.TakeUpdates(), "a@1")
 }
 
-// TestAPlacerThatKnowsNoLimitIsTold covers a scheduler that has just started and places a request at an
+// TestSchedulerThatLacksALimitIsSentIt covers a scheduler that has just started and places a request at an
 // instance whose limit only the sender knows. The request must not be sent, and the scheduler must be sent the limit.
-func TestAPlacerThatKnowsNoLimitIsTold(t *testing.T) {
+func TestSchedulerThatLacksALimitIsSentIt(t *testing.T) {
 	b, clock := newTestTable(log.NewNopLogger())
 	require.False(t, b.BlocksUngranted("a@1"))
 	b.RecordResponse("a@1", "r", limited(10), clock.at)
 	require.Contains(t, b.TakeUpdates(), "a@1")
 	clock.advance(time.Minute)
 	require.True(t, b.BlocksUngranted("a@1"))
-	require.False(t, b.BlocksUngranted("a@2"), "a later run has said nothing")
+	require.False(t, b.BlocksUngranted("a@2"), "the later run has reported no limit")
 	require.Contains(t, b.TakeUpdates(), "a@1")
 }
 
-// TestAnEndThatOverlapsIsBelievedLater covers the end of a limit, received from another process, whose request
+// TestOverlappingEndOfLimitIsAcceptedLater covers the end of a limit, received from another process, whose request
 // was sent before the limit was last reported here. Which of the two is newer cannot be known, so the end is
 // accepted after overlapWindow: a process that is not allowed to send would not learn of it otherwise.
-func TestAnEndThatOverlapsIsBelievedLater(t *testing.T) {
+func TestOverlappingEndOfLimitIsAcceptedLater(t *testing.T) {
 	b, clock := newTestTable(log.NewNopLogger())
 	sent := clock.at
 	clock.advance(time.Second)
--- a/internal/suspects/suspects_test.go
+++ b/internal/suspects/suspects_test.go
@@ -34,11 +34,11 @@
 
 func (nopLogger) Log(...any) error { return nil }
 
-// TestWhatIsToldComesToRest exchanges more crashes than are stored, and successful runs. Ages do not
+// TestExchangeOfObservationsSettles exchanges more crashes than are stored, and successful runs. Ages do not
 // include the transit time of a message. So each process considered received observations newer than
 // its own, sent them on, and received them again. The processes of a small fleet exchanged them forever,
 // with a sixth of a core each.
-func TestWhatIsToldComesToRest(t *testing.T) {
+func TestExchangeOfObservationsSettles(t *testing.T) {
 	all := newSyncers(3)
 	f := quarantine.FingerprintOf("w", "POST", "h", "/", nil)
 	for n := range 20 {
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestProcessThatStartsAgainIsToldAll covers a peer that lost its observations in a restart.
-func TestProcessThatStartsAgainIsToldAll(t *testing.T) {
+// TestRestartedProcessReceivesAllObservations covers a peer that lost its observations in a restart.
+func TestRestartedProcessReceivesAllObservations(t *testing.T) {
 	all := newSyncers(2)
 	f := quarantine.FingerprintOf("w", "POST", "h", "/", nil)
 	for n := range 3 {
--- a/internal/suspects/watch.go
+++ b/internal/suspects/watch.go
@@ -43,17 +43,17 @@
 // ReportBroken handles a connection that broke while an instance may have been running a request. The instance
 // counts as crashed only if its port refuses connections. A connection may also break by a network failure
 // or a reset, which this process is just as likely to have caused.
-func (w *CrashDetector) ReportBroken(b BrokenConnection) {
+func (d *CrashDetector) ReportBroken(b BrokenConnection) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		ctx, cancel := context.WithTimeout(context.Background(), crashCheckTimeout)
 		defer cancel()
-		if !w.RefusesConnections(ctx, b.Address) {
+		if !d.RefusesConnections(ctx, b.Address) {
 			return
 		}
-		v := w.Table.RecordCrash(b.Fingerprint, b.Instance, b.RunTime)
-		level.Warn(w.Logger).Log("msg", "instance ended under a request", "request", b.Request, "fingerprint", b.Fingerprint, "instance", b.Instance,
+		v := d.Table.RecordCrash(b.Fingerprint, b.Instance, b.RunTime)
+		level.Warn(d.Logger).Log("msg", "instance ended under a request", "request", b.Request, "fingerprint", b.Fingerprint, "instance", b.Instance,
 			"ran", b.RunTime.Round(time.Millisecond), "ended", strings.Join(v.CrashedInstances, ","), "refused", v.Refused, "refused_for", v.RetryAfter.Round(time.Second))
 	}()
 	select {
