--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -25,7 +25,7 @@
 	return out
 }
 
-func TestACopyGetsWhatItLacks(t *testing.T) {
+func TestFollowerReceivesMissingChanges(t *testing.T) {
 	f := New("r1")
 	f.Put(object("a", 1))
 	f.Put(object("b", 2))
@@ -66,9 +66,9 @@
 	require.Len(t, f.changes, maxRemoved+1)
 }
 
-// TestAChangeCostsWhatItIs has followers of feeds with 100 and with 10,000 objects poll after one change. In
+// TestCostOfPollDependsOnChangesOnly has followers of feeds with 100 and with 10,000 objects poll after one change. In
 // both cases only this change may be examined.
-func TestAChangeCostsWhatItIs(t *testing.T) {
+func TestCostOfPollDependsOnChangesOnly(t *testing.T) {
 	for _, objects := range []int{100, 10_000} {
 		f := feedOf(objects)
 		all, _ := f.Since(Position{})
--- a/members/members.go
+++ b/members/members.go
@@ -28,7 +28,8 @@
 	// it. In fleets of up to MaxFullMesh processes every process exchanges heartbeats with all others.
 	GossipPeersPerProcess = 6
 	MaxFullMesh           = 16
-	// WatchersPerDomain is how many processes of a failure domain watch the store.
+	// WatchersPerDomain is how many processes of a failure domain watch the store of the completion
+	// service; see IsWatcher.
 	WatchersPerDomain = 2
 	// SchedulersPerDomain is how many processes of a failure domain schedule for the others in
 	// a fleet of more than MaxFullMesh processes: one and a standby.
@@ -41,7 +42,7 @@
 // Member is the registration of one run of a process.
 type Member struct {
 	Name string `json:"name"`
-	// Incarnation orders the runs of processes of one name; it rises with each start.
+	// Incarnation orders the runs of processes with the same name; it rises with each start.
 	Incarnation string `json:"incarnation"`
 	Host        string `json:"host"`
 	Domain      string `json:"domain"`
@@ -182,8 +183,8 @@
 	return higher
 }
 
-// IsWatcher reports whether self is one of the watchers of its failure domain, given the members
-// that are believed alive.
+// IsWatcher reports whether self is one of the processes of its failure domain that watch the store
+// of the completion service, given the members that are believed alive. Gateways use Watchers.
 func IsWatcher(alive []Member, self Member) bool {
 	var sameDomain []string
 	for _, m := range alive {
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -20,7 +20,7 @@
 	return ms
 }
 
-func TestNeighboursAreBoundedAndConnectTheFleet(t *testing.T) {
+func TestGossipPeersAreBoundedAndConnectTheFleet(t *testing.T) {
 	for _, n := range []int{1, 2, 8, 16, 17, 128, 610} {
 		ms := newFleet(n, 11)
 		edges := map[string][]string{}
@@ -79,7 +79,7 @@
 	require.NoError(t, Register(ctx, s, KeyPrefix, current))
 	require.NoError(t, Register(ctx, s, KeyPrefix, current), "again")
 	require.True(t, fault.Is(Register(ctx, s, KeyPrefix, old), fault.Conflict))
-	require.NoError(t, Unregister(ctx, s, KeyPrefix, old), "no longer its registration")
+	require.NoError(t, Unregister(ctx, s, KeyPrefix, old), "the registration is of a later incarnation")
 	objs, _, _ := s.List(ctx, KeyPrefix)
 	require.Equal(t, []Member{current}, Parse(objs))
 	require.NoError(t, Unregister(ctx, s, KeyPrefix, current))
@@ -121,14 +121,14 @@
 
 		unresponsive := chosen[0].Name
 		next := Schedulers(all, func(name string) bool { return name == unresponsive })
-		require.Len(t, next, len(chosen), "another one replaces an unresponsive one")
+		require.Len(t, next, len(chosen), "another member replaces the unresponsive scheduler")
 		require.Equal(t, chosen[1:2], next[0:1])
 	}
 }
 
-// TestWhoWouldSchedule compares the result from the schedulers alone with the schedulers chosen from the
+// TestIsSchedulerCandidate compares the result from the schedulers alone with the schedulers chosen from the
 // list of all members.
-func TestWhoWouldSchedule(t *testing.T) {
+func TestIsSchedulerCandidate(t *testing.T) {
 	var all []Member
 	for n := range 60 {
 		all = append(all, Member{Name: fmt.Sprint("m-", n), Domain: fmt.Sprint(n % 3), Weight: float64(n % 4)})
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -73,7 +73,7 @@
 	return out
 }
 
-func TestAgeComesOnlyFromProofs(t *testing.T) {
+func TestAgeComesOnlyFromConfirmations(t *testing.T) {
 	m := New("s/")
 	require.Equal(t, NeverConfirmed, m.Age())
 	m.Apply(Delta{Revision: 5, Full: true, Age: NeverConfirmed})
--- a/truetime/truetime_test.go
+++ b/truetime/truetime_test.go
@@ -40,7 +40,7 @@
 	})
 }
 
-func TestTheSourceGoesFirstWhileItIsHeard(t *testing.T) {
+func TestSourceTakesPrecedenceWhileValid(t *testing.T) {
 	wall, boot := time.Unix(1000, 0), bootclock.Instant(time.Hour)
 	c := newTestClock(&wall, &boot)
 	c.ObserveSource(time.Unix(2000, 0))
@@ -48,7 +48,7 @@
 	wall = time.Unix(3000, 0)
 	require.Equal(t, time.Unix(2001, 0), c.Now())
 	boot = boot.Add(sampleLifetime)
-	require.InDelta(t, 1011, float64(c.Now().Unix()), 1, "the host's own clock, which was set meanwhile")
+	require.InDelta(t, 1011, float64(c.Now().Unix()), 1, "the host's own clock, which was set in the meantime")
 }
 
 // TestAClockThatIsSetIsFollowedSlowly has the clock of one of two hosts, which a median alone would follow,
