--- a/duty/former.go
+++ b/duty/former.go
@@ -36,43 +36,43 @@
 
 // acquire acquires the lease under a token of at least minToken, and returns the token. The error
 // is of kind Conflict while a process of a previous version holds the lease.
-func (f *legacyLease) acquire(ctx context.Context, minToken int64) (int64, error) {
-	if err := f.lessee.Acquire(ctx, minToken); err != nil {
+func (l *legacyLease) acquire(ctx context.Context, minToken int64) (int64, error) {
+	if err := l.lessee.Acquire(ctx, minToken); err != nil {
 		return 0, err
 	}
-	g, held := f.lessee.Grant()
+	g, held := l.lessee.Grant()
 	if !held {
-		level.Info(f.logger).Log("msg", "a process of a former version holds the lease", "waiting_for", f.lessee.WaitReason())
+		level.Info(l.logger).Log("msg", "a process of a former version holds the lease", "waiting_for", l.lessee.WaitReason())
 		return 0, fault.New(fault.Conflict, "a process of a former version holds the lease", "wait until the lease is released or expires")
 	}
 	return g.Token, nil
 }
 
 // resumed reports whether no other process has held the lease since this process last held it.
-func (f *legacyLease) resumed() bool {
-	g, held := f.lessee.Grant()
+func (l *legacyLease) resumed() bool {
+	g, held := l.lessee.Grant()
 	return held && g.Resumed
 }
 
 // lostOnRenewal renews the lease if it is due. It is called while this process holds the lease of
 // the duties under the given token. It returns true if a process of a previous version has acquired
 // the legacy lease.
-func (f *legacyLease) lostOnRenewal(ctx context.Context, token int64) bool {
-	if g, _ := f.lessee.Grant(); g.Valid(legacyTTL / 2) {
+func (l *legacyLease) lostOnRenewal(ctx context.Context, token int64) bool {
+	if g, _ := l.lessee.Grant(); g.Valid(legacyTTL / 2) {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
-	_, err := f.acquire(ctx, token)
+	_, err := l.acquire(ctx, token)
 	if err != nil {
-		level.Warn(f.logger).Log("msg", "legacy lease not renewed", "token", token, "err", err)
+		level.Warn(l.logger).Log("msg", "legacy lease not renewed", "token", token, "err", err)
 	}
 	return fault.Is(err, fault.Conflict)
 }
 
 // release releases the lease.
-func (f *legacyLease) release(ctx context.Context) {
-	if err := f.lessee.Release(ctx); err != nil {
-		level.Info(f.logger).Log("msg", "legacy lease not released", "err", err)
+func (l *legacyLease) release(ctx context.Context) {
+	if err := l.lessee.Release(ctx); err != nil {
+		level.Info(l.logger).Log("msg", "legacy lease not released", "err", err)
 	}
 }
--- a/duty/history_test.go
+++ b/duty/history_test.go
@@ -38,7 +38,7 @@
 
 var faultNames = [faultKinds]string{
 	"pause", "kill", "stop", "rolling restart of the holders, starting with", "not a scheduler", "partition from the store", "partition from the platform", "store loses responses", "store delays writes", "store is slow",
-	"platform is down", "platform loses answers",
+	"platform is down", "platform loses responses",
 }
 
 const (
--- a/duty/model_test.go
+++ b/duty/model_test.go
@@ -180,12 +180,12 @@
 func (p *process) waitWhilePaused() (alive bool) {
 	for {
 		p.mu.Lock()
-		left, dead := time.Until(p.pausedUntil), p.dead
+		remaining, dead := time.Until(p.pausedUntil), p.dead
 		p.mu.Unlock()
-		if dead || left <= 0 {
+		if dead || remaining <= 0 {
 			return !dead
 		}
-		time.Sleep(left)
+		time.Sleep(remaining)
 	}
 }
 
@@ -302,7 +302,7 @@
 	c.host = p.host
 	if rec.Holder != p.host || rec.Incarnation != p.run || rec.Token != c.token || rec.Released {
 		p.world.mu.Lock()
-		p.world.unauthorized = append(p.world.unauthorized, fmt.Sprintf("%s calls with token %d while the lease is %s's with %d", p.run, c.token, rec.Incarnation, rec.Token))
+		p.world.unauthorized = append(p.world.unauthorized, fmt.Sprintf("%s calls with token %d while %s holds the lease with token %d", p.run, c.token, rec.Incarnation, rec.Token))
 		p.world.mu.Unlock()
 	}
 	transit := p.world.randomBetween(time.Millisecond, maxTransit)
@@ -331,7 +331,7 @@
 	p.send(shard, c)
 	if p.world.strikes(platformLosesResponses, "") {
 		<-ctx.Done()
-		return fault.New(fault.Unknown, "no answer", "wait")
+		return fault.New(fault.Unknown, "no response", "wait")
 	}
 	time.Sleep(maxTransit + p.world.randomBetween(time.Millisecond, 100*time.Millisecond))
 	p.waitWhilePaused()
@@ -403,12 +403,12 @@
 			time.Sleep(late)
 			_, _ = l.Store.Put(context.Background(), key, value, ifVersion, writeID) // the process does not learn the result
 		}()
-		return objstore.Object{}, fault.New(fault.Unknown, "no answer", "read it back")
+		return objstore.Object{}, fault.New(fault.Unknown, "no response", "read it back")
 	}
 	obj, err := l.Store.Put(ctx, key, value, ifVersion, writeID)
 	l.response()
 	if l.process.world.strikes(storeLosesResponses, "") {
-		return objstore.Object{}, fault.New(fault.Unknown, "no answer", "read it back")
+		return objstore.Object{}, fault.New(fault.Unknown, "no response", "read it back")
 	}
 	return obj, err
 }
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -202,9 +202,9 @@
 		Holder: l.o.Holder, Incarnation: l.o.Incarnation, Address: l.o.Address, Token: token, TTL: jsonc.Duration(l.o.TTL), GoverningLease: l.o.GoverningLease,
 	}
 	l.mu.Lock()
-	same := l.grantEra == era
+	sameEra := l.grantEra == era
 	l.mu.Unlock()
-	return l.write(ctx, obj.Version, next, era, same && rec.Holder == l.o.Holder && rec.Incarnation == l.o.Incarnation)
+	return l.write(ctx, obj.Version, next, era, sameEra && rec.Holder == l.o.Holder && rec.Incarnation == l.o.Incarnation)
 }
 
 // eraSettled reports whether all grants of earlier eras of the store have expired, based on when this
@@ -221,11 +221,11 @@
 		l.seenEra, l.seenEraAt = era, at
 		level.Info(l.logger).Log("msg", "store's era", "era", era)
 	}
-	left := l.o.TTL + Drift(l.o.TTL) - at.Sub(l.seenEraAt)
-	if left <= 0 {
+	remaining := l.o.TTL + Drift(l.o.TTL) - at.Sub(l.seenEraAt)
+	if remaining <= 0 {
 		return true
 	}
-	l.waitReason = "grants of earlier eras of the store, for " + left.Round(time.Millisecond).String()
+	l.waitReason = "grants of earlier eras of the store, for " + remaining.Round(time.Millisecond).String()
 	return false
 }
 
@@ -263,11 +263,11 @@
 	if v != l.seenVersion {
 		l.seenVersion, l.seenAt = v, at
 	}
-	left := rec.TTL.Std() + Drift(rec.TTL.Std()) - at.Sub(l.seenAt)
-	if left <= 0 {
+	remaining := rec.TTL.Std() + Drift(rec.TTL.Std()) - at.Sub(l.seenAt)
+	if remaining <= 0 {
 		return true
 	}
-	l.waitReason = "lease of " + rec.Holder + ", for " + left.Round(time.Millisecond).String() + " unless it is renewed or released"
+	l.waitReason = "lease of " + rec.Holder + ", for " + remaining.Round(time.Millisecond).String() + " unless it is renewed or released"
 	return false
 }
 
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -90,16 +90,16 @@
 	seed := uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
 	s := memstore.New()
-	var fmu sync.Mutex
-	frng := rand.New(rand.NewPCG(seed, 0))
+	var faultMu sync.Mutex
+	faultRand := rand.New(rand.NewPCG(seed, 0))
 	s.FailWith(func(op memstore.Op, _ string) memstore.Failure {
-		fmu.Lock()
-		defer fmu.Unlock()
-		if frng.IntN(4) > 0 {
+		faultMu.Lock()
+		defer faultMu.Unlock()
+		if faultRand.IntN(4) > 0 {
 			return memstore.Works
 		}
 		if op == memstore.OpPut {
-			return memstore.Failure(1 + frng.IntN(3))
+			return memstore.Failure(1 + faultRand.IntN(3))
 		}
 		return memstore.Refuses
 	})
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -216,7 +216,7 @@
 			continue
 		}
 		if r.chart.State() == charts.OrderStuck {
-			return fault.Newf(fault.Unavailable, "look at the engine; it is tried again", "engine %s is stuck after an order", r.target.Name)
+			return fault.Newf(fault.Unavailable, "check the engine; the reset is retried", "engine %s is stuck after an order", r.target.Name)
 		}
 		select {
 		case <-ctx.Done():
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -107,7 +107,7 @@
 	s.FailWith(memstore.Down)
 	err := newExecutor(s, e, 1).ChangeRole(context.Background(), Target{Name: "e"}, engine.RoleDecode, engine.RoleMixed, "test")
 	require.Error(t, err)
-	require.Len(t, e.accepted, 1, "new order without its record in the store")
+	require.Len(t, e.accepted, 1, "an order was sent although its record is not in the store")
 }
 
 func readRecord(t *testing.T, s *memstore.Store) Record {
@@ -126,14 +126,14 @@
 // successor must complete or revert the order, as checked against the engine's own record.
 func TestSuccessorRecoversFromFailureAtAnyStep(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
-		for _, giving := range []memstore.Failure{memstore.Works, memstore.LosesRequest, memstore.LosesAnswer} {
+		for _, orderFailure := range []memstore.Failure{memstore.Works, memstore.LosesRequest, memstore.LosesAnswer} {
 			for _, crash := range []bool{false, true} {
-				for _, how := range []memstore.Failure{memstore.Refuses, memstore.LosesRequest, memstore.LosesAnswer} {
+				for _, storeFailure := range []memstore.Failure{memstore.Refuses, memstore.LosesRequest, memstore.LosesAnswer} {
 					for step := 1; step <= 9; step++ {
-						name := fmt.Sprintf("fencing %t, order %d, crash %t, store %d at call %d", fencing, giving, crash, how, step)
+						name := fmt.Sprintf("fencing %t, order %d, crash %t, store %d at call %d", fencing, orderFailure, crash, storeFailure, step)
 						t.Run(name, func(t *testing.T) {
 							t.Parallel()
-							failStoreAt(t, fencing, giving, crash, how, step)
+							failStoreAt(t, fencing, orderFailure, crash, storeFailure, step)
 						})
 					}
 				}
@@ -146,9 +146,9 @@
 // timeout of one round.
 const recoverWithin = 2 * time.Second
 
-func failStoreAt(t *testing.T, fencing bool, giving memstore.Failure, crash bool, how memstore.Failure, step int) {
+func failStoreAt(t *testing.T, fencing bool, orderFailure memstore.Failure, crash bool, storeFailure memstore.Failure, step int) {
 	s := memstore.New()
-	e := &fakeEngine{role: engine.RoleMixed, fencing: fencing, nextFailure: giving, crashNext: crash}
+	e := &fakeEngine{role: engine.RoleMixed, fencing: fencing, nextFailure: orderFailure, crashNext: crash}
 	calls := 0
 	s.FailWith(func(op memstore.Op, _ string) memstore.Failure {
 		if calls++; calls < step {
@@ -157,7 +157,7 @@
 		if op != memstore.OpPut || calls > step {
 			return memstore.Refuses
 		}
-		return how
+		return storeFailure
 	})
 	target := Target{Name: "e", Fencing: fencing, ChangeTimeout: 5 * time.Millisecond}
 	ctx, cancel := context.WithTimeout(context.Background(), 150*time.Millisecond)
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -146,10 +146,10 @@
 	}
 }
 
-// apply adds an observation unless it is known or redundant. An observation from another process
-// appears later than it was made by the delay of the message. A later time alone must therefore not
-// make it new: processes would send the same observation to each other forever. The caller holds
-// the lock.
+// apply adds an observation unless it is known or redundant. The time of an observation from another
+// process is too late by the transit time of the message. A later time alone must therefore not make
+// an observation new: processes would send the same one to each other forever. The caller holds the
+// lock.
 func (t *Table) apply(o Observation) {
 	s := t.suspects[o.Request]
 	if s == nil && o.Instance == "" {
@@ -173,7 +173,7 @@
 	}
 	select {
 	case t.updates <- struct{}{}:
-	default: // it has an entry already
+	default: // an update is already pending
 	}
 }
 
@@ -205,8 +205,8 @@
 	}
 	var victim Fingerprint
 	for f, s := range t.suspects {
-		l := t.suspects[victim]
-		if l == nil || cmp.Or(cmp.Compare(len(s.crashesSinceSuccess()), len(l.crashesSinceSuccess())), cmp.Compare(s.lastCrash(), l.lastCrash())) < 0 {
+		v := t.suspects[victim]
+		if v == nil || cmp.Or(cmp.Compare(len(s.crashesSinceSuccess()), len(v.crashesSinceSuccess())), cmp.Compare(s.lastCrash(), v.lastCrash())) < 0 {
 			victim = f
 		}
 	}
@@ -265,8 +265,8 @@
 	if s.lastTrial > 0 {
 		until = max(until, s.lastTrial.Add(trialInterval))
 	}
-	if left := until.Sub(t.now()); left > 0 {
-		v.Refused, v.RetryAfter = true, left
+	if remaining := until.Sub(t.now()); remaining > 0 {
+		v.Refused, v.RetryAfter = true, remaining
 	}
 	return v
 }
