--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -291,8 +291,8 @@
 	}
 }
 
-// Any object of the kind counted as the configuration. After a draft with a higher version, the configuration
-// was ignored until its version had passed that of the draft.
+// TestOtherConfigObjectsAreIgnored writes a draft with a higher version beside the configuration. When any object of
+// the kind counted as the configuration, the real one was then ignored until its version had passed that of the draft.
 func TestOtherConfigObjectsAreIgnored(t *testing.T) {
 	fake, view := start(t)
 	setConfig(fake, 5)
@@ -304,8 +304,9 @@
 	require.EqualValues(t, 6, version(view()))
 }
 
-// Each end of an outage restarted the time for which an instance with an expired registration is kept. A
-// process that lost the store again and again kept a removed instance for as long as this went on.
+// TestRepeatedOutagesDoNotExtendUseOfExpiredInstance removes an instance while a process loses the store again and
+// again. When each end of an outage restarted the time for which an instance with an expired registration is kept,
+// the process kept the removed instance for as long as this went on.
 func TestRepeatedOutagesDoNotExtendUseOfExpiredInstance(t *testing.T) {
 	fake, view := start(t)
 	setInstance(fake, "i-1", "ready")
@@ -334,9 +335,9 @@
 	})
 }
 
-// The age of the data counted from the arrival of an answer, so that answers that took 30 ms made the data
-// 30 ms younger than it was. An answer may take 0.75 s where changes must be in force within 3 s, and other
-// processes judge the data by this age.
+// TestAnswerDelayCountsAsAge delays each answer of the store by 30 ms. When the age of the data counted from the
+// arrival of an answer, the data seemed 30 ms younger than it was. An answer may take 0.75 s where changes must be in
+// force within 3 s, and other processes judge the data by this age.
 func TestAnswerDelayCountsAsAge(t *testing.T) {
 	const delay = 30 * time.Millisecond
 	fake := fleetstore.New()
@@ -350,9 +351,9 @@
 	}
 }
 
-// A list consists of pages, and the content of the first page is as old as the whole list took. Where lists
-// took two seconds, all data was too old for the followers, and each listed the objects itself: 1,282 calls of
-// 18 processes where 600 are allowed.
+// TestALongListIsBroughtUpToDate reads a list of many slow pages. The content of the first page is as old as the
+// whole list took. Where lists took two seconds, all data was too old for the followers, and each listed the objects
+// itself: 1,282 calls of 18 processes where 600 are allowed.
 func TestALongListIsBroughtUpToDate(t *testing.T) {
 	const page, pages = 5, 12
 	const delay = 30 * time.Millisecond
--- a/internal/discovery/era_test.go
+++ b/internal/discovery/era_test.go
@@ -47,9 +47,9 @@
 	return fake, view
 }
 
-// A store that is restored from an older snapshot uses revisions again. Its data was taken for older than
-// the known data until its revisions had passed the earlier ones; here a draining instance went on getting
-// requests.
+// TestStoreRestoredFromOlderSnapshot makes changes after a restore, when the store uses revisions again. Without
+// eras, such changes were taken for older than the known data until the revisions had passed the earlier ones: an
+// instance that began to drain went on getting requests.
 func TestStoreRestoredFromOlderSnapshot(t *testing.T) {
 	fake, view := startRestored(t)
 	setInstance(fake, "i-often", "draining")
@@ -58,8 +58,8 @@
 	eventually(t, func() bool { return view().Accepts("s", "i-later") })
 }
 
-// The snapshot has instances as ready that have begun to drain or were removed since, and an older
-// configuration. None of this may come into force again.
+// TestRestoredStoreDoesNotRevertKnownChanges restores a snapshot in which instances are ready that have begun to
+// drain or were removed since, and which has an older configuration. None of this may come into force again.
 func TestRestoredStoreDoesNotRevertKnownChanges(t *testing.T) {
 	_, view := startRestored(t)
 	for start := time.Now(); time.Since(start) < 2*expiredRetention; time.Sleep(tick) {
@@ -71,7 +71,8 @@
 	}
 }
 
-// An instance that is missing from the snapshot is kept for the time that instances have to register again.
+// TestInstanceMissingAfterRestoreMayRegisterAgain checks that an instance that is missing from the restored snapshot
+// is kept for the time that instances have to register again, and removed after it.
 func TestInstanceMissingAfterRestoreMayRegisterAgain(t *testing.T) {
 	fake, view := startRestored(t)
 	require.True(t, view().Accepts("s", "i-new"))
@@ -85,7 +86,8 @@
 	eventually(t, func() bool { return view().Instances["i-new"] == nil })
 }
 
-// What the operator and the instances write after the restore counts, also if its number was used before.
+// TestWritesAfterRestoreAreApplied checks that what the operator and the instances write after the restore is applied,
+// even if its version or revision was used before the restore.
 func TestWritesAfterRestoreAreApplied(t *testing.T) {
 	fake, view := startRestored(t)
 	fake.Set("config", "main", map[string]any{"version": 2, "services": []map[string]any{{"name": "anew"}}})
@@ -96,7 +98,8 @@
 	eventually(t, func() bool { return version(view()) == 3 })
 }
 
-// Rules that an operator was told are in force stay in force until rules are applied again.
+// TestRulesStayInForceAfterRestore checks that rules that an operator was told are in force stay in force after a
+// restore that lost them, until rules are applied again.
 func TestRulesStayInForceAfterRestore(t *testing.T) {
 	fake := fleetstore.New()
 	fake.SetEra(1)
@@ -112,9 +115,9 @@
 	eventually(t, func() bool { return permits(view(), "b") })
 }
 
-// A process that has seen the restore must ignore data from one that has not, such as a process that has
-// lost the store or whose software does not know eras: its data is young, but of the store before the
-// restore. The process must read the store directly.
+// TestUpdatesOfEarlierEraAreIgnored has a process that has seen a restore receive updates from one that has not, such
+// as a process that has lost the store or whose software does not know eras. The age of these updates is low, but they
+// are of the store before the restore. The process must ignore them and read the store directly.
 func TestUpdatesOfEarlierEraAreIgnored(t *testing.T) {
 	fake := fleetstore.New()
 	fake.SetEra(2)
--- a/internal/discovery/relay_test.go
+++ b/internal/discovery/relay_test.go
@@ -137,9 +137,10 @@
 	return discovery.RelayUpdate{}, fault.New(fault.Unavailable, "no scheduler answers", "not in this test")
 }
 
-// Registrations that expire in an outage of the store must stay in use for a while, since the platform
-// then drops those of instances that still run. A process that read the store directly removed them at
-// once: its failed reads were not recorded as an outage.
+// TestRegistrationExpiredBeforeDirectReadIsKept covers a follower that reads the store directly after an outage.
+// Registrations that expire in an outage must stay in use for a while, since the platform then drops those of
+// instances that still run. Such a process once removed them at once, as its failed reads were not recorded as an
+// outage.
 func TestRegistrationExpiredBeforeDirectReadIsKept(t *testing.T) {
 	relay := make(fakeRelay)
 	fake := fleetstore.New()
@@ -173,10 +174,10 @@
 	return updateWith(true, 1, s.instance), nil
 }
 
-// Two watchers lost the store for a moment, in which an instance was removed. One recovered and kept the
-// instance for less than a tick. The other fetched a snapshot from it in this time, and counted the time
-// for which it may keep the instance from the age of the snapshot: 13 of 96 requests reached the instance
-// beyond the propagation limit.
+// TestFetchedSnapshotDoesNotExtendUseOfExpiredInstance covers two watchers that lose the store for a moment, in which
+// an instance is removed. The first one recovers and still keeps the instance for a short time. In this time the second
+// one fetches a snapshot from it. When the second one counted the time for which it may keep the instance from the age
+// of that snapshot, 13 of 96 requests reached the instance beyond the propagation limit.
 func TestFetchedSnapshotDoesNotExtendUseOfExpiredInstance(t *testing.T) {
 	fake := fleetstore.New()
 	setInstance(fake, "i-1", "ready")
@@ -195,9 +196,9 @@
 	require.False(t, view().Accepts("s", "i-1"), "removed %s ago", time.Since(removed))
 }
 
-// A process changed to a scheduler that lagged behind, and received from it the removal of an earlier
-// registration of an instance that had registered again since. The process removed the instance, and then
-// ignored the newer registration as one of a removed version.
+// TestAnOlderRemovalLeavesANewerRegistration has a process change to a scheduler that lags behind, and receive from it
+// the removal of an earlier registration of an instance that has registered again since. The process once removed the
+// instance, and then ignored the newer registration as one of a removed version.
 func TestAnOlderRemovalLeavesANewerRegistration(t *testing.T) {
 	relay := make(fakeRelay)
 	view := startFollowing(t, relay)
--- a/internal/discovery/rules_test.go
+++ b/internal/discovery/rules_test.go
@@ -38,10 +38,10 @@
 	return ok
 }
 
-// A process that changes to another scheduler receives a full snapshot, which may be older than its own
-// data if the watchers lost the store one after the other. Only the configuration was then kept from going
-// back to an older version; older rules were applied, and requests ran where the newest rules forbid it.
-// The log had "rules in force revision=10" and after it "rules in force revision=5" or "rules removed".
+// TestRulesVersionNeverDecreases has a process receive snapshots with older rules or none. A process that changes to
+// another scheduler receives a full snapshot, which may be older than its own data if the watchers lost the store one
+// after the other. The older rules were once applied, and requests ran where the newest rules forbid it: the log had
+// "rules in force revision=10" and after it "rules in force revision=5" or "rules removed".
 func TestRulesVersionNeverDecreases(t *testing.T) {
 	relay := make(fakeRelay)
 	view := startFollowing(t, relay)
@@ -79,9 +79,9 @@
 	require.False(t, permits(view(), "b"))
 }
 
-// All watchers lose the store while the operator changes the rules. Processes that follow them read the
-// configuration and the registrations from the store directly, but not the rules, and kept the old rules
-// until the watchers were back.
+// TestRulesChangeWhileAllWatchersAreCutOff has all watchers lose the store while the operator changes the rules. The
+// processes that follow them once read the configuration and the registrations from the store directly, but not the
+// rules, and kept the old rules until the watchers were back.
 func TestRulesChangeWhileAllWatchersAreCutOff(t *testing.T) {
 	relay := make(fakeRelay)
 	fake := fleetstore.New()
@@ -111,9 +111,9 @@
 	return objstore.Event{Object: objstore.Object{Key: platform.RulesPrefix + "main", Version: objstore.Version(version), Value: []byte(text)}}
 }
 
-// A process started when the newest rules had been written by a newer software version and could not be
-// decoded. It recorded their version as the one in force, and then ignored the last valid rules, which its
-// scheduler has and enforces, as older ones. Without rules it permitted everything; its last log line about
+// TestUndecodableRulesAreIgnored has a process start when the newest rules were written by a newer software version and
+// cannot be decoded. The process once recorded their version as the one in force, and then ignored as older the last
+// valid rules, which its scheduler has and enforces. Without rules it permitted everything; its last log line about
 // rules was the rejection of revision 20.
 func TestUndecodableRulesAreIgnored(t *testing.T) {
 	relay := make(fakeRelay)
@@ -140,8 +140,8 @@
 	s.Server.ServeHTTP(w, r)
 }
 
-// Rules are read with answers that may be seconds old, and such an answer can have a newer revision than
-// its content. After one without rules and with revision 60 a process ignored the rules of revision 31 for
+// TestStaleEmptyListRemovesNoRules covers lists of rules that may be seconds old. The revision of such a list can be
+// newer than its content. After an empty list with revision 60 a process once ignored the rules of revision 31 for
 // good, and permitted everything.
 func TestStaleEmptyListRemovesNoRules(t *testing.T) {
 	fake := &emptyListServer{Server: fleetstore.New()}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -255,9 +255,10 @@
 	require.Eventually(t, func() bool { return totalLoad(s).Requests == 0 }, time.Second, time.Millisecond)
 }
 
-// The response to the last placement call of a process came too late, and its ticket was younger
-// than unlistedGrace when the scheduler received the list of open tickets without it. No further
-// list was sent, since no call followed, so the ticket counted as load until the next call.
+// TestUnlistedTicketIsCancelledWithoutFurtherCalls has the response to the last placement call of a
+// process come too late. Its ticket may be younger than unlistedGrace when the scheduler receives the
+// list of open tickets without it. When no further list was sent, since no call followed, the ticket
+// counted as load until the next call.
 func TestUnlistedTicketIsCancelledWithoutFurtherCalls(t *testing.T) {
 	s, a := newNode(t, "a-sched"), newNode(t, "a-1")
 	setView([]*node{s, a}, []*node{s}, "ap1", "ad1")
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -122,8 +122,9 @@
 	return rec
 }
 
-// The store starts to fail at each of its uses in turn, and the controller is lost there. A
-// successor must complete or revert the order, as checked against the engine's own record.
+// TestSuccessorRecoversFromFailureAtAnyStep lets the store fail from its first, second, ... call on, and
+// ends the controller there. A successor must complete or revert the order, as checked against the
+// engine's own record.
 func TestSuccessorRecoversFromFailureAtAnyStep(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
 		for _, orderFailure := range []memstore.Failure{memstore.Works, memstore.LosesRequest, memstore.LosesAnswer} {
@@ -220,9 +221,10 @@
 
 const changeTimeout = 5 * time.Millisecond
 
-// If an engine responded to a reset only after the timeout of a change, it was considered stuck
-// without polling its status again, although it had reverted to its role. On busy hosts this failed
-// 1 of 324 cases in CI, and 17 of 23,328 with six copies of the test at once.
+// TestEngineIsPolledAfterSlowReset has an engine respond to a reset only after the timeout of a change.
+// Such an engine was once considered stuck without polling its status again, although it had reverted
+// to its role. On busy hosts this failed 1 of 324 cases in CI, and 17 of 23,328 with six copies of the
+// test at once.
 func TestEngineIsPolledAfterSlowReset(t *testing.T) {
 	s, e := memstore.New(), &fakeEngine{role: engine.RoleMixed, crashNext: true}
 	x := newExecutor(s, e, 1)
@@ -233,8 +235,9 @@
 	require.False(t, e.halfChanged)
 }
 
-// A stuck engine is retried a minute after it became stuck. Each round of the holder restarted that
-// minute, so that an engine which had recovered stayed out of service as long as there was a holder.
+// TestStuckEngineIsRetried checks that a stuck engine is retried a minute after it became stuck. When each
+// round of the holder restarted that minute, an engine which had recovered stayed out of service as long
+// as there was a holder.
 func TestStuckEngineIsRetried(t *testing.T) {
 	s, e := memstore.New(), &fakeEngine{role: engine.RoleDecode, halfChanged: true}
 	rec := Record{
