--- a/internal/discovery/relay_test.go
+++ b/internal/discovery/relay_test.go
@@ -60,9 +60,9 @@
 	return objstore.Event{Object: objstore.Object{Key: "config/main", Version: objstore.Version(version), Value: fmt.Appendf(nil, `{"version": %d}`, version)}}
 }
 
-// TestACopyThatIsBehindTakesNothingOut has a process change to a scheduler whose data is older than a
+// TestLaggingSnapshotRemovesNoInstance has a process change to a scheduler whose data is older than a
 // registration that the process knows. The instance must stay; newer data must remove it for good.
-func TestACopyThatIsBehindTakesNothingOut(t *testing.T) {
+func TestLaggingSnapshotRemovesNoInstance(t *testing.T) {
 	relay := make(fakeRelay)
 	view := startFollowing(t, relay)
 	sendUpdate(relay, true, 10, registered("i-1", 5), registered("i-2", 10))
@@ -107,7 +107,7 @@
 func TestAllWatchersAreCutOff(t *testing.T) {
 	relay := make(fakeRelay)
 	fake := fleetstore.New()
-	view := followingOn(t, fake, relay)
+	view := startFollowingOn(t, fake, relay)
 	setConfig(fake, 2)
 	setInstance(fake, "i-1", "draining")
 	cut := time.Now()
@@ -137,13 +137,14 @@
 	return discovery.RelayUpdate{}, fault.New(fault.Unavailable, "no scheduler answers", "not in this test")
 }
 
-// Registrations that expire in an outage of the store must stay in use for a while, since the platform
-// then drops those of instances that still run. A process that read the store directly removed them at
-// once: its failed reads were not recorded as an outage.
-func TestLapsedAsAProcessSeesItThatLooksItself(t *testing.T) {
+// TestRegistrationExpiredBeforeDirectReadIsKept covers a follower that reads the store directly after an outage.
+// Registrations that expire in an outage must stay in use for a while, since the platform then drops those of
+// instances that still run. Such a process once removed them at once, as its failed reads were not recorded as an
+// outage.
+func TestRegistrationExpiredBeforeDirectReadIsKept(t *testing.T) {
 	relay := make(fakeRelay)
 	fake := fleetstore.New()
-	view := followingOn(t, fake, relay)
+	view := startFollowingOn(t, fake, relay)
 	setConfig(fake, 1)
 	setInstance(fake, "i-1", "ready")
 	cut := time.Now()
@@ -173,11 +174,11 @@
 	return updateWith(true, 1, s.instance), nil
 }
 
-// Two watchers lost the store for a moment, in which an instance was removed. One recovered and kept the
-// instance for less than a tick. The other fetched a snapshot from it in this time, and counted the time
-// for which it may keep the instance from the age of the snapshot: 13 of 96 requests reached the instance
-// beyond the propagation limit.
-func TestACopyDoesNotProlongWhatHasLapsed(t *testing.T) {
+// TestFetchedSnapshotDoesNotExtendUseOfExpiredInstance covers two watchers that lose the store for a moment, in which
+// an instance is removed. The first one recovers and still keeps the instance for a short time. In this time the second
+// one fetches a snapshot from it. When the second one counted the time for which it may keep the instance from the age
+// of that snapshot, 13 of 96 requests reached the instance beyond the propagation limit.
+func TestFetchedSnapshotDoesNotExtendUseOfExpiredInstance(t *testing.T) {
 	fake := fleetstore.New()
 	setInstance(fake, "i-1", "ready")
 	view := startOn(t, fake, staleSnapshotRelay{instance: registered("i-1", 1)})
@@ -192,21 +193,21 @@
 	fake.SetFaults(fleetstore.Faults{})
 	eventually(t, func() bool { return view().StoreUp })
 	time.Sleep(max(propagationLimit-time.Since(removed), propagationLimit/10))
-	require.False(t, view().Accepts("s", "i-1"), "it left %s ago", time.Since(removed))
+	require.False(t, view().Accepts("s", "i-1"), "removed %s ago", time.Since(removed))
 }
 
-// A process changed to a scheduler that lagged behind, and received from it the removal of an earlier
-// registration of an instance that had registered again since. The process removed the instance, and then
-// ignored the newer registration as one of a removed version.
+// TestAnOlderRemovalLeavesANewerRegistration has a process change to a scheduler that lags behind, and receive from it
+// the removal of an earlier registration of an instance that has registered again since. The process once removed the
+// instance, and then ignored the newer registration as one of a removed version.
 func TestAnOlderRemovalLeavesANewerRegistration(t *testing.T) {
 	relay := make(fakeRelay)
 	view := startFollowing(t, relay)
 	sendUpdate(relay, true, 12, registered("i-1", 12))
 	eventually(t, func() bool { return view().Accepts("s", "i-1") })
 	sendUpdate(relay, true, 6, registered("i-1", 5))
-	gone := registered("i-1", 5)
-	gone.Deleted, gone.Object.Value = true, nil
-	sendUpdate(relay, false, 8, gone)
+	removal := registered("i-1", 5)
+	removal.Deleted, removal.Object.Value = true, nil
+	sendUpdate(relay, false, 8, removal)
 	sendUpdate(relay, false, 12, registered("i-1", 12), registered("i-2", 12))
 	eventually(t, func() bool { return view().Accepts("s", "i-2") })
 	require.True(t, view().Accepts("s", "i-1"))
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -107,7 +107,7 @@
 	s.FailWith(memstore.Down)
 	err := newExecutor(s, e, 1).ChangeRole(context.Background(), Target{Name: "e"}, engine.RoleDecode, engine.RoleMixed, "test")
 	require.Error(t, err)
-	require.Len(t, e.accepted, 1, "new order without its record in the store")
+	require.Len(t, e.accepted, 1, "an order was sent although its record is not in the store")
 }
 
 func readRecord(t *testing.T, s *memstore.Store) Record {
@@ -122,18 +122,19 @@
 	return rec
 }
 
-// The store starts to fail at each of its uses in turn, and the controller is lost there. A
-// successor must complete or revert the order, as checked against the engine's own record.
+// TestSuccessorRecoversFromFailureAtAnyStep lets the store fail from its first, second, ... call on, and
+// ends the controller there. A successor must complete or revert the order, as checked against the
+// engine's own record.
 func TestSuccessorRecoversFromFailureAtAnyStep(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
-		for _, giving := range []memstore.Failure{memstore.Works, memstore.LosesRequest, memstore.LosesAnswer} {
+		for _, orderFailure := range []memstore.Failure{memstore.Works, memstore.LosesRequest, memstore.LosesAnswer} {
 			for _, crash := range []bool{false, true} {
-				for _, how := range []memstore.Failure{memstore.Refuses, memstore.LosesRequest, memstore.LosesAnswer} {
+				for _, storeFailure := range []memstore.Failure{memstore.Refuses, memstore.LosesRequest, memstore.LosesAnswer} {
 					for step := 1; step <= 9; step++ {
-						name := fmt.Sprintf("fencing %t, order %d, crash %t, store %d at call %d", fencing, giving, crash, how, step)
+						name := fmt.Sprintf("fencing %t, order %d, crash %t, store %d at call %d", fencing, orderFailure, crash, storeFailure, step)
 						t.Run(name, func(t *testing.T) {
 							t.Parallel()
-							failStoreAt(t, fencing, giving, crash, how, step)
+							failStoreAt(t, fencing, orderFailure, crash, storeFailure, step)
 						})
 					}
 				}
@@ -146,9 +147,9 @@
 // timeout of one round.
 const recoverWithin = 2 * time.Second
 
-func failStoreAt(t *testing.T, fencing bool, giving memstore.Failure, crash bool, how memstore.Failure, step int) {
+func failStoreAt(t *testing.T, fencing bool, orderFailure memstore.Failure, crash bool, storeFailure memstore.Failure, step int) {
 	s := memstore.New()
-	e := &fakeEngine{role: engine.RoleMixed, fencing: fencing, nextFailure: giving, crashNext: crash}
+	e := &fakeEngine{role: engine.RoleMixed, fencing: fencing, nextFailure: orderFailure, crashNext: crash}
 	calls := 0
 	s.FailWith(func(op memstore.Op, _ string) memstore.Failure {
 		if calls++; calls < step {
@@ -157,7 +158,7 @@
 		if op != memstore.OpPut || calls > step {
 			return memstore.Refuses
 		}
-		return how
+		return storeFailure
 	})
 	target := Target{Name: "e", Fencing: fencing, ChangeTimeout: 5 * time.Millisecond}
 	ctx, cancel := context.WithTimeout(context.Background(), 150*time.Millisecond)
@@ -220,9 +221,10 @@
 
 const changeTimeout = 5 * time.Millisecond
 
-// If an engine responded to a reset only after the timeout of a change, it was considered stuck
-// without polling its status again, although it had reverted to its role. On busy hosts this failed
-// 1 of 324 cases in CI, and 17 of 23,328 with six copies of the test at once.
+// TestEngineIsPolledAfterSlowReset has an engine respond to a reset only after the timeout of a change.
+// Such an engine was once considered stuck without polling its status again, although it had reverted
+// to its role. On busy hosts this failed 1 of 324 cases in CI, and 17 of 23,328 with six copies of the
+// test at once.
 func TestEngineIsPolledAfterSlowReset(t *testing.T) {
 	s, e := memstore.New(), &fakeEngine{role: engine.RoleMixed, crashNext: true}
 	x := newExecutor(s, e, 1)
@@ -233,8 +235,9 @@
 	require.False(t, e.halfChanged)
 }
 
-// A stuck engine is retried a minute after it became stuck. Each round of the holder restarted that
-// minute, so that an engine which had recovered stayed out of service as long as there was a holder.
+// TestStuckEngineIsRetried checks that a stuck engine is retried a minute after it became stuck. When each
+// round of the holder restarted that minute, an engine which had recovered stayed out of service as long
+// as there was a holder.
 func TestStuckEngineIsRetried(t *testing.T) {
 	s, e := memstore.New(), &fakeEngine{role: engine.RoleDecode, halfChanged: true}
 	rec := Record{
