--- a/internal/e2e/chaos_test.go
+++ b/internal/e2e/chaos_test.go
@@ -73,10 +73,11 @@
 	}},
 }
 
-// Two concurrent faults, chosen by a seed, under a load of requests with idempotency
-// keys, while configurations are applied and a role changes. Afterwards the fleet must
-// have recovered, no request may have run twice, and no order may have been repeated.
-func TestTwoFaultsAtOnce(t *testing.T) {
+// Injects two concurrent faults, chosen by a seed, under a load of requests with
+// idempotency keys, while configurations are applied and a role changes. Afterwards the
+// fleet must have recovered, no request may have run twice, and no order may have taken
+// effect twice.
+func TestTwoConcurrentFaults(t *testing.T) {
 	seeds := []uint64{1, 2, 3, 4}
 	if extra, err := strconv.ParseUint(os.Getenv(seedVariable), 10, 64); err == nil {
 		seeds = append(seeds, extra)
--- a/internal/e2e/control_test.go
+++ b/internal/e2e/control_test.go
@@ -16,7 +16,7 @@
 
 var roleChangeTiming = engined.Timing{RoleChange: 300 * time.Millisecond}
 
-func TestConfigurationReachesEveryProcessAndSurvivesAnOutage(t *testing.T) {
+func TestConfigurationPropagatesAndSurvivesStoreOutage(t *testing.T) {
 	f := startFleet(t, options{entries: 4, engines: 2})
 	rev := f.apply(2, f.config)
 	f.awaitRevision(rev, 0, 1, 2, 3)
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestProcessThatIsCutOffRefusesAndComesBack(t *testing.T) {
+func TestIsolatedProcessRejectsAndRecovers(t *testing.T) {
 	f := startFleet(t, options{entries: 3, engines: 2})
 	// With its peers paused and the store down, process 0 has no contact at all.
 	f.platform.SetFaults(platformd.Faults{Down: true})
@@ -46,7 +46,7 @@
 	f.await("recovery", func() bool { return f.call(0, "GET", "/flags/x", "").status == 200 })
 }
 
-func TestProcessesWithoutThePlatformFollowTheirPeers(t *testing.T) {
+func TestProcessesWithoutPlatformFollowPeers(t *testing.T) {
 	f := startFleet(t, options{entries: 3, engines: 2})
 	f.platformProxies[1].setPartitioned(true)
 	f.platformProxies[2].setPartitioned(true)
@@ -62,7 +62,7 @@
 	require.Equal(t, rev, f.status(0).Revision)
 }
 
-func TestPausedProcessDoesNotActOnAnOldConfiguration(t *testing.T) {
+func TestPausedProcessDoesNotServeUnderOldConfiguration(t *testing.T) {
 	f := startFleet(t, options{entries: 3, engines: 2})
 	f.procs[1].signal(syscall.SIGSTOP)
 	rev := f.apply(0, f.config)
@@ -79,7 +79,7 @@
 	f.awaitRevision(rev, 1)
 }
 
-func TestAllProcessesReplacedWhileConfigurationsAreApplied(t *testing.T) {
+func TestRollingReplacementWithConfigurationChanges(t *testing.T) {
 	f := startFleet(t, options{entries: 4, engines: 2})
 	var last int64
 	for i := range 4 {
@@ -93,7 +93,7 @@
 	f.awaitRevision(last, 0, 1, 2, 3)
 }
 
-func TestRacingOperatorsBothGetATrueAnswer(t *testing.T) {
+func TestConcurrentChangesAreEachAcceptedOrRejected(t *testing.T) {
 	f := startFleet(t, options{entries: 3, engines: 2})
 	var mu sync.Mutex
 	accepted := map[int64]int{}
@@ -121,7 +121,7 @@
 	require.EqualValues(t, len(accepted)+1, f.status(0).Revision)
 }
 
-func TestRoleChangeCutsNoRequest(t *testing.T) {
+func TestRoleChangeInterruptsNoRequest(t *testing.T) {
 	slow := engined.Timing{StepBase: 10 * time.Millisecond, RoleChange: 300 * time.Millisecond}
 	f := startFleet(t, options{entries: 3, engines: 2, timing: slow})
 	f.awaitController(-1)
@@ -151,7 +151,7 @@
 	}
 }
 
-func TestControllerLostInTheMiddleOfAnOrder(t *testing.T) {
+func TestControllerFailureDuringOrder(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
 		for _, fault := range []string{"kill", "pause", "release"} {
 			t.Run(fmt.Sprintf("%s, fencing %t", fault, fencing), func(t *testing.T) {
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -329,7 +329,8 @@
 	}
 }
 
-// controllerOf returns the process that holds the pool's lease, or -1.
+// controllerOf returns the process that holds the pool's lease, or -1 if there is none.
+// It skips the process with index except.
 func (f *fleet) controllerOf(except int) int {
 	for i := range f.procs {
 		if i == except {
@@ -344,6 +345,8 @@
 	return -1
 }
 
+// awaitController waits until a process other than except holds the pool's lease, and
+// returns that process.
 func (f *fleet) awaitController(except int) int {
 	holder := -1
 	f.await("a controller", func() bool { holder = f.controllerOf(except); return holder >= 0 })
--- a/internal/e2e/ratelimit_test.go
+++ b/internal/e2e/ratelimit_test.go
@@ -17,7 +17,7 @@
 // A server announces a rate limit for the sum of the requests of all entry processes. The limit must
 // hold while the process that coordinates the grants is paused and resumed, then killed and restarted.
 // Without coordinated grants, each process would send all requests that it receives.
-func TestRateLimitHoldsForTheSumOfAllEntryProcesses(t *testing.T) {
+func TestRateLimitAppliesToSumOfProcesses(t *testing.T) {
 	const (
 		entries = 4
 		rate    = 5.0
--- a/internal/e2e/requests_test.go
+++ b/internal/e2e/requests_test.go
@@ -123,7 +123,7 @@
 
 var fastTiming = engined.Timing{StepBase: 2 * time.Millisecond, RoleChange: 300 * time.Millisecond}
 
-func TestKeysRunAtMostOnceUnderFaults(t *testing.T) {
+func TestIdempotencyKeysRunAtMostOnceUnderFaults(t *testing.T) {
 	faults := map[string]func(f *fleet){
 		"none": func(*fleet) {},
 		"kill": func(f *fleet) { f.procs[1].kill(); time.Sleep(time.Second); f.start(1) },
@@ -172,7 +172,7 @@
 	}
 }
 
-func TestPlannedStopCutsNoRequest(t *testing.T) {
+func TestGracefulShutdownInterruptsNoRequest(t *testing.T) {
 	f := startFleet(t, options{entries: 3, engines: 2, timing: engined.Timing{StepBase: 10 * time.Millisecond}})
 	results := make(chan callResult, 10)
 	for range 10 {
@@ -240,17 +240,17 @@
 	},
 }
 
-func TestLeavingEngineGetsNoNewWorkAndCutsNothing(t *testing.T) {
-	for name, leave := range shutdownTriggers {
-		t.Run(name, func(t *testing.T) { testLeavingEngine(t, leave) })
+func TestDrainedEngineGetsNoNewRequests(t *testing.T) {
+	for name, trigger := range shutdownTriggers {
+		t.Run(name, func(t *testing.T) { testDrainedEngine(t, trigger) })
 	}
 }
 
-func testLeavingEngine(t *testing.T, leave func(*fleet)) {
+func testDrainedEngine(t *testing.T, trigger func(*fleet)) {
 	f := startFleet(t, options{entries: 3, engines: 2, timing: engined.Timing{StepBase: 5 * time.Millisecond}})
 	finish := f.keepSending(6)
 	time.Sleep(300 * time.Millisecond)
-	leave(f)
+	trigger(f)
 	accepted := time.Now()
 	time.Sleep(4 * time.Second)
 	finish()
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -78,7 +78,7 @@
 		r.replyOutcomeUnknown()
 		return
 	}
-	r.life.Fire(charts.Refused)
+	r.lifecycle.Fire(charts.Refused)
 	level.Info(r.s.o.Logger).Log("msg", "claim not granted", "request", r.c.id, "grants", res.Grants, "holders", res.Holders, "seen", res.Seen)
 	r.finish(errorReply(http.StatusServiceUnavailable, codeClaimMissing,
 		fault.New(fault.Unavailable, "too few claim holders confirmed that the idempotency key is unused", "ask again after the time in Retry-After"), claimRetryAfter+rand.N(claimRetryAfter)))
@@ -121,7 +121,7 @@
 		return false
 	case out.State == OutcomeRunning:
 		r.replyToDuplicate(&reply{status: http.StatusConflict, code: codeKeyInUse, outcome: charts.RequestUnknown, retryAfter: claimRetryAfter,
-			err: fault.New(fault.Conflict, "a request with this idempotency key is running", "ask again after the time in Retry-After for its response")})
+			err: fault.New(fault.Conflict, "a request with this idempotency key is running", "retry after the time in Retry-After to get its response")})
 	case out.State == OutcomeDone && out.Stored:
 		r.replay(out)
 	case out.State == OutcomeDone:
@@ -156,13 +156,13 @@
 }
 
 func (r *run) replyToDuplicate(rep *reply) {
-	r.life.Fire(charts.Duplicate)
+	r.lifecycle.Fire(charts.Duplicate)
 	r.finish(rep)
 }
 
 // replay sends the stored response of the request with the same key.
 func (r *run) replay(out Outcome) {
-	r.life.Fire(charts.Duplicate)
+	r.lifecycle.Fire(charts.Duplicate)
 	h := r.w.Header()
 	r.setResponseHeaders(h)
 	h.Set(HeaderReplayed, "true")
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -27,7 +27,7 @@
 	"github.com/rockdoor/rockdoor/routing"
 )
 
-func TestCompletionsArriveWhole(t *testing.T) {
+func TestResponsesAreForwardedCompletely(t *testing.T) {
 	f := start(t)
 	complete := f.chat("review", false)
 	require.Equal(t, 200, complete.status, complete.body)
@@ -39,12 +39,12 @@
 	require.True(t, done)
 	require.Equal(t, answer.Text("hello", 6), got)
 	require.Equal(t, "complete", stream.trailer.Get(HeaderOutcome))
-	require.Equal(t, 2, f.runs())
+	require.Equal(t, 2, f.engineRuns())
 	plain := f.do(http.MethodPost, "/alerts/x", "farm 7")
 	require.Equal(t, serviced.Answer("POST", "/alerts/x", []byte("farm 7")), plain.body)
 }
 
-func TestEveryRunIsWhereAllSelectorsPermit(t *testing.T) {
+func TestRequestsRunOnlyWhereAllSelectorsPermit(t *testing.T) {
 	f := start(t)
 	for range 10 {
 		require.Equal(t, 200, f.chat("review", false, HeaderSelector, "domain=d1").status)
@@ -60,10 +60,10 @@
 	require.NotEmpty(t, none.header.Get("Retry-After"))
 	wrong := f.chat("review", false, HeaderWorkspace, "elsewhere")
 	require.Equal(t, http.StatusMisdirectedRequest, wrong.status)
-	require.Equal(t, 20, f.runs())
+	require.Equal(t, 20, f.engineRuns())
 }
 
-func TestRetriesStayInPlace(t *testing.T) {
+func TestRetriesRespectSelectors(t *testing.T) {
 	f := start(t)
 	f.engines[0].SetFaults(engined.Faults{CutBeforeHeaders: true})
 	for range 3 {
@@ -74,7 +74,7 @@
 	require.Empty(t, f.engines[1].Runs())
 }
 
-func TestWhatMayHaveRunIsNotRepeatedUnlessIdempotent(t *testing.T) {
+func TestNoRetryAfterPossibleRunUnlessIdempotent(t *testing.T) {
 	for name, faults := range map[string]engined.Faults{
 		"closed before headers":       {CutBeforeHeaders: true},
 		"response to another request": {WrongID: true},
@@ -85,7 +85,7 @@
 			f := start(t)
 			f.engineFaults(faults)
 			g := f.chat("review", faults.CutAfter > 0)
-			require.Equal(t, 1, f.runs())
+			require.Equal(t, 1, f.engineRuns())
 			if faults.CutAfter > 0 {
 				_, done := text(t, strings.Split(g.body, `data: {"error"`)[0])
 				require.False(t, done)
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestIdempotentRequestsGoOnElsewhere(t *testing.T) {
+func TestIdempotentRequestsAreRetriedElsewhere(t *testing.T) {
 	for name, faults := range map[string]engined.Faults{
 		"closed before headers":       {CutBeforeHeaders: true},
 		"response to another request": {WrongID: true},
@@ -130,28 +130,28 @@
 	g := f.chat("review", false)
 	require.Equal(t, 503, g.status)
 	require.Equal(t, "not_run", g.header.Get(HeaderOutcome))
-	require.Equal(t, 6, f.runs())
+	require.Equal(t, 6, f.engineRuns())
 }
 
 // By default net/http resends a GET, or a request with an Idempotency-Key, if the
 // server closes a keep-alive connection after it has read the request.
-func TestTransportNeverRepeatsACall(t *testing.T) {
+func TestTransportNeverResendsRequest(t *testing.T) {
 	f := start(t)
 	for i, s := range f.services {
 		require.Equal(t, 200, f.do(http.MethodGet, "/alerts/warm", "", HeaderSelector, fmt.Sprintf("server=s%d", i)).status)
 		s.SetFaults(serviced.Faults{CutBeforeHeaders: true})
 	}
-	before := f.calls()
+	before := f.serviceRuns()
 	g := f.do(http.MethodGet, "/alerts/x", "", HeaderKey, "k1")
 	require.Equal(t, http.StatusBadGateway, g.status)
 	require.Equal(t, "unknown", g.header.Get(HeaderOutcome))
-	require.Equal(t, before+1, f.calls())
+	require.Equal(t, before+1, f.serviceRuns())
 	g = f.do(http.MethodPost, "/alerts/x", "body", HeaderKey, "k2")
 	require.Equal(t, "unknown", g.header.Get(HeaderOutcome))
-	require.Equal(t, before+2, f.calls())
+	require.Equal(t, before+2, f.serviceRuns())
 }
 
-func TestDeadTargetIsNotARun(t *testing.T) {
+func TestUnreachableTargetIsNotARun(t *testing.T) {
 	f := start(t)
 	dead, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -167,8 +167,8 @@
 	}
 	g := f.chat("local", false)
 	require.Equal(t, "not_run", g.header.Get(HeaderOutcome))
-	require.Equal(t, 6, f.runs())
-	require.Equal(t, 6, f.calls())
+	require.Equal(t, 6, f.engineRuns())
+	require.Equal(t, 6, f.serviceRuns())
 }
 
 func TestBadInput(t *testing.T) {
@@ -199,10 +199,10 @@
 		require.Equal(t, c.code, c.g.code(t), name)
 		require.Equal(t, "not_run", c.g.header.Get(HeaderOutcome), name)
 	}
-	require.Zero(t, f.runs()+f.calls())
+	require.Zero(t, f.engineRuns()+f.serviceRuns())
 }
 
-func TestSlowBodyIsCutOff(t *testing.T) {
+func TestSlowBodyTimesOut(t *testing.T) {
 	f := start(t)
 	conn, err := net.Dial("tcp", strings.TrimPrefix(f.url, "http://"))
 	require.NoError(t, err)
@@ -216,7 +216,7 @@
 	require.Equal(t, "not_run", resp.Header.Get(HeaderOutcome))
 }
 
-func TestStaleProcessRefusesWhatSelectorsGovern(t *testing.T) {
+func TestStaleProcessRejectsRequests(t *testing.T) {
 	f := start(t)
 	stale := *f.snapshot
 	stale.FreshUntil = bootclock.Now() - 1
@@ -226,7 +226,7 @@
 	require.Equal(t, codeStale, g.code(t))
 	require.Equal(t, "not_run", g.header.Get(HeaderOutcome))
 	require.NotEmpty(t, g.header.Get("Retry-After"))
-	require.Zero(t, f.runs())
+	require.Zero(t, f.engineRuns())
 }
 
 func TestOutcomeAfterDeadlineIsUnknown(t *testing.T) {
@@ -246,7 +246,7 @@
 	body := `{"model": "review", "messages": [{"role": "user", "content": "x"}]}`
 	_, err = fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: x\r\n%s: w\r\nContent-Length: %d\r\n\r\n%s", pathChat, HeaderWorkspace, len(body), body)
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return f.runs() == 1 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return f.engineRuns() == 1 }, 5*time.Second, time.Millisecond)
 	conn.Close()
 	require.Eventually(t, func() bool {
 		for _, e := range f.engines {
@@ -260,7 +260,7 @@
 	}, 5*time.Second, time.Millisecond)
 }
 
-func TestFullTargetsRefuseAtOnce(t *testing.T) {
+func TestFullTargetsRejectAtOnce(t *testing.T) {
 	f := start(t)
 	f.engineFaults(engined.Faults{Silent: true})
 	var wg sync.WaitGroup
@@ -272,7 +272,7 @@
 			f.chat("review", false, HeaderDeadline, "1s", HeaderWorkspace, []string{"w", "flood", "third", "fourth"}[i%4])
 		}()
 	}
-	require.Eventually(t, func() bool { return f.runs() == 12 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return f.engineRuns() == 12 }, 5*time.Second, time.Millisecond)
 	g := f.chat("review", false)
 	require.Equal(t, codeOverloaded, g.code(t))
 	require.Equal(t, "not_run", g.header.Get(HeaderOutcome))
@@ -310,20 +310,20 @@
 	require.Contains(t, e.Targets[0].Rule+e.Targets[1].Rule, "role is prefill")
 	_, err = f.entry.Explain(Question{Workspace: "w"})
 	require.ErrorContains(t, err, "remedy")
-	require.Zero(t, f.runs())
+	require.Zero(t, f.engineRuns())
 }
 
 func TestKeyedRequestRunsOnceAndIsReplayed(t *testing.T) {
 	f := start(t)
 	for _, stream := range []bool{false, true} {
 		key := fmt.Sprint("k", stream)
-		before := f.runs()
+		before := f.engineRuns()
 		first := f.chat("review", stream, HeaderKey, key)
 		second := f.chat("review", stream, HeaderKey, key)
 		require.Equal(t, 200, first.status, first.body)
 		require.Equal(t, first.body, second.body)
 		require.Equal(t, "true", second.header.Get(HeaderReplayed))
-		require.Equal(t, before+1, f.runs())
+		require.Equal(t, before+1, f.engineRuns())
 		other := f.chat("review", stream, HeaderKey, key, HeaderWorkspace, "d1only")
 		require.Equal(t, 200, other.status, "idempotency keys are scoped to the workspace")
 		reused := f.do(http.MethodPost, pathChat, `{"model": "review", "messages": [{"role": "user", "content": "else"}]}`, HeaderKey, key)
@@ -338,7 +338,7 @@
 	require.Equal(t, "not_run", g.header.Get(HeaderOutcome))
 	f.engineFaults(engined.Faults{})
 	require.Equal(t, 200, f.chat("review", false, HeaderKey, "k").status)
-	require.Equal(t, 1, f.runs())
+	require.Equal(t, 1, f.engineRuns())
 }
 
 func TestKeyedRequestWithUnknownOutcomeIsNeverNotRun(t *testing.T) {
@@ -350,7 +350,7 @@
 	g := f.do(http.MethodPost, pathChat, body, HeaderKey, "k")
 	require.Equal(t, codeUnknown, g.code(t))
 	require.Equal(t, "unknown", g.header.Get(HeaderOutcome))
-	require.Zero(t, f.runs())
+	require.Zero(t, f.engineRuns())
 }
 
 func TestWithdrawalMissedByHolderFreesKey(t *testing.T) {
@@ -361,10 +361,10 @@
 	require.Equal(t, claims.Granted, f.claims.Claim(stale).Verdict)
 	f.entry.outcomes.withdraw("c")
 	require.Equal(t, 200, f.do(http.MethodPost, pathChat, body, HeaderKey, "k").status)
-	require.Equal(t, 1, f.runs())
+	require.Equal(t, 1, f.engineRuns())
 }
 
-func TestKeyedRequestsAtTheSameMomentRunOnce(t *testing.T) {
+func TestConcurrentKeyedRequestsRunOnce(t *testing.T) {
 	f := start(t)
 	var wg sync.WaitGroup
 	for range 16 {
@@ -377,7 +377,7 @@
 		}()
 	}
 	wg.Wait()
-	require.Equal(t, 1, f.runs())
+	require.Equal(t, 1, f.engineRuns())
 }
 
 func TestLongPromptIsPrefilledByPrefillEngine(t *testing.T) {
@@ -409,7 +409,7 @@
 
 // A stream is interrupted after a new configuration has excluded the only other
 // engine. The stream must not be resumed there.
-func TestRetryIsPlacedByTheNewestConfiguration(t *testing.T) {
+func TestRetryUsesNewestConfiguration(t *testing.T) {
 	f := start(t)
 	f.engines[0].SetFaults(engined.Faults{Silent: true})
 	before := f.current()
--- a/internal/entry/explain.go
+++ b/internal/entry/explain.go
@@ -79,8 +79,8 @@
 	return e, nil
 }
 
-// unavailableReason says why a permitted target accepts no complete requests at
-// present. It is empty if the target accepts them.
+// unavailableReason says why a permitted target accepts no client requests at
+// present. It returns "" if the target accepts them.
 func (s *Server) unavailableReason(snap *control.Snapshot, t *config.Target) string {
 	switch {
 	case !snap.Available(t):
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -176,15 +176,16 @@
 	return f.do(http.MethodPost, pathChat, body, headers...)
 }
 
-// runs returns the total number of runs at the engines.
-func (f *fleet) runs() (n int) {
+// engineRuns returns the total number of runs at the engines.
+func (f *fleet) engineRuns() (n int) {
 	for _, e := range f.engines {
 		n += len(e.Runs())
 	}
 	return n
 }
 
-func (f *fleet) calls() (n int) {
+// serviceRuns returns the total number of runs at the backend servers.
+func (f *fleet) serviceRuns() (n int) {
 	for _, s := range f.services {
 		n += len(s.Runs())
 	}
--- a/internal/entry/lengths.go
+++ b/internal/entry/lengths.go
@@ -27,7 +27,7 @@
 func newLengths() *lengths {
 	mean, err := lru.New[lengthKey, float64](maxLengths)
 	if err != nil {
-		panic(err) // only for a size that is not positive
+		panic(err) // lru.New fails only if the size is not positive
 	}
 	return &lengths{mean: mean}
 }
--- a/internal/entry/notice.go
+++ b/internal/entry/notice.go
@@ -27,18 +27,18 @@
 }
 
 // retryAfter returns the shortest time until a target that is in backoff or limits its rate accepts
-// calls again. It returns otherwise if there is no such target.
-func (r *run) retryAfter(permitted []*config.Target, otherwise time.Duration) time.Duration {
+// calls again. It returns fallback if no target is in backoff or limits its rate.
+func (r *run) retryAfter(permitted []*config.Target, fallback time.Duration) time.Duration {
 	var names []string
-	first := time.Duration(0)
+	shortest := time.Duration(0)
 	for _, t := range permitted {
 		names = append(names, t.Name)
-		if after := r.s.limits.RetryAfter(t.Name); after > 0 && (first == 0 || after < first) {
-			first = after
+		if after := r.s.limits.RetryAfter(t.Name); after > 0 && (shortest == 0 || after < shortest) {
+			shortest = after
 		}
 	}
-	if backoff := r.s.notices.ShortestBackoff(names); backoff > 0 && (first == 0 || backoff < first) {
-		first = backoff
+	if backoff := r.s.notices.ShortestBackoff(names); backoff > 0 && (shortest == 0 || backoff < shortest) {
+		shortest = backoff
 	}
-	return cmp.Or(first, otherwise)
+	return cmp.Or(shortest, fallback)
 }
--- a/internal/entry/notice_test.go
+++ b/internal/entry/notice_test.go
@@ -14,7 +14,7 @@
 // A target rejects calls and asks for a backoff. It must get no further calls until the backoff
 // has elapsed. Least-outstanding routing alone would prefer it until its breaker opens after three
 // failures, since a target that rejects at once has no requests in flight.
-func TestTargetThatAsksForRestGetsIt(t *testing.T) {
+func TestBackoffOfTargetIsRespected(t *testing.T) {
 	f := start(t)
 	overloaded := f.services[0]
 	overloaded.SetFaults(serviced.Faults{RestSeconds: 60})
--- a/internal/entry/outcomes.go
+++ b/internal/entry/outcomes.go
@@ -46,7 +46,7 @@
 // It is safe for concurrent use.
 type outcomes struct {
 	mu          sync.Mutex
-	byClaimant  *simplelru.LRU[string, *Outcome] // by claimant
+	byClaimant  *simplelru.LRU[string, *Outcome]
 	storedBytes int
 }
 
@@ -54,7 +54,7 @@
 	o := &outcomes{}
 	all, err := simplelru.NewLRU(maxOutcomes, func(_ string, v *Outcome) { o.storedBytes -= len(v.Body) })
 	if err != nil {
-		panic(err) // only for a size that is not positive
+		panic(err) // NewLRU fails only if the size is not positive
 	}
 	o.byClaimant = all
 	return o
@@ -72,8 +72,8 @@
 	o.byClaimant.Add(claimant, &Outcome{State: OutcomeWithdrawn})
 }
 
-// finish stores an outcome. It evicts the oldest ones while the stored responses
-// exceed maxStoredBytes.
+// finish stores an outcome. It evicts the oldest outcomes while the stored
+// responses exceed maxStoredBytes.
 func (o *outcomes) finish(claimant string, out Outcome) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/entry/phases.go
+++ b/internal/entry/phases.go
@@ -57,10 +57,10 @@
 // as a run: it may be repeated, and if it fails, the target of the call prefills the
 // prompt itself.
 func (r *run) prefillSeparately() {
-	if r.noSeparatePrefill || r.kv.KV != "" || r.c.completion == nil || r.c.cost.PrefillTokens <= openai.MaxDecodePrompt {
+	if r.separatePrefillTried || r.kv.KV != "" || r.c.completion == nil || r.c.cost.PrefillTokens <= openai.MaxDecodePrompt {
 		return
 	}
-	r.noSeparatePrefill = true
+	r.separatePrefillTried = true
 	work, t, _ := r.chooseAndCount(r.c.permitted(), routing.Cost{PrefillTokens: r.c.cost.PrefillTokens}, r.acceptsPrefill, phasePrefill)
 	if work == nil {
 		return
@@ -104,8 +104,8 @@
 	if !r.isPrefillEngine(t) {
 		return false
 	}
-	ahead := float64(r.s.load(t, r.c).PrefillTokens) / routing.DefaultRates.PrefillPerSecond
-	return ahead < maxPrefillWait.Seconds()
+	queueingDelay := float64(r.s.load(t, r.c).PrefillTokens) / routing.DefaultRates.PrefillPerSecond
+	return queueingDelay < maxPrefillWait.Seconds()
 }
 
 // decodeKVExport decodes the response to a prefill request and stores the exported
--- a/internal/entry/ratelimit_test.go
+++ b/internal/entry/ratelimit_test.go
@@ -17,7 +17,7 @@
 
 // A target announces a rate limit in its responses. Without the limit it would get as many calls as
 // the other target.
-func TestTargetThatLimitsItsRate(t *testing.T) {
+func TestTargetRateLimit(t *testing.T) {
 	const window, maxRuns = 2 * time.Second, 1 + 1.2*5*2
 	limits := map[string]struct {
 		limit func(f *fleet)
@@ -55,21 +55,21 @@
 	for _, s := range f.services {
 		s.SetFaults(serviced.Faults{RateLimit: "0.5"})
 	}
-	refused := 0
+	rejected := 0
 	for n := range 20 {
 		got := f.do(http.MethodPost, "/alerts/x", fmt.Sprint(n))
 		if got.status == http.StatusOK {
 			continue
 		}
-		refused++
+		rejected++
 		require.Equal(t, http.StatusServiceUnavailable, got.status)
 		require.NotEmpty(t, got.header.Get("Retry-After"))
 	}
-	require.Greater(t, refused, 10)
+	require.Greater(t, rejected, 10)
 }
 
 // A rate limit of a prefill engine must hold for separate prefill too.
-func TestReaderThatLimitsItsRate(t *testing.T) {
+func TestPrefillEngineRateLimit(t *testing.T) {
 	f := start(t)
 	f.engines[0].SetRole(engine.RolePrefill)
 	f.engines[0].SetFaults(engined.Faults{RateLimit: "5"})
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -38,13 +38,13 @@
 
 // run executes one call. It is confined to one goroutine.
 type run struct {
-	s      *Server
-	c      *call
-	w      http.ResponseWriter
-	ctx    context.Context
-	cancel context.CancelFunc
-	life   *lifecycle.Request
-	start  time.Time
+	s         *Server
+	c         *call
+	w         http.ResponseWriter
+	ctx       context.Context
+	cancel    context.CancelFunc
+	lifecycle *lifecycle.Request
+	start     time.Time
 
 	attempts int
 	avoid    map[string]bool // targets on which an attempt of this call failed
@@ -54,22 +54,22 @@
 	responseStarted bool
 	// kv is an exported KV cache of the prompt, to be imported by the target.
 	kv openai.KVExport
-	// noSeparatePrefill is true once prefill on a separate engine has been tried,
+	// separatePrefillTried is true once prefill on a separate engine has been tried,
 	// so that it is tried at most once.
-	noSeparatePrefill bool
+	separatePrefillTried bool
 	// claim is the granted claim of a call with an idempotency key, nil without one.
 	claim *claims.Claim
 	// waiting is true while the call waits for a rate limit grant.
 	waiting bool
-	// target is the target of the latest attempt, and work is its entry in the
-	// load tracker.
+	// target is the target of the latest attempt, and work is the attempt's entry in
+	// the load tracker.
 	target *config.Target
 	work   *routing.Work
 }
 
 func newRun(s *Server, c *call, w http.ResponseWriter, r *http.Request) *run {
 	ctx, stop := context.WithDeadline(r.Context(), c.deadline)
-	return &run{s: s, c: c, w: w, ctx: ctx, cancel: stop, life: lifecycle.New(c.id, s.o.Logger), start: time.Now(), avoid: map[string]bool{}}
+	return &run{s: s, c: c, w: w, ctx: ctx, cancel: stop, lifecycle: lifecycle.New(c.id, s.o.Logger), start: time.Now(), avoid: map[string]bool{}}
 }
 
 // do makes attempts until the call has a final state. It returns the error reply
@@ -77,11 +77,11 @@
 func (r *run) do() *reply {
 	r.s.retries.RecordRequest()
 	r.countDemand()
-	rep := lifecycle.Serve(r.life, r)
+	rep := lifecycle.Serve(r.lifecycle, r)
 	if rep == nil {
 		return nil
 	}
-	rep.outcome = r.life.State()
+	rep.outcome = r.lifecycle.State()
 	if rep.outcome == charts.RequestUnknown {
 		rep.code = codeUnknown
 	}
@@ -152,12 +152,12 @@
 	if r.attempts > 0 {
 		return nil
 	}
-	used, room := 0, 0
+	inFlight, capacity := 0, 0
 	for _, t := range routing.Sample(permitted) {
-		used += r.s.load(t, r.c).Requests
-		room += r.maxInFlight(t)
+		inFlight += r.s.load(t, r.c).Requests
+		capacity += r.maxInFlight(t)
 	}
-	if float64(used) < shareThreshold*float64(room) {
+	if float64(inFlight) < shareThreshold*float64(capacity) {
 		return nil
 	}
 	if err := r.s.admission.OverShare(&r.c.workspace.Workspace); err != nil {
@@ -166,9 +166,9 @@
 	return nil
 }
 
-// chooseAndCount chooses among the permitted targets that fits accepts and adds the
-// cost to the load of the chosen one. The work is nil if no target is available. The
-// last result is the number of full targets.
+// chooseAndCount chooses among the permitted targets for which fits returns true, and
+// adds the cost to the load of the chosen target. The returned work is nil if no target
+// is available. The last result is the number of full targets.
 func (r *run) chooseAndCount(permitted []*config.Target, cost routing.Cost, fits func(*config.Target) bool, phase string) (*routing.Work, *config.Target, int) {
 	for {
 		cands, full := r.candidates(routing.Sample(permitted), fits)
@@ -328,7 +328,7 @@
 func (r *run) PrepareRetry(err error) *reply {
 	r.avoid[r.target.Name] = true
 	r.kv = openai.KVExport{} // the import of the KV cache may have caused the failure
-	level.Info(r.s.o.Logger).Log("msg", "attempt failed", "request", r.c.id, "attempt", r.attempts, "target", r.target.Name, "state", r.life.State(), "err", err)
+	level.Info(r.s.o.Logger).Log("msg", "attempt failed", "request", r.c.id, "attempt", r.attempts, "target", r.target.Name, "state", r.lifecycle.State(), "err", err)
 	if r.attempts >= maxAttempts || !r.s.retries.TakeRetry() {
 		return errorReply(http.StatusServiceUnavailable, codeOverloaded,
 			fault.Wrap(err, fault.Unavailable, "attempts failed and no further retry is allowed", "ask again after the time in Retry-After"), noTargetRetryAfter)
@@ -339,7 +339,7 @@
 // finish sends the reply, if there is one, and records the outcome.
 func (r *run) finish(rep *reply) {
 	defer r.cancel()
-	outcome := r.life.State()
+	outcome := r.lifecycle.State()
 	code := "ok"
 	if rep != nil {
 		code = rep.code
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -70,7 +70,7 @@
 	outcomes  *outcomes
 	lengths   *lengths
 
-	// placementMu makes the check of a workspace's share and the counting of its call one step.
+	// placementMu makes the check of a workspace's share and the counting of the admitted call atomic.
 	placementMu sync.Mutex
 
 	policyMu sync.Mutex
@@ -155,7 +155,7 @@
 func (s *Server) openCall(r *http.Request) (*call, *reply) {
 	snap := s.o.Snapshot()
 	if snap.Config == nil {
-		err := fault.New(fault.Unavailable, "no configuration yet", "ask again, or accept one with: rockdoor config apply")
+		err := fault.New(fault.Unavailable, "no configuration yet", "retry, or accept one with: rockdoor config apply")
 		return nil, errorReply(http.StatusServiceUnavailable, codeNotReady, err, notReadyRetryAfter)
 	}
 	c := newCall(r, snap)
@@ -174,7 +174,7 @@
 // before, the caller of checkEntryHost must set the outcome of the reply.
 func (s *Server) checkEntryHost(c *call) *reply {
 	if !c.snapshot.Fresh() {
-		err := fault.New(fault.Unavailable, "this entry host has a stale configuration and cannot decide where requests may run", "ask again; the balancer routes to another entry host")
+		err := fault.New(fault.Unavailable, "this entry host has a stale configuration and cannot decide where requests may run", "retry; the load balancer routes to another entry host")
 		return errorReply(http.StatusServiceUnavailable, codeStale, err, notReadyRetryAfter)
 	}
 	if !c.workspace.Entry.Matches(s.hostLabels(c.snapshot)) {
@@ -276,12 +276,12 @@
 	run := newRun(s, c, w, r)
 	release, err := s.admission.Admit(&c.workspace.Workspace, c.priority, c.snapshot.Serving)
 	if err != nil {
-		run.life.Fire(charts.Refused)
+		run.lifecycle.Fire(charts.Refused)
 		run.finish(errorReplyFor(err))
 		return
 	}
 	defer release()
-	run.life.Fire(charts.Admitted)
+	run.lifecycle.Fire(charts.Admitted)
 	if c.claimed() {
 		run.serveClaimed()
 		return
--- a/internal/entry/share_test.go
+++ b/internal/entry/share_test.go
@@ -15,46 +15,46 @@
 	"github.com/rockdoor/rockdoor/internal/standin/engined"
 )
 
-func TestFloodingWorkspaceCannotStarveAnother(t *testing.T) {
+func TestFloodDoesNotStarveOtherWorkspace(t *testing.T) {
 	f := start(t)
 	f.engineFaults(engined.Faults{Silent: true})
 	responses := make(chan got, 40)
 	for range 40 {
 		go func() { responses <- f.chat("review", false, HeaderWorkspace, "flood", HeaderDeadline, "1s") }()
 	}
-	require.Eventually(t, func() bool { return f.runs() >= 8 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return f.engineRuns() >= 8 }, 5*time.Second, time.Millisecond)
 	g := f.chat("review", false, HeaderDeadline, "300ms")
 	require.Equal(t, codeUnknown, g.code(t), "the request was sent although another workspace floods the engines")
-	refused := 0
+	rejected := 0
 	for range 40 {
 		if g := <-responses; g.header.Get(HeaderOutcome) == "not_run" {
-			refused++
+			rejected++
 			require.NotEmpty(t, g.header.Get("Retry-After"))
 		}
 	}
-	require.GreaterOrEqual(t, refused, 28, "the engines accept 12 requests")
+	require.GreaterOrEqual(t, rejected, 28, "the engines accept 12 requests")
 }
 
 // Concurrent calls of one workspace must not exceed its share together. Without placementMu each of
 // them would see the same free capacity.
 func TestConcurrentCallsStayWithinShare(t *testing.T) {
-	const calls, room = 40, 12
+	const calls, capacity = 40, 12
 	f := start(t)
 	for range 50 {
-		var together, found sync.WaitGroup
-		together.Add(1)
+		var startAll, returned sync.WaitGroup
+		startAll.Add(1)
 		runs := make([]*run, calls)
 		for n := range runs {
 			runs[n] = f.admitted(t, "flood")
-			found.Add(1)
+			returned.Add(1)
 			go func() {
-				defer found.Done()
-				together.Wait()
+				defer returned.Done()
+				startAll.Wait()
 				runs[n].ChooseTarget()
 			}()
 		}
-		together.Done()
-		found.Wait()
+		startAll.Done()
+		returned.Wait()
 		placed := 0
 		for _, r := range runs {
 			if r.work != nil {
@@ -63,7 +63,7 @@
 			}
 			r.cancel()
 		}
-		require.LessOrEqual(t, float64(placed), math.Ceil(shareThreshold*room))
+		require.LessOrEqual(t, float64(placed), math.Ceil(shareThreshold*capacity))
 		f.entry.admission = limits.NewAdmissionController(f.entry.o.Settings.Limits.Requests, f.entry.o.Settings.Limits.UrgentReserve)
 	}
 }
