--- a/claims/claimant.go
+++ b/claims/claimant.go
@@ -63,7 +63,7 @@
 	}
 	r := Result{Holders: len(shard.Holders)}
 	quorum := Quorum(len(shard.Holders))
-	for left := len(shard.Holders); left > 0 && !r.Granted && r.Grants+left >= quorum; left-- {
+	for remaining := len(shard.Holders); remaining > 0 && !r.Granted && r.Grants+remaining >= quorum; remaining-- {
 		r.add(<-replies)
 		r.Granted = r.Grants >= quorum
 	}
@@ -74,8 +74,8 @@
 	return r
 }
 
-// drainReplies adds the replies that have already arrived, since one of them
-// may name the claimant that holds the key.
+// drainReplies adds the replies that have already arrived, since one of these
+// replies may name the claimant that holds the key.
 func (c *Claimant) drainReplies(r *Result, replies chan Reply) {
 	for {
 		select {
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -33,13 +33,13 @@
 }
 
 type process struct {
-	cluster  *cluster
-	m        Member
-	store    *Store
-	keeper   *Keeper
-	claim    *Claimant
-	mirrored objstore.Object // the mirror
-	down     bool
+	cluster    *cluster
+	m          Member
+	store      *Store
+	reconciler *Keeper
+	claim      *Claimant
+	mirrored   objstore.Object // the mirror
+	down       bool
 }
 
 const testWindow = time.Hour
@@ -50,7 +50,7 @@
 	p := &process{cluster: w, m: Member{name, fmt.Sprintf("%04d", w.started), fmt.Sprintf("d%d", i%3)}}
 	p.store = NewStore(p.m, testWindow)
 	p.claim = NewClaimant(p.store, p)
-	p.keeper = NewKeeper(KeeperOptions{
+	p.reconciler = NewKeeper(KeeperOptions{
 		Store: p.store, Peers: p, Objects: p, Logger: log.NewNopLogger(), Live: w.live,
 		Mirrored: func() (objstore.Object, bool) { return p.mirrored, p.mirrored.Version > 0 },
 		// Every process may change the table, which tests more races than a single registrar.
@@ -86,7 +86,7 @@
 func (p *process) peer(to Member) (*process, error) {
 	other := p.cluster.procs[to.Name]
 	if other == nil || other.down || other.m != to || !p.cluster.connected(p.m.Name, to.Name) {
-		return nil, fault.New(fault.Unavailable, "not reached", "")
+		return nil, fault.New(fault.Unavailable, "member is unreachable", "")
 	}
 	return other, nil
 }
@@ -158,7 +158,7 @@
 		for range 6 { // enough rounds for all processes to hold their shards
 			for i := range 3 {
 				w.procs[fmt.Sprint("p", i)].refresh()
-				w.procs[fmt.Sprint("p", i)].keeper.Step(context.Background())
+				w.procs[fmt.Sprint("p", i)].reconciler.Step(context.Background())
 			}
 		}
 		var open []*acquisition
@@ -169,7 +169,7 @@
 			switch rapid.SampledFrom([]string{"keep", "keep", "keep", "refresh", "refresh", "claim", "claim", "ask", "ask", "ask", "ask", "ask", "ask", "ask", "ask", "crash", "restart", "give up", "suspect", "cut", "heal"}).Draw(t, "step") {
 			case "keep":
 				if p := w.procs[name("p")]; p != nil && !p.down {
-					p.keeper.Step(context.Background())
+					p.reconciler.Step(context.Background())
 				}
 			case "refresh":
 				if p := w.procs[name("p")]; p != nil && !p.down {
@@ -200,7 +200,7 @@
 			case "give up":
 				if p := w.procs[name("p")]; p != nil && !p.down && p.store.Table() != nil {
 					if next, changed := Next(p.store.Table(), w.live(), true); changed {
-						_ = p.keeper.writeTable(context.Background(), next)
+						_ = p.reconciler.writeTable(context.Background(), next)
 					}
 				}
 			case "suspect":
@@ -273,7 +273,7 @@
 	require.False(t, changed, "all holders are live")
 }
 
-func TestShardWithTwoLostHoldersIsResetOnlyWithGiveUp(t *testing.T) {
+func TestShardWithTwoLostHoldersIsResetOnlyIfAllowed(t *testing.T) {
 	table, _ := Next(nil, members(3), false)
 	live := append(members(3)[:1], Member{"x", "1", "d1"}, Member{"y", "1", "d2"})
 	_, changed := Next(table, live, false)
@@ -342,7 +342,7 @@
 	require.Zero(t, s.Held())
 }
 
-func TestKeyWithRivalsIsFreeOnlyWhenAllHaveWithdrawn(t *testing.T) {
+func TestKeyIsFreeOnlyWhenAllClaimsAreWithdrawn(t *testing.T) {
 	m := members(1)
 	table, _ := Next(nil, m, false)
 	s := NewStore(m[0], time.Hour)
--- a/claims/keeper.go
+++ b/claims/keeper.go
@@ -194,8 +194,8 @@
 	} else if k.shortSince.IsZero() {
 		k.shortSince = time.Now()
 	}
-	giveUp := !k.shortSince.IsZero() && time.Since(k.shortSince) > resetAfter
-	next, changed := Next(t, live, giveUp)
+	allowReset := !k.shortSince.IsZero() && time.Since(k.shortSince) > resetAfter
+	next, changed := Next(t, live, allowReset)
 	if !changed {
 		next, changed = k.clearResetMarks(t)
 	}
@@ -209,7 +209,7 @@
 		level.Debug(k.logger).Log("msg", "claim table could not be written", "err", err)
 		return
 	}
-	level.Info(k.logger).Log("msg", "claim holders changed", "members", len(live), "afresh", giveUp)
+	level.Info(k.logger).Log("msg", "claim holders changed", "members", len(live), "afresh", allowReset)
 }
 
 // clearResetMarks returns the table without reset marks once a window has passed
--- a/claims/table.go
+++ b/claims/table.go
@@ -110,9 +110,9 @@
 
 // Next returns the table that follows t for the given live members, and whether
 // it differs from t. A nil t makes a new table. At most one holder of each shard
-// changes. A shard that has lost too many holders is reset if giveUp is set;
+// changes. A shard that has lost too many holders is reset if allowReset is set;
 // otherwise it stays as it is, since the holders may return.
-func Next(t *Table, live []Member, giveUp bool) (*Table, bool) {
+func Next(t *Table, live []Member, allowReset bool) (*Table, bool) {
 	if t == nil {
 		if len(live) == 0 {
 			return nil, false
@@ -123,13 +123,13 @@
 	changed := false
 	for i := range t.Shards {
 		var c bool
-		next.Shards[i], c = nextShard(i, t.Shards[i], live, giveUp)
+		next.Shards[i], c = nextShard(i, t.Shards[i], live, allowReset)
 		changed = changed || c
 	}
 	return next, changed
 }
 
-func nextShard(i int, s Shard, live []Member, giveUp bool) (Shard, bool) {
+func nextShard(i int, s Shard, live []Member, allowReset bool) (Shard, bool) {
 	if s.Epoch == 0 {
 		return newShard(i, 0, live), len(live) > 0
 	}
@@ -143,7 +143,7 @@
 		}
 	}
 	if synced < s.requiredSynced() {
-		if !giveUp || len(live) == 0 {
+		if !allowReset || len(live) == 0 {
 			return s, false
 		}
 		return newShard(i, s.Epoch, live), true
--- a/internal/control/fresh_test.go
+++ b/internal/control/fresh_test.go
@@ -19,19 +19,20 @@
 
 // A process is paused beyond its staleness limit, then receives the head of a newer configuration
 // that it has not loaded yet. It must not become fresh: its mirror is current, but it still serves
-// under the old configuration. In one of four runs of all tests a real process did so ("1" is not
-// greater than or equal to "2").
-func TestProcessThatIsBehindIsNotFresh(t *testing.T) {
+// under the old configuration. In one of four runs of all tests, a real process served under
+// revision 1 although revision 2 was required.
+func TestProcessWithPendingConfigIsNotFresh(t *testing.T) {
 	const staleAfter = 150 * time.Millisecond
 	for name, c := range map[string]struct {
-		// next is the newer configuration, err the error of its load.
+		// next is the newer configuration, err is the error of its load, and fresh tells whether
+		// the process must become fresh.
 		next  string
 		err   error
 		fresh bool
 	}{
-		"while the load is in progress": {`{"hosts": [ ]}`, nil, false},
-		"while no source has it":        {`{"hosts": [ ]}`, fault.New(fault.Unavailable, "no peer has it", "wait"), false},
-		"an invalid one is skipped":     {`{"hosts": [{"name": ""}]}`, nil, true},
+		"while the load is in progress":         {`{"hosts": [ ]}`, nil, false},
+		"while no source has the configuration": {`{"hosts": [ ]}`, fault.New(fault.Unavailable, "no peer has it", "wait"), false},
+		"an invalid configuration is skipped":   {`{"hosts": [{"name": ""}]}`, nil, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			release := make(chan struct{})
--- a/internal/control/heartbeat.go
+++ b/internal/control/heartbeat.go
@@ -112,6 +112,8 @@
 	return b
 }
 
+// ageMillis returns the age of a mirror in milliseconds, rounded up, as heartbeats carry
+// it: -1 stands for mirror.NeverConfirmed.
 func ageMillis(age time.Duration) int64 {
 	if age == mirror.NeverConfirmed {
 		return -1
@@ -119,6 +121,7 @@
 	return (age + time.Millisecond - 1).Milliseconds()
 }
 
+// ageOf is the inverse of ageMillis.
 func ageOf(millis int64) time.Duration {
 	if millis < 0 {
 		return mirror.NeverConfirmed
@@ -165,8 +168,8 @@
 }
 
 // sendAll sends a heartbeat to every recipient. If update is true, a recipient whose
-// previous heartbeat is still in flight gets another one afterwards, since that one
-// does not carry the update.
+// previous heartbeat is still in flight gets another heartbeat afterwards, since the
+// one in flight does not carry the update.
 func (h *Heartbeater) sendAll(ctx context.Context, update bool) {
 	for _, m := range h.recipients() {
 		if h.beginSend(m.Peer, update) {
--- a/internal/control/leaving_test.go
+++ b/internal/control/leaving_test.go
@@ -12,7 +12,7 @@
 
 // A list of leaving hosts that cannot be decoded must not count as empty, since requests would then
 // be sent to leaving hosts again.
-func TestAListOfLeavingHostsThatCannotBeReadChangesNothing(t *testing.T) {
+func TestInvalidLeavingHostListIsIgnored(t *testing.T) {
 	m := mirror.New("state/")
 	l := &Loop{o: Options{Mirror: m}, logger: log.NewNopLogger()}
 	for n, value := range []string{`["10.0.0.1"]`, `{"odd": 1}`, `7`, `"10.0.0.1"`, `[1]`, ``} {
--- a/internal/control/loads.go
+++ b/internal/control/loads.go
@@ -44,5 +44,6 @@
 	return out
 }
 
-// loadFields is how many numbers a heartbeat carries for each target.
+// loadFields is the number of values that a heartbeat carries for each target: its index,
+// requests, prefill tokens and decode tokens.
 const loadFields = 4
--- a/internal/control/reporter.go
+++ b/internal/control/reporter.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// maxPolledEngines is about the max number of engines that one process polls.
+	// maxPolledEngines is the approximate max number of engines that one process polls.
 	maxPolledEngines = 16
 	maxParallelPolls = 16
 	pollTimeout      = time.Second
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -130,7 +130,7 @@
 	at          bootclock.Instant
 }
 
-// unresponsiveReportTTL is how long such a report counts unless it is repeated.
+// unresponsiveReportTTL is how long an unresponsiveReport counts unless it is repeated.
 const unresponsiveReportTTL = 5 * time.Second
 
 // memberStates returns the state of each registered member and of this process.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -33,8 +33,8 @@
 	// stepTimeout limits one lease operation at the store.
 	stepTimeout   = 2 * time.Second
 	statusTimeout = time.Second
-	// retryAfter is the delay before a new order to an engine whose last order failed.
-	retryAfter = 3 * time.Second
+	// orderRetryDelay is the delay before a new order to an engine whose last order failed.
+	orderRetryDelay = 3 * time.Second
 )
 
 // Options configures a Manager.
@@ -295,7 +295,7 @@
 		if e.Role == "" || e.State == config.Withdrawn || !c.domainIsFree(s, e.Name) {
 			continue
 		}
-		if last.State == charts.OrderFailed && time.Since(last.Since) < retryAfter {
+		if last.State == charts.OrderFailed && time.Since(last.Since) < orderRetryDelay {
 			continue
 		}
 		st, err := c.status(ctx, e.Address)
@@ -332,8 +332,8 @@
 	return true
 }
 
-// runOrder carries out an order in a new goroutine, unless one to the engine is in
-// progress.
+// runOrder carries out an order in a new goroutine, unless an order to the same engine is
+// in progress.
 func (c *controller) runOrder(ctx context.Context, name string, order func(context.Context) error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -90,9 +90,9 @@
 	return out
 }
 
-// canStopServing reports whether an engine may stop serving complete requests, that is,
+// canStopServing reports whether an engine may stop serving client requests, that is,
 // become a prefill engine. For every model of the pool and the rules of every workspace
-// that permit the engine, another engine must remain that serves complete requests. At
+// that permit the engine, another engine must remain that serves client requests. At
 // least one model must be able to use the engine.
 func (c *controller) canStopServing(s *control.Snapshot, name string) bool {
 	t := s.Config.Targets[name]
@@ -116,7 +116,7 @@
 }
 
 // otherEngineServes reports whether an engine other than the named one is permitted by
-// the rules and serves complete requests.
+// the rules and serves client requests.
 func (c *controller) otherEngineServes(s *control.Snapshot, engines []*config.Target, rules selector.All, name string) bool {
 	for _, t := range engines {
 		if t.Name == name || t.State != config.Active || !s.Available(t) || s.Reports[t.Name].Status.Role == engine.RolePrefill {
--- a/internal/daemon/claims.go
+++ b/internal/daemon/claims.go
@@ -26,9 +26,9 @@
 // claimService connects the claims of this process with those of the other members.
 type claimService struct {
 	*claims.Claimant
-	store  *claims.Store
-	keeper *claims.Keeper
-	d      *Daemon
+	store      *claims.Store
+	reconciler *claims.Keeper
+	d          *Daemon
 }
 
 var _ entry.Claims = (*claimService)(nil)
@@ -38,7 +38,7 @@
 	c := &claimService{d: d, store: claims.NewStore(self, d.set.Control.ClaimWindow.Std())}
 	peers := claimPeers{d}
 	c.Claimant = claims.NewClaimant(c.store, peers)
-	c.keeper = claims.NewKeeper(claims.KeeperOptions{
+	c.reconciler = claims.NewKeeper(claims.KeeperOptions{
 		Store: c.store, Peers: peers, Objects: d.store, Live: c.liveHolders, Registrar: c.isRegistrar, Refresh: d.refresh, Logger: d.logger,
 		Mirrored: func() (objstore.Object, bool) { return d.mirror.Get(claims.TableKey) },
 	})
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// maxSyncPeers is the max number of peers to which this process sends an update. They
-// forward it to others.
+// maxSyncPeers is the max number of peers to which this process sends an update. These
+// peers forward the update to others.
 const maxSyncPeers = 16
 
 // syncPeers returns live members other than this process: all of them in a small fleet, a random
@@ -245,7 +245,7 @@
 	add(d.refresher.Run)
 	add(d.heartbeater.Run)
 	add(d.statusPoller.Run)
-	add(d.claims.keeper.Run)
+	add(d.claims.reconciler.Run)
 	add(d.runMaintenance)
 	add(d.quarantineSyncer.Run)
 	add(d.rateLimitSyncer.Run)
@@ -316,8 +316,8 @@
 }
 
 // join waits until this process has a fresh configuration, has tried to exchange
-// heartbeats with every recipient, so that it learns of a newer one, and has tried to
-// register. It does not wait for the platform to be reachable.
+// heartbeats with every recipient, so that it learns of a newer configuration, and has
+// tried to register. It does not wait for the platform to be reachable.
 func (d *Daemon) join(ctx context.Context) error {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
@@ -371,13 +371,15 @@
 }
 
 // handOverClaims waits, up to handOverTimeout, until other processes hold the claims that
-// this one holds. They take over the claims since its heartbeats announce the shutdown.
+// this process holds. They take over these claims because the heartbeats of this process
+// announce its shutdown.
 func (d *Daemon) handOverClaims(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	// Serving counts this process, which is no longer a candidate.
+	// Serving counts this process too, which can no longer hold claims. With at most
+	// Replicas members, no other member can replace it as a holder.
 	for d.claims.store.Holds() && d.loop.Snapshot().Serving > claims.Replicas {
 		select {
 		case <-ctx.Done():
