--- a/config/compile.go
+++ b/config/compile.go
@@ -144,7 +144,7 @@
 	}
 	b.labels(labels, append(at, "labels")...)
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		b.problem("address "+strconv.Quote(address)+" is not an IP number and port", "write it like 10.0.0.1:8000", append(at, "address")...)
+		b.problem("address "+strconv.Quote(address)+" is not an IP address and port", "write it like 10.0.0.1:8000", append(at, "address")...)
 	}
 	h := b.out.Hosts[host]
 	if h == nil {
@@ -205,6 +205,8 @@
 	b.problem("selector matches no "+what, "correct the selector or label the hosts or servers that it should match", pointer...)
 }
 
+// services compiles the services. It returns, by service name, the rules and servers
+// from which the routes to that service are compiled.
 func (b *compiler) services() map[string]*CompiledRoute {
 	byName := map[string]*CompiledRoute{}
 	for i, s := range b.cfg.Services {
@@ -256,7 +258,7 @@
 
 func (b *compiler) workspaces() {
 	// There are many workspaces but few different selectors, so each pair of
-	// selectors is parsed and checked only once.
+	// Selector and EntrySelector is parsed and checked only once.
 	type parsed struct {
 		rules selector.All
 		entry selector.Selector
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -43,7 +43,7 @@
 			`/pools/0/selector: selector matches no engine of pool p`,
 			`/engines/0/pool: pool "q" does not exist`,
 			`/engines/1/host: host "h9" does not exist`,
-			`/engines/1/address: address "10.0.0.300:80" is not an IP number and port`,
+			`/engines/1/address: address "10.0.0.300:80" is not an IP address and port`,
 			`/models/0/pool: pool "nowhere" does not exist`,
 			`/models/1/selector: selector cannot be read`,
 			`/services/0/servers/0/name: engine or backend server "e1" is defined twice`,
--- a/confstore/confstore.go
+++ b/confstore/confstore.go
@@ -208,20 +208,20 @@
 // whose head was overwritten before its writer could read it back.
 func (w *Writer) resolveFromHistory(ctx context.Context, head Head, cause error) (Accepted, error) {
 	unknown := fault.Wrap(cause, fault.Unknown, "change "+head.ChangeID+" is not settled", "look for the change id in: rockdoor config history")
-	now, err := ReadHead(ctx, w.store)
-	if err != nil || now.Head.Revision < head.Revision {
+	current, err := ReadHead(ctx, w.store)
+	if err != nil || current.Head.Revision < head.Revision {
 		return Accepted{}, unknown
 	}
-	for now.Head.Revision > head.Revision {
-		if now, err = w.readParent(ctx, now); err != nil {
+	for current.Head.Revision > head.Revision {
+		if current, err = w.readParent(ctx, current); err != nil {
 			return Accepted{}, unknown
 		}
 	}
-	if now.Head.ChangeID == head.ChangeID {
-		return now, nil
+	if current.Head.ChangeID == head.ChangeID {
+		return current, nil
 	}
 	return Accepted{}, fault.Newf(fault.Conflict, "read the configuration again and repeat the change",
-		"revision %d was taken by change %s of %s", head.Revision, now.Head.ChangeID, now.Head.Author)
+		"revision %d was taken by change %s of %s", head.Revision, current.Head.ChangeID, current.Head.Author)
 }
 
 func (w *Writer) readParent(ctx context.Context, a Accepted) (Accepted, error) {
@@ -234,15 +234,15 @@
 
 // putChunks writes the chunks that base does not already refer to.
 func (w *Writer) putChunks(ctx context.Context, base Head, chunks map[string][]byte) error {
-	have := map[string]bool{}
+	existing := map[string]bool{}
 	for _, r := range base.Chunks {
-		have[r.Digest] = true
+		existing[r.Digest] = true
 	}
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(maxParallelChunks)
 	for _, content := range chunks {
 		digest := Digest(content)
-		if have[digest] {
+		if existing[digest] {
 			continue
 		}
 		g.Go(func() error {
@@ -251,7 +251,7 @@
 				return nil // the chunk already exists, with the same content
 			}
 			if err != nil {
-				return fault.Wrap(err, fault.Unavailable, "change was not accepted", "repeat it when the platform store responds")
+				return fault.Wrap(err, fault.Unavailable, "change was not accepted", "repeat the change when the platform store responds")
 			}
 			return nil
 		})
--- a/confstore/loader.go
+++ b/confstore/loader.go
@@ -53,31 +53,31 @@
 
 // Load returns the compiled configuration of head.
 func (l *Loader) Load(ctx context.Context, head Head) (*config.Compiled, error) {
-	got := make([]chunk, len(head.Chunks))
+	chunks := make([]chunk, len(head.Chunks))
 	g, gctx := errgroup.WithContext(ctx)
 	g.SetLimit(maxParallelChunks)
 	for i, ref := range head.Chunks {
 		g.Go(func() error {
 			c, err := l.getChunk(gctx, ref.Digest)
-			got[i] = c
+			chunks[i] = c
 			return err
 		})
 	}
 	if err := g.Wait(); err != nil {
 		return nil, err
 	}
-	parts := make([]*config.Config, len(got))
-	held := make(map[string]chunk, len(got))
-	for i, c := range got {
+	parts := make([]*config.Config, len(chunks))
+	byDigest := make(map[string]chunk, len(chunks))
+	for i, c := range chunks {
 		parts[i] = c.part
-		held[head.Chunks[i].Digest] = c
+		byDigest[head.Chunks[i].Digest] = c
 	}
 	compiled, err := config.Compile(Join(parts))
 	if err != nil {
 		return nil, err
 	}
 	l.mu.Lock()
-	l.chunks = held
+	l.chunks = byDigest
 	l.mu.Unlock()
 	return compiled, nil
 }
--- a/objstore/httpcall/httpcall.go
+++ b/objstore/httpcall/httpcall.go
@@ -19,10 +19,10 @@
 // maxResponseBytes bounds the body of a response.
 const maxResponseBytes = 64 << 20
 
-// Do sends body, unless it is nil, and decodes the response into out, unless that
-// is nil. The errors are of the kinds that objstore.Store documents. The request
-// body cannot be read a second time, so that the transport never retries a write
-// by itself.
+// Do makes one call. A nil body sends none, and a nil out ignores the response
+// body. The errors are of the kinds that objstore.Store documents. The request body
+// cannot be read a second time, so that the transport never retries a write by
+// itself.
 func Do(ctx context.Context, client *http.Client, method, url string, body []byte, out any) error {
 	return DoHeaded(ctx, client, method, url, body, out, func(http.Header) error { return nil })
 }
--- a/objstore/limited.go
+++ b/objstore/limited.go
@@ -18,7 +18,7 @@
 	// Burst is the size of the token bucket: how many calls may be made at once
 	// after an idle period.
 	Burst int `json:"burst"`
-	// CallTimeout bounds each call except Watch, which gets it in addition to its wait.
+	// CallTimeout limits each call. A Watch may take that long in addition to its wait.
 	CallTimeout time.Duration `json:"-"`
 }
 
@@ -67,11 +67,11 @@
 func call[T any](ctx context.Context, l *Limited, kind string, timeout time.Duration, f func(context.Context) (T, error)) (T, error) {
 	var zero T
 	if err := l.limiter.Wait(ctx); err != nil {
-		return zero, fault.Wrap(err, fault.Unavailable, "platform call budget is used up", "wait a second; if it lasts, raise platform.callsPerSecond")
+		return zero, fault.Wrap(err, fault.Unavailable, "platform call budget is used up", "wait a second; if the error persists, raise platformCalls.perSecond in the settings")
 	}
 	done, err := l.breaker.Allow()
 	if err != nil {
-		return zero, fault.Wrap(err, fault.Unavailable, "platform store is not responding", "wait until it responds again; traffic is not affected meanwhile")
+		return zero, fault.Wrap(err, fault.Unavailable, "platform store is not responding", "wait until the store responds again; client requests are not affected meanwhile")
 	}
 	metrics.GetOrRegisterCounter("platform.calls."+kind, l.reg).Inc(1)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
--- a/objstore/platform.go
+++ b/objstore/platform.go
@@ -56,7 +56,7 @@
 	Delete(ctx context.Context, key string, ifVersion Version) error
 	// Watch waits up to wait for changes to keys with the given prefix after the
 	// given revision. It returns the events in order and the revision up to which
-	// they are complete. It returns no events when the wait ends without a change,
+	// the events are complete. It returns no events when the wait ends without a change,
 	// and ErrWatchGap when the revision is too old to continue from.
 	Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Event, Revision, error)
 }
--- a/objstore/settle.go
+++ b/objstore/settle.go
@@ -12,10 +12,10 @@
 // PutSettled writes like Store.Put and, if the response is lost, determines
 // whether the write took effect.
 //
-// While the outcome is unknown, it sends the same conditional write again. The
-// repetition is safe because at most one write can match ifVersion and all
-// attempts carry the same write ID. If a repetition fails with a conflict, the
-// object is read back: the write was applied if the object has its write ID.
+// While the outcome is unknown, PutSettled retries the same conditional write. A
+// retry is safe because at most one write can match ifVersion and all attempts
+// carry the same write ID. If a retry fails with a conflict, the object is read
+// back: the write was applied if the object has its write ID.
 //
 // The error is Conflict if the write did not take effect, or if its condition was
 // read in another era of the store. It is Unknown if another writer may have
@@ -67,8 +67,8 @@
 	return fault.Newf(fault.Conflict, "read it again and repeat the change", "%s was read before the store was restored from an older snapshot", key)
 }
 
-// readBack determines whether a write took effect after a repetition of it failed
-// with a conflict.
+// readBack determines whether a write took effect after a retry of it failed with
+// a conflict.
 func readBack(ctx context.Context, s Store, key string, value []byte, ifVersion Version, writeID string) (Object, error) {
 	obj, err := s.Get(ctx, key)
 	if err == nil && obj.WriteID == writeID && bytes.Equal(obj.Value, value) {
--- a/routing/policies.go
+++ b/routing/policies.go
@@ -41,10 +41,10 @@
 	return nil, fault.Newf(fault.Invalid, "use one of completion-time, separating, size-based, least-outstanding, round-robin, random", "unknown policy %q", name)
 }
 
-// completionTime estimates the time to complete the request, in seconds: the
-// pending prompts and its own are prefilled, then its output tokens are decoded at
-// the step time of the batch including this request. The last term of the score is
-// the delay that the request causes to the others in the batch.
+// completionTime estimates the time to complete the request, in seconds: first the
+// target prefills the pending prompts and the request's own prompt, then it decodes
+// the output tokens at the step time of the batch including this request. The last
+// term of the score is the delay that the request causes to the others in the batch.
 type completionTime struct{}
 
 func (completionTime) Score(cost Cost, c *Candidate) float64 {
@@ -58,8 +58,8 @@
 	return prefill + decode + queuedBatches(c)*step.Seconds()*float64(max(cost.DecodeTokens, 1))
 }
 
-// queuedBatches returns how many full batches of requests are in flight ahead of
-// the request.
+// queuedBatches returns the number of requests in flight at the target, in units of
+// its capacity, which is the size of a full batch.
 func queuedBatches(c *Candidate) float64 {
 	return float64(c.Load.Requests) / float64(max(c.Target.Capacity, 1))
 }
@@ -118,8 +118,9 @@
 type separating struct{}
 
 const (
-	// latePenaltySeconds is the penalty for one request whose tokens are delayed.
-	latePenaltySeconds = 0.5
+	// delayPenaltySeconds is the penalty, in seconds of completion time, for each request
+	// whose output tokens are delayed.
+	delayPenaltySeconds = 0.5
 	// typicalLongPromptTokens is the assumed length of a long prompt, by which pending
 	// prefill tokens are converted to a number of long prompts.
 	typicalLongPromptTokens = 2000
@@ -133,7 +134,7 @@
 	}
 	decoding := math.Max(0, float64(c.Load.Requests)-prompts)
 	if cost.PrefillTokens >= longPromptTokens {
-		return score + latePenaltySeconds*decoding
+		return score + delayPenaltySeconds*decoding
 	}
-	return score + latePenaltySeconds*math.Min(prompts, 2)
+	return score + delayPenaltySeconds*math.Min(prompts, 2)
 }
