--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -52,7 +52,7 @@
 	Store    objstore.Store
 	Loader   *confstore.Loader
 	Snapshot func() *control.Snapshot
-	// Refresh reads the store, so that this process sees its own writes at once.
+	// Refresh updates the mirror from the store, so that this process sees its own writes at once.
 	Refresh func(context.Context)
 	// Ready returns why the process does not accept requests, or nil if it does.
 	Ready   func() error
--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -15,7 +15,7 @@
 	Process  string `json:"process"`
 	Revision int64  `json:"revision"`
 	ChangeID string `json:"changeID"`
-	// Fresh is false if the process cannot know whether the revision is in force.
+	// Fresh is false if the process cannot know whether the revision is still the newest.
 	Fresh bool `json:"fresh"`
 	// Watcher is true if the process reads the platform's store for its domain.
 	Watcher bool                  `json:"watcher"`
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -193,11 +193,11 @@
 			if err != nil {
 				return err
 			}
-			story, err := trace.Tell(lines, id)
+			rt, err := trace.Tell(lines, id)
 			if err != nil {
 				return err
 			}
-			return story.Write(c.App.Writer)
+			return rt.Write(c.App.Writer)
 		},
 	}
 }
--- a/internal/gatewayd/duties.go
+++ b/internal/gatewayd/duties.go
@@ -13,7 +13,7 @@
 // buildDuties builds the duties, which one process at a time performs for the whole deployment. It
 // returns the function to call when a request of a workspace starts to run, nil if usage is not
 // reported.
-func (d *Daemon) buildDuties(self members.Member) (began func(workspace string)) {
+func (d *Daemon) buildDuties(self members.Member) (onRunStart func(workspace string)) {
 	pruner := prune.New(prune.Options{
 		Self: self, Authority: d.authority, Store: d.store, Stale: d.store.WithStaleReads(), Prefix: platform.MemberPrefix, View: d.discovery.View,
 		HasContact: d.schedulerServer.HasContact, WithoutContact: d.schedulerClient.WithoutContact, ReviewInterval: prune.ReviewInterval, RemoveAfter: prune.RemoveAfter, Logger: d.logger,
--- a/internal/gatewayd/fleet_test.go
+++ b/internal/gatewayd/fleet_test.go
@@ -51,9 +51,9 @@
 	return st
 }
 
-// kill asks a process to stop and waits until it has ended. The result of Run is put back for the
+// shutDown asks a process to stop and waits until it has ended. The result of Run is put back for the
 // cleanup of the test.
-func (p *process) kill() {
+func (p *process) shutDown() {
 	p.stop()
 	err := <-p.done
 	p.done <- err
@@ -124,7 +124,7 @@
 
 // TestSchedulersServeALargeFleet checks that all processes serve requests, that an idle fleet makes
 // few calls to the store, and that a new configuration reaches all processes, also after all
-// schedulers were killed.
+// schedulers were shut down.
 func TestSchedulersServeALargeFleet(t *testing.T) {
 	d := newDeployment(t)
 	d.applyLimit = "3s"
@@ -151,7 +151,7 @@
 	}
 	for _, p := range all {
 		if schedulers[p.settings.Name] {
-			go p.kill()
+			go p.shutDown()
 			continue
 		}
 		remaining = append(remaining, p)
@@ -175,8 +175,8 @@
 	d.waitApplied(remaining, 3, bound)
 }
 
-// TestKeysRevokedDuringAStoreOutage revokes API keys while no process reaches the store, and kills one
-// of the processes that schedule for the others. No request may run with a revoked key for longer
+// TestKeysRevokedDuringAStoreOutage revokes API keys while no process reaches the store, and shuts
+// down one of the processes that schedule for the others. No request may run with a revoked key for longer
 // than the operator allows. Until the store responds, clients get 503 for all keys; after that the
 // remaining keys are valid again. A key that moves to another workspace is covered too.
 func TestKeysRevokedDuringAStoreOutage(t *testing.T) {
@@ -206,7 +206,7 @@
 	}
 	for _, p := range all[1:] {
 		if p.fetchStatus(t).Scheduling {
-			go p.kill()
+			go p.shutDown()
 			break
 		}
 	}
@@ -215,7 +215,7 @@
 	for n, p := range all {
 		for _, key := range []string{"gone", "kept"} {
 			got := status(p, key, fmt.Sprint("o-", key, n))
-			require.Contains(t, []int{http.StatusServiceUnavailable, 0}, got, "0 is a process that was killed")
+			require.Contains(t, []int{http.StatusServiceUnavailable, 0}, got, "0 is the process that was shut down")
 		}
 	}
 	require.Equal(t, before, runs(), "no request runs with a key that may have been revoked")
--- a/internal/gatewayd/gatewayd.go
+++ b/internal/gatewayd/gatewayd.go
@@ -47,8 +47,8 @@
 
 const (
 	// headerTimeout, maxHeaderBytes and idleTimeout apply to client connections. They are wider
-	// than any limit that an operator publishes, so a client that keeps those limits never
-	// reaches these.
+	// than any limit that an operator publishes, so a client that keeps the published
+	// limits never reaches these.
 	headerTimeout  = 5 * time.Second
 	maxHeaderBytes = 64 << 10
 	idleTimeout    = 2 * time.Minute
@@ -95,12 +95,12 @@
 	placer    *placement.Placer
 	transport *peer.Transport
 	loadSync  *loadshare.Syncer
-	// suspects are requests that instances have crashed while running, crashSync exchanges them
+	// suspects are requests during whose runs instances have crashed. crashSync exchanges them
 	// between the processes.
 	suspects  *quarantine.Table
 	crashSync *suspects.Syncer
-	// limits are the request rates that instances limit themselves to, grantSync shares each rate
-	// among the processes.
+	// limits are the rate limits that instances announce. grantSync divides each rate among the
+	// processes.
 	limits          *ratelimit.Table
 	grantSync       *ratelimit.Syncer
 	schedulerClient *scheduler.Client
@@ -148,7 +148,7 @@
 	d.limits = ratelimit.NewTable(self.Name, d.reg, d.logger)
 	d.placer.SetLimiter(d.limits)
 	d.buildPeerServices(self)
-	began := d.buildDuties(self)
+	onRunStart := d.buildDuties(self)
 	d.gateway = gateway.New(gateway.Options{
 		View: d.discovery.View, Ready: d.discovery.Ready(), Protocol: platform.Protocol{}, Client: d.client, Scheduler: d.schedulerClient, Placer: d.placer, FailureDomain: set.Domain,
 		MaxConfigStaleness: set.Bounds.MaxConfigStaleness(),
@@ -156,7 +156,7 @@
 			Ratio: set.Bounds.RetryRatio, Slack: set.Bounds.RetrySlack, Window: set.Bounds.RetryWindow.Std(),
 			Processes: func() int { return d.discovery.View().Processes },
 		},
-		Quarantine: d.suspects, RateLimits: d.limits, OnRunStart: began, Metrics: d.reg, Logger: d.logger,
+		Quarantine: d.suspects, RateLimits: d.limits, OnRunStart: onRunStart, Metrics: d.reg, Logger: d.logger,
 	})
 	d.buildServers()
 	return d
@@ -365,11 +365,11 @@
 	ctx, cancel := context.WithDeadline(context.Background(), begun.Add(d.bounds.Load().Grace.Std()-exitMargin))
 	defer cancel()
 	go func() { _ = d.clientServer.Shutdown(ctx) }() // the error is ignored: waitUntilIdle waits for the requests in flight
-	empty := d.waitUntilIdle(ctx)
+	idle := d.waitUntilIdle(ctx)
 	if d.usage != nil {
 		d.usage.Sync(ctx) // another process must hold the counts before this one exits
 	}
-	if !empty {
+	if !idle {
 		level.Warn(d.logger).Log("msg", "requests were still in flight at the end of the grace period", "in_hand", d.gateway.InFlight())
 	}
 }
@@ -380,14 +380,14 @@
 func (d *Daemon) waitUntilIdle(ctx context.Context) bool {
 	tick := time.NewTicker(idlePollInterval)
 	defer tick.Stop()
-	for empty := 0; empty < requiredIdlePolls; {
+	for idlePolls := 0; idlePolls < requiredIdlePolls; {
 		select {
 		case <-ctx.Done():
 			return d.gateway.InFlight() == 0
 		case <-tick.C:
 		}
-		if empty++; d.gateway.InFlight() > 0 {
-			empty = 0
+		if idlePolls++; d.gateway.InFlight() > 0 {
+			idlePolls = 0
 		}
 	}
 	return true
--- a/internal/gatewayd/gatewayd_test.go
+++ b/internal/gatewayd/gatewayd_test.go
@@ -271,22 +271,22 @@
 func TestStopInterruptsNoRequest(t *testing.T) {
 	d := newDeployment(t)
 	p := d.startGateway("a")
-	var cut atomic.Int64
+	var interrupted atomic.Int64
 	stop := sendContinuously(8, func(id string, _ int) {
 		status, body := p.send("/llm/x", id, nil)
 		if status != http.StatusOK && !strings.Contains(body, "refused") && !strings.Contains(body, "reset") && !strings.Contains(body, "EOF") {
-			cut.Add(1)
+			interrupted.Add(1)
 		}
 	})
 	time.Sleep(200 * time.Millisecond)
 	p.stop()
 	require.Eventually(t, func() bool { return p.statusCode(p.settings.Readiness, "/readyz") == http.StatusServiceUnavailable }, time.Second, 5*time.Millisecond)
 	status, _ := p.send("/app/x", "late", nil)
-	require.Equal(t, http.StatusOK, status, "it serves until the load balancer has seen that it is not ready")
+	require.Equal(t, http.StatusOK, status, "the gateway must serve until the load balancer has seen that it is not ready")
 	err := <-p.done
 	p.done <- err
 	stop()
-	require.Zero(t, cut.Load())
+	require.Zero(t, interrupted.Load())
 	runs := 0
 	for _, e := range d.engines {
 		runs += len(e.Runs())
@@ -314,7 +314,7 @@
 func TestReloadsDisturbNoRequest(t *testing.T) {
 	d := newDeployment(t)
 	p := d.startGateway("a")
-	good, err := os.ReadFile(p.file)
+	validSettings, err := os.ReadFile(p.file)
 	require.NoError(t, err)
 	var failed, sent atomic.Int64
 	stop := sendContinuously(6, func(id string, n int) {
@@ -328,7 +328,7 @@
 		}
 	})
 	for n := range 20 {
-		text := strings.Replace(string(good), `"grace": "3s"`, fmt.Sprintf(`"grace": "3s", "retrySlack": %d`, 100+n), 1)
+		text := strings.Replace(string(validSettings), `"grace": "3s"`, fmt.Sprintf(`"grace": "3s", "retrySlack": %d`, 100+n), 1)
 		if n%4 == 3 {
 			text = text[:len(text)/2]
 		}
@@ -375,8 +375,8 @@
 		send(b, "k2", "v")
 		time.Sleep(40 * time.Millisecond)
 	}
-	a.kill()
-	b.kill()
+	a.shutDown()
+	b.shutDown()
 	for range 10 {
 		send(c, "k1", "w")
 	}
--- a/internal/gatewayd/quarantine.go
+++ b/internal/gatewayd/quarantine.go
@@ -11,7 +11,7 @@
 	"github.com/rockdoor/rockdoor/quarantine"
 )
 
-// SuspectStatus is the state of a request that instances have crashed while running. Ended are the
+// SuspectStatus is the state of a request during whose runs instances have crashed. Ended lists the
 // runs of these instances.
 type SuspectStatus struct {
 	Fingerprint string   `json:"fingerprint"`
@@ -22,7 +22,7 @@
 	RefusedForMs int64 `json:"refusedForMs"`
 }
 
-// quarantine responds with the requests that instances have crashed while running.
+// quarantine responds with the requests during whose runs instances have crashed.
 func (d *Daemon) quarantine(w http.ResponseWriter, _ *http.Request) {
 	out := []SuspectStatus{}
 	for _, s := range d.suspects.Suspects() {
--- a/internal/gatewayd/ratelimit_test.go
+++ b/internal/gatewayd/ratelimit_test.go
@@ -191,9 +191,9 @@
 	}, rateWindow, 50*time.Millisecond)
 }
 
-// TestRateLimitHoldsWhileSchedulersAreLost kills all schedulers while an instance limits its rate. The
-// other processes decide alone until some of them become schedulers, and the killed processes start
-// again without any state.
+// TestRateLimitHoldsWhileSchedulersAreLost shuts down all schedulers while an instance limits its rate.
+// The other processes decide alone until some of them become schedulers, and the stopped processes
+// start again without any state.
 func TestRateLimitHoldsWhileSchedulersAreLost(t *testing.T) {
 	const (
 		rate    = 5.0
@@ -206,10 +206,10 @@
 	for _, name := range all[0].fetchStatus(t).Schedulers {
 		lost[name] = true
 	}
-	var running, killed []*process
+	var running, stopped []*process
 	for _, p := range all {
 		if lost[p.settings.Name] {
-			killed = append(killed, p)
+			stopped = append(stopped, p)
 		} else {
 			running = append(running, p)
 		}
@@ -217,11 +217,11 @@
 	limited := d.engines[0]
 	limited.SetRateLimit(strconv.FormatFloat(rate, 'f', -1, 64))
 	sendFromAll(all, "/app/x", nil, sendGap, rateWindow)
-	for _, p := range killed {
-		go p.kill()
+	for _, p := range stopped {
+		go p.shutDown()
 	}
 	sendFromAll(running, "/app/x", nil, sendGap, rateWindow)
-	for _, p := range killed {
+	for _, p := range stopped {
 		ip, _, err := net.SplitHostPort(p.settings.Listen)
 		require.NoError(t, err)
 		running = append(running, d.startGatewayAt(p.settings.Name, ip))
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -35,7 +35,7 @@
 	usedThisSecond atomic.Int64
 	dropped        atomic.Int64
 	done           chan struct{}
-	// mu prevents Close from closing lines while a line is being enqueued.
+	// mu prevents Close from closing the channel lines while a line is being enqueued.
 	mu     sync.RWMutex
 	closed bool
 }
@@ -49,16 +49,16 @@
 
 // Write implements io.Writer. It never blocks and never fails.
 func (s *Sink) Write(line []byte) (int, error) {
-	limit, room := s.rate, cap(s.lines)
+	limit, capacity := s.rate, cap(s.lines)
 	if bytes.Contains(line, debugLevel) {
 		limit -= int64(float64(limit) * reservedShare)
-		room -= int(float64(room) * reservedShare)
+		capacity -= int(float64(capacity) * reservedShare)
 	}
 	now := time.Now().Unix()
 	if old := s.currentSecond.Load(); old != now && s.currentSecond.CompareAndSwap(old, now) {
 		s.usedThisSecond.Store(0)
 	}
-	if s.usedThisSecond.Add(1) > limit || len(s.lines) >= room {
+	if s.usedThisSecond.Add(1) > limit || len(s.lines) >= capacity {
 		s.dropped.Add(1)
 		return len(line), nil
 	}
@@ -87,16 +87,16 @@
 // Dropped returns the number of lines that have been dropped.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
-// Close writes the lines in the queue, for at most the given time. Lines that are written later are
+// Close writes the lines in the queue, but waits no longer than timeout. Lines that are written later are
 // dropped.
-func (s *Sink) Close(within time.Duration) {
+func (s *Sink) Close(timeout time.Duration) {
 	s.mu.Lock()
 	s.closed = true
 	close(s.lines)
 	s.mu.Unlock()
 	select {
 	case <-s.done:
-	case <-time.After(within):
+	case <-time.After(timeout):
 	}
 }
 
--- a/internal/prune/prune_test.go
+++ b/internal/prune/prune_test.go
@@ -127,10 +127,10 @@
 	require.Eventually(t, func() bool { return !slices.Contains(d.registered(), "often") }, pollTimeout, reviewInterval)
 }
 
-// TestNothingIsPrunedWithoutKnowledge covers a scheduler that does not respond, a view without the store,
+// TestNothingIsPrunedWhileViewIsIncomplete covers a scheduler that does not respond, a view without the store,
 // and a store that is down. After each of these the time to removal starts over.
-func TestNothingIsPrunedWithoutKnowledge(t *testing.T) {
-	for name, doubt := range map[string]func(d *deployment, on bool){
+func TestNothingIsPrunedWhileViewIsIncomplete(t *testing.T) {
+	for name, setFault := range map[string]func(d *deployment, on bool){
 		"scheduler": func(d *deployment, on bool) { d.update(func() { d.schedulerDown = on }) },
 		"view":      func(d *deployment, on bool) { d.update(func() { d.storeDown = on }) },
 		"store":     func(d *deployment, on bool) { d.server.SetFaults(fleetstore.Faults{DownKind: memberKindIf(on)}) },
@@ -141,9 +141,9 @@
 			d.register("gone")
 			for range 3 {
 				time.Sleep(removeAfter * 6 / 10)
-				doubt(d, true)
+				setFault(d, true)
 				time.Sleep(4 * reviewInterval)
-				doubt(d, false)
+				setFault(d, false)
 				require.Contains(t, d.registered(), "gone")
 			}
 			require.Eventually(t, func() bool { return !slices.Contains(d.registered(), "gone") }, pollTimeout, reviewInterval)
@@ -175,9 +175,9 @@
 	}, 2*pollTimeout, reviewInterval/2)
 }
 
-// TestReviewCostsOneList counts the calls to the store when all processes have contact: one list for each
+// TestReviewMakesOneListCall counts the calls to the store when all processes have contact: one list for each
 // review, and the lease.
-func TestReviewCostsOneList(t *testing.T) {
+func TestReviewMakesOneListCall(t *testing.T) {
 	const others, pages, reviews, leaseCalls = 20, 5, 20, 20
 	d := start(t)
 	for n := range others {
--- a/internal/trace/reach_test.go
+++ b/internal/trace/reach_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestReach(t *testing.T) {
+func TestPropagationTimes(t *testing.T) {
 	const logs = `
 ts=2026-10-23T20:56:50.000Z process=a msg=ready config=1
 ts=2026-10-23T20:56:50.250Z process=b msg=ready config=1
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -140,7 +140,7 @@
 
 // isContext reports whether a line of the request's process may explain the outcome: it was logged during the
 // request or up to contextPeriod before. If the line names an instance, a decision about the request must have
-// named the same one.
+// named the same instance.
 func isContext(l Line, own []Line, engines map[string]bool) bool {
 	if l.Get("request") != "" || !contextMessages[l.Msg] || l.Process != own[0].Process {
 		return false
--- a/internal/trace/workspace_test.go
+++ b/internal/trace/workspace_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestByWorkspace checks that each request counts once, however many lines name its workspace, and that the
+// TestSummaryByWorkspace checks that each request counts once, however many lines name its workspace, and that the
 // workspace with the lowest share of served requests comes first.
-func TestByWorkspace(t *testing.T) {
+func TestSummaryByWorkspace(t *testing.T) {
 	const text = `
 ts=2026-10-23T20:56:50.000Z process=a msg=decision request=r1 workspace=small reason=hopeless
 ts=2026-10-23T20:56:50.000Z process=a msg=request request=r1 workspace=small outcome=hopeless may_have_run=false
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -127,7 +127,7 @@
 		p := b.start(name, noLedgers)
 		all = append(all, p)
 		require.Eventually(t, func() bool { _, held := p.authority.Grant(); return held }, 6*time.Second, 5*time.Millisecond)
-		time.Sleep(3 * testWindow) // until it has loaded the record
+		time.Sleep(3 * testWindow) // until the process has loaded the record
 		b.store.SetFaults(f.store)
 		b.api.SetFaults(f.api)
 		for range 40 {
@@ -153,10 +153,10 @@
 	}
 }
 
-// TestCountsSurviveTheirProcess checks that counts sent to another process are known there, that sending
+// TestReplicatedCountsSurviveProcessFailure checks that counts sent to another process are known there, that sending
 // them twice, late or to several processes changes nothing, and that a new run of a process counts
 // separately.
-func TestCountsSurviveTheirProcess(t *testing.T) {
+func TestReplicatedCountsSurviveProcessFailure(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
 	ledger := func(process, incarnation string) *usage.Ledger {
@@ -205,8 +205,8 @@
 	}
 	a := b.start("a", noLedgers)
 	go begin(a, "w")
-	held := func() bool { return len(b.api.Reports()) > 2 }
-	require.Eventually(t, held, 10*time.Second, 5*time.Millisecond)
+	reported := func() bool { return len(b.api.Reports()) > 2 }
+	require.Eventually(t, reported, 10*time.Second, 5*time.Millisecond)
 	for round := range 5 {
 		p := b.start(string(rune('b'+round)), noLedgers)
 		go begin(p, "w")
--- a/selector/selector_test.go
+++ b/selector/selector_test.go
@@ -63,7 +63,7 @@
 		}
 		again, err := selector.Parse(s.String())
 		if err != nil || again.Matches(nil) != s.Matches(nil) {
-			t.Fatalf("%q does not survive its own text", text)
+			t.Fatalf("%q: the text of the selector does not parse to an equivalent selector", text)
 		}
 	})
 }
