--- a/internal/lab/replay/compare.go
+++ b/internal/lab/replay/compare.go
@@ -19,8 +19,8 @@
 // flight make them do so more often.
 const idleExchangeInterval = 80 * time.Millisecond
 
-// Ablations returns one ablation for each mechanism of placement, and for some of what surrounds
-// placement.
+// Ablations returns one ablation for each mechanism of placement, and for some mechanisms that
+// provide placement with its input.
 func Ablations() []Ablation {
 	var out []Ablation
 	for _, m := range placement.Mechanisms() {
--- a/internal/lab/replay/compare_test.go
+++ b/internal/lab/replay/compare_test.go
@@ -75,7 +75,7 @@
 		o := shortScenario(t, name)
 		o.Factor = 1.2
 		switch name {
-		case "long-prompts": // its queues take a while to grow
+		case "long-prompts": // keeps its length, because its queues take a while to grow
 		case "faults":
 			o.Length = 9 * time.Second // the second mixed engine rejects requests from the eighth second on
 		default:
--- a/internal/lab/replay/replay_test.go
+++ b/internal/lab/replay/replay_test.go
@@ -38,9 +38,9 @@
 	require.Greater(t, share(short.InTime, short.Requests), 0.9)
 }
 
-// TestEstimatesStayAccurate replays a load under which many prefills wait for prompts of other
-// processes that are not known yet. This must not distort what is learned about the speed of the
-// engines.
+// TestEstimatesStayAccurate replays a load under which many prefills wait behind prompts of other
+// placers that the placer does not know of yet. Their waiting time must not distort the estimates
+// of the engines' speed.
 func TestEstimatesStayAccurate(t *testing.T) {
 	_, wrong := eightSeeds(Options{Load: PrefillHeavy, Factor: 0.8, Length: 10 * time.Second, PrefillEngines: 12, Placers: 6})
 	t.Logf("mean error of the estimates: %.3f", wrong)
