--- a/cmd/rockdoor-lab/main.go
+++ b/cmd/rockdoor-lab/main.go
@@ -20,6 +20,7 @@
 	"github.com/rockdoor/rockdoor/internal/standin/serviced"
 )
 
+// weightLoadsPerSecond is the request rate that the weight store of the platform stand-in serves.
 const weightLoadsPerSecond = 2
 
 func main() {
--- a/cmd/rockdoor-lab/scale.go
+++ b/cmd/rockdoor-lab/scale.go
@@ -158,8 +158,8 @@
 	if err != nil {
 		return err
 	}
-	start := map[int]time.Time{}
-	adopted := map[int][]time.Time{}
+	accepted := map[int]time.Time{}
+	inForce := map[int][]time.Time{}
 	for _, name := range logs {
 		f, err := os.Open(name)
 		if err != nil {
@@ -167,10 +167,10 @@
 		}
 		for sc := bufio.NewScanner(f); sc.Scan(); {
 			if m := acceptedLine.FindStringSubmatch(sc.Text()); m != nil {
-				start[atoi(m[2])] = parseTime(m[1])
+				accepted[atoi(m[2])] = parseTime(m[1])
 			}
 			if m := inForceLine.FindStringSubmatch(sc.Text()); m != nil {
-				adopted[atoi(m[2])] = append(adopted[atoi(m[2])], parseTime(m[1]))
+				inForce[atoi(m[2])] = append(inForce[atoi(m[2])], parseTime(m[1]))
 			}
 		}
 		f.Close()
@@ -178,10 +178,10 @@
 	t := table.NewWriter()
 	t.SetOutputMirror(os.Stdout)
 	t.AppendHeader(table.Row{"revision", "in force at", "p50 after acceptance", "max"})
-	for rev := 1; start[rev] != (time.Time{}); rev++ {
+	for rev := 1; accepted[rev] != (time.Time{}); rev++ {
 		var ds []float64
-		for _, at := range adopted[rev] {
-			ds = append(ds, max(0, at.Sub(start[rev]).Seconds()*1000))
+		for _, at := range inForce[rev] {
+			ds = append(ds, max(0, at.Sub(accepted[rev]).Seconds()*1000))
 		}
 		if len(ds) > 0 {
 			t.AppendRow(table.Row{rev, len(ds), fmt.Sprintf("%.0f ms", median(ds)), fmt.Sprintf("%.0f ms", slices.Max(ds))})
--- a/cmd/rockdoor-lab/soak.go
+++ b/cmd/rockdoor-lab/soak.go
@@ -14,8 +14,8 @@
 const (
 	soakMinutes   = 0.5
 	soakProcesses = 8
-	soakCallers   = 3
-	// maxSoakProcesses is the number of processes that a developer's machine can run.
+	soakClients   = 3
+	// maxSoakProcesses is the number of gateway processes that a developer's machine can run.
 	maxSoakProcesses = 250
 )
 
@@ -26,7 +26,7 @@
 			&cli.Uint64Flag{Name: "seed", Usage: "`NUMBER` that determines the schedule of faults", Value: 1},
 			&cli.Float64Flag{Name: "minutes", Usage: "how long faults are injected", Value: soakMinutes},
 			&cli.IntFlag{Name: "processes", Usage: "number of gateways", Value: soakProcesses},
-			&cli.IntFlag{Name: "callers", Usage: "number of clients for each gateway", Value: soakCallers},
+			&cli.IntFlag{Name: "callers", Usage: "number of clients for each gateway", Value: soakClients},
 			&cli.DurationFlag{Name: "think", Usage: "mean `TIME` between a response and the client's next request; 0 uses that of a small deployment"},
 			&cli.StringFlag{Name: "site", Usage: "`FILE` of the users' platform with the layout and bounds of the run; --processes 0 then runs one gateway per host"},
 			&cli.BoolFlag{Name: "regressions", Usage: "repeat all runs that ever failed instead of a seed"},
--- a/internal/lab/load/check.go
+++ b/internal/lab/load/check.go
@@ -47,7 +47,7 @@
 		err = json.NewDecoder(resp.Body).Decode(&runs)
 		resp.Body.Close()
 		if err != nil {
-			return nil, fault.Wrap(err, fault.Internal, "record of "+t.Name+" cannot be read", "check the stand-in")
+			return nil, fault.Wrap(err, fault.Internal, "list of runs of stand-in "+t.Name+" is not valid JSON", "check that the target is a stand-in of this version")
 		}
 		all = append(all, runs...)
 	}
@@ -70,8 +70,8 @@
 	Missing int `json:"missing"`
 }
 
-// Any reports whether there was any violation. Interrupted connections count, since a planned run
-// does not kill any entry host.
+// Any reports whether there was any violation. Requests without a final response count too, since
+// no entry host is killed while a load runs.
 func (v Violations) Any() bool { return v != Violations{} }
 
 // Check compares the clients' results with the runs that the targets recorded.
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -30,12 +30,14 @@
 // Outcome is what became of a request, as far as its client can tell.
 type Outcome string
 
-// Outcomes. All but Broken are reported by rockdoor.
+// Outcomes. rockdoor reports all but Broken, in the header entry.HeaderOutcome or, for a stream, in the
+// trailer of this name.
 const (
 	Complete Outcome = "complete"
 	NotRun   Outcome = "not_run"
-	Unknown  Outcome = "unknown"
-	Failed   Outcome = "failed"
+	// Unknown means that the request may have run.
+	Unknown Outcome = "unknown"
+	Failed  Outcome = "failed"
 	// Broken means that the connection ended without a final response.
 	Broken Outcome = "broken"
 )
@@ -142,6 +144,7 @@
 	return req, nil
 }
 
+// expected returns the response body that the stand-ins generate for a request.
 func expected(a Arrival, text string, req *http.Request) string {
 	if a.Class.Model != "" {
 		return answer.Text(text, a.OutputTokens)
@@ -172,9 +175,9 @@
 	r.First = time.Since(due)
 	r.Outcome = Complete
 	got := string(body)
-	var whole openai.Response
-	if json.Unmarshal(body, &whole) == nil && len(whole.Choices) > 0 && whole.Choices[0].Message != nil {
-		got = whole.Choices[0].Message.Content
+	var completion openai.Response
+	if json.Unmarshal(body, &completion) == nil && len(completion.Choices) > 0 && completion.Choices[0].Message != nil {
+		got = completion.Choices[0].Message.Content
 	}
 	r.Wrong = got != want
 }
--- a/internal/lab/load/mix.go
+++ b/internal/lab/load/mix.go
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// Time bounds of a useful response, from the users' target.
+// Time bounds of a useful response, from the users' requirements.
 const (
 	firstTokenBound = 810 * time.Millisecond
 	tokenGapBound   = 44 * time.Millisecond
--- a/internal/lab/load/report.go
+++ b/internal/lab/load/report.go
@@ -59,7 +59,7 @@
 	t := table.NewWriter()
 	t.SetOutputMirror(w)
 	t.SetStyle(table.StyleLight)
-	t.AppendHeader(table.Row{"class", "requests", "complete", "refused", "unknown", "failed", "broken", "good", "good/s", "first p50", "first p95", "gap p95", "whole p50", "whole p99"})
+	t.AppendHeader(table.Row{"class", "requests", "complete", "refused", "unknown", "failed", "broken", "good", "good/s", "first p50", "first p95", "gap p95", "total p50", "total p99"})
 	for _, s := range sums {
 		t.AppendRow(table.Row{
 			s.Class, s.Requests, s.Outcomes[Complete], s.Outcomes[NotRun], s.Outcomes[Unknown], s.Outcomes[Failed], s.Outcomes[Broken],
