--- a/internal/lab/soak/actions.go
+++ b/internal/lab/soak/actions.go
@@ -25,8 +25,8 @@
 	lateWriteDelay = 1500 * time.Millisecond
 	// serveAfterRemoval is how long an instance continues to serve after it was withdrawn.
 	serveAfterRemoval = 3 * time.Second
-	// shedEvery is chosen so that the rejected requests use up the retry budget without opening a
-	// circuit breaker.
+	// With FaultShedSome, an instance rejects every shedEvery-th request, so that retries use up
+	// the retry budget while no circuit breaker opens.
 	shedEvery = 2
 	// addressReuseDelay is how long the address of an instance that ended is not reassigned.
 	addressReuseDelay = 2 * time.Second
@@ -59,14 +59,15 @@
 		w.runAfter(a.Duration, func() { w.api.SetFaults(fleetapi.Faults{}) })
 	case FaultStoreRestore:
 		w.restoreStore(op, a.Duration)
-	case FaultStoreRefusesSome, FaultStoreDown, FaultStoreSilent, FaultStoreSlow, FaultStoreLoses, FaultStoreLate, FaultStoreDeaf, FaultStoreStale, FaultStoreForget:
+	case FaultStoreRefusesSome, FaultStoreDown, FaultStoreSilent, FaultStoreSlow, FaultStoreLoses, FaultStoreLate, FaultStoreSilentWatches, FaultStoreStale, FaultStoreDropsHistory:
 		w.applyStoreFault(a, d)
 	default:
 		w.applyInstanceFault(a)
 	}
 }
 
-// dutyHolder returns the process that holds the duties, or fallback if there is none.
+// dutyHolder returns the process that the last change of the duties lease names as its holder, or
+// fallback if there is none.
 func (w *world) dutyHolder(fallback []int) []int {
 	w.observed.mu.Lock()
 	defer w.observed.mu.Unlock()
@@ -181,7 +182,7 @@
 	return out
 }
 
-// partyOf returns the party at the end of a link that is not the process itself.
+// partyOf returns the kind of party that a gateway process reaches, or is reached from, by a link.
 func partyOf(l *Link) string {
 	switch {
 	case l.From == partyClients:
@@ -212,7 +213,7 @@
 		return fleetstore.Faults{LateBy: lateWriteDelay}
 	case FaultStoreStale:
 		return fleetstore.Faults{StaleBy: staleReadAge}
-	case FaultStoreDeaf:
+	case FaultStoreSilentWatches:
 		return fleetstore.Faults{DeafWatches: true}
 	}
 	return fleetstore.Faults{Down: true}
@@ -220,14 +221,14 @@
 
 // applyStoreFault sets a fault of the store, which replaces the current one.
 func (w *world) applyStoreFault(a Action, d *Disturbance) {
-	if a.Fault == FaultStoreForget {
+	if a.Fault == FaultStoreDropsHistory {
 		w.store.Forget()
 		return
 	}
 	if a.Fault == FaultStoreRefusesSome {
 		for _, n := range a.Gateways {
-			w.fronts[n].SetFaults(fleetstore.Faults{Down: true})
-			w.endAfter(a.Duration, d, func() { w.fronts[n].SetFaults(fleetstore.Faults{}) })
+			w.storeHandlers[n].SetFaults(fleetstore.Faults{Down: true})
+			w.endAfter(a.Duration, d, func() { w.storeHandlers[n].SetFaults(fleetstore.Faults{}) })
 		}
 		return
 	}
@@ -250,7 +251,7 @@
 }
 
 var engineFaults = map[Fault]fleetengine.Fault{
-	FaultShed: fleetengine.Shed, FaultError: fleetengine.Error, FaultLoseAnswer: fleetengine.LoseAnswer, FaultCut: fleetengine.CutMidEvent,
+	FaultShed: fleetengine.Shed, FaultError: fleetengine.Error, FaultLoseResponse: fleetengine.LoseAnswer, FaultCut: fleetengine.CutMidEvent,
 	FaultStray: fleetengine.StrayFirst, FaultUnsealed: fleetengine.Unsealed, FaultHang: fleetengine.Hang, FaultHangMid: fleetengine.HangMidStream,
 	FaultLateOrders: fleetengine.LateOrders,
 }
--- a/internal/lab/soak/caller.go
+++ b/internal/lab/soak/caller.go
@@ -30,7 +30,8 @@
 	// longPromptShare is the share of streams with long prompts, which one engine prefills and
 	// another decodes.
 	longPromptShare = 0.5
-	promptPrefixes  = 20
+	// promptPrefixes is the number of different prefixes of long prompts.
+	promptPrefixes = 20
 	// shortPromptTokens and longPromptTokens are the tokens in the part that is unique to a prompt.
 	// A long prompt begins with systemTokens that all long prompts share and prefixTokens that
 	// those with the same prefix share.
@@ -180,9 +181,9 @@
 
 // encode returns the request text of a call.
 func (c *client) encode(call *Call) string {
-	r := fleetcaller.Request{ID: call.ID, Path: call.Path, Body: call.Body, Host: hostName, Key: workspaceKey, Wait: call.Timeout}
+	r := fleetcaller.Request{ID: call.ID, Path: call.Path, Body: call.Body, Host: hostName, Key: workspaceKey, Timeout: call.Timeout}
 	if call.Kind.Streams() {
-		r.Prompt = &fleetcaller.Prompt{Model: modelName, Parts: c.promptParts(call), Output: streamEvents}
+		r.Prompt = &fleetcaller.Prompt{Model: modelName, Parts: c.promptParts(call), MaxOutputTokens: streamEvents}
 	}
 	return r.String()
 }
@@ -204,9 +205,9 @@
 
 // readResponse reads the response. keep is true if the connection can be reused.
 func (c *client) readResponse(call *Call) (keep bool, err error) {
-	a, err := fleetcaller.ReadAnswer(c.reader)
+	a, err := fleetcaller.ReadResponse(c.reader)
 	c.w.observed.record(func() {
-		call.Status, call.Sealed, call.ResponseBody, call.Complete = a.Status, a.Sealed, a.Body, a.Whole
+		call.Status, call.Sealed, call.ResponseBody, call.Complete = a.Status, a.Sealed, a.Body, a.Complete
 	})
-	return err == nil && !a.Last, err
+	return err == nil && !a.ClosesConnection, err
 }
--- a/internal/lab/soak/check.go
+++ b/internal/lab/soak/check.go
@@ -65,7 +65,7 @@
 	slices.SortStableFunc(f.Arrivals, func(a, b *Arrival) int { return a.At.Compare(b.At) })
 	for _, a := range f.Arrivals {
 		if a.Ended.IsZero() {
-			a.Ran = !a.Read // the instance never finished it
+			a.Ran = !a.PrefillOnly // the instance never finished the request, so that it may have run
 		}
 		c.arrivals[a.ID] = append(c.arrivals[a.ID], a)
 	}
--- a/internal/lab/soak/check_answers.go
+++ b/internal/lab/soak/check_answers.go
@@ -41,7 +41,7 @@
 			g.addViolation(call.ID, "%s: does not match the expected response: %q", call.ID, tail(call.ResponseBody))
 		case !success && call.Sealed && !c.instanceReturned(call):
 			g.addViolation(call.ID, "%s: sealed response %d that no instance returned", call.ID, call.Status)
-		case call.Err == fleetcaller.ErrExcess.Error():
+		case call.Err == fleetcaller.ErrExtraBytes.Error():
 			g.addViolation(call.ID, "%s: bytes after the response", call.ID)
 		}
 	}
--- a/internal/lab/soak/check_arrivals.go
+++ b/internal/lab/soak/check_arrivals.go
@@ -52,7 +52,7 @@
 	g := Guarantee{Name: "requests run only where a configuration routes them"}
 	for _, a := range c.observed.Arrivals {
 		call := c.calls[a.ID]
-		if call == nil || !a.Ran && !a.Read || a.Status == http.StatusMisdirectedRequest {
+		if call == nil || !a.Ran && !a.PrefillOnly || a.Status == http.StatusMisdirectedRequest {
 			continue // an instance that is not the intended one responds with 421, to a prefill too, and runs nothing
 		}
 		g.Cases++
@@ -67,7 +67,8 @@
 	return g
 }
 
-// withdrawnGetNoWork checks that instances that drain or were deregistered get no new work.
+// withdrawnGetNoWork checks that instances get no new work from undisturbed processes once the
+// drain bound has passed since they started to drain or were deregistered.
 func (c *checker) withdrawnGetNoWork() Guarantee {
 	g := Guarantee{Name: "withdrawn instances get no new work after the drain bound"}
 	withdrawnAt := map[string]time.Time{}
@@ -104,7 +105,7 @@
 }
 
 const (
-	// deadlineSlack is how much an instance's deadline may exceed the client's.
+	// deadlineSlack is how much later than the client's deadline an instance's may be.
 	deadlineSlack = 500 * time.Millisecond
 	// A run may have up to maxLongDeadlines arrivals, or a share of maxLongDeadlineShare of them,
 	// with a longer deadline, by the users' rules.
@@ -122,7 +123,7 @@
 			continue
 		}
 		g.Cases++
-		if !a.Timed || a.At.Add(a.Left).After(call.Sent.Add(call.Timeout+deadlineSlack)) {
+		if !a.HasDeadline || a.At.Add(a.Remaining).After(call.Sent.Add(call.Timeout+deadlineSlack)) {
 			over = append(over, a)
 		}
 	}
@@ -152,7 +153,7 @@
 		}
 		for _, a := range c.arrivals[call.ID] {
 			g.Cases++
-			due := a.At.Add(workTime + streamEvents*eventGap) // it ends on its own
+			due := a.At.Add(workTime + streamEvents*eventGap) // by then, the run has ended on its own
 			switch {
 			case a.At.After(cutoff):
 				after = append(after, a)
--- a/internal/lab/soak/check_budget.go
+++ b/internal/lab/soak/check_budget.go
@@ -13,7 +13,7 @@
 	var out []*Arrival
 	prefilled := false
 	for _, a := range arrivals {
-		if a.Read && a.Status == http.StatusOK && !prefilled {
+		if a.PrefillOnly && a.Status == http.StatusOK && !prefilled {
 			prefilled = true
 			continue
 		}
--- a/internal/lab/soak/check_config.go
+++ b/internal/lab/soak/check_config.go
@@ -50,7 +50,7 @@
 // intendedService returns the service that a request was sent to: that of the instance which it
 // names. Another instance may run at the address meanwhile, which responds with 421.
 func (c *checker) intendedService(a *Arrival) string {
-	if named := c.o.Layout.serviceOf(a.Meant); named != "" {
+	if named := c.o.Layout.serviceOf(a.TargetInstance); named != "" {
 		return named
 	}
 	return a.Service
--- a/internal/lab/soak/check_test.go
+++ b/internal/lab/soak/check_test.go
@@ -36,7 +36,7 @@
 	c.ResponseBody = expected(c)
 	a := &Arrival{
 		Arrival: fleetengine.Arrival{
-			ID: id, Method: http.MethodPost, Path: c.Path, Body: "b", Left: time.Second, Timed: true, Parts: []engine.Part{{ID: ownPart(c), Tokens: 1}},
+			ID: id, Method: http.MethodPost, Path: c.Path, Body: "b", Remaining: time.Second, HasDeadline: true, Parts: []engine.Part{{ID: ownPart(c), Tokens: 1}},
 		},
 		Instance: "i-1", Service: serviceApp, At: at(sent + 0.01), Ended: at(sent + 0.09), Status: http.StatusOK, Ran: true,
 	}
@@ -138,15 +138,15 @@
 		}},
 		"rate limit exceeded": {(*checker).rateLimits, func(f *Observations) {
 			f.Limits = []*Limit{{"i-1", 2, at(36), at(60)}}
-			_, told := f.addAnsweredCall("q", Once, 37)
-			told.ResponseStart, told.RateLimited = told.Ended, true
+			_, notified := f.addAnsweredCall("q", Once, 37)
+			notified.ResponseStart, notified.RateLimited = notified.Ended, true
 			addCalls(f, 18, Once, func(c *Call, _ *Arrival) { c.Gateway = 0 })
 		}},
 		"retry budget exceeded": {(*checker).budget, func(f *Observations) {
 			addCalls(f, 30, Repeat, func(_ *Call, a *Arrival) { f.addRepeat(a, 0.01) })
 		}},
 		"deadlines too late": {(*checker).deadlines, func(f *Observations) {
-			addCalls(f, 21, Once, func(_ *Call, a *Arrival) { a.Left = 9 * time.Second })
+			addCalls(f, 21, Once, func(_ *Call, a *Arrival) { a.Remaining = 9 * time.Second })
 		}},
 		"started after the client disconnected": {(*checker).canceledWorkEnds, func(f *Observations) {
 			addCalls(f, 4, Stream, func(c *Call, a *Arrival) { c.CanceledAt, a.At = c.Sent, c.Sent.Add(time.Second) })
@@ -205,8 +205,9 @@
 	}
 }
 
-// TestUsageWindowReportedTwice covers usage reports, which are not part of the observations.
-func TestUsageWindowReportedTwice(t *testing.T) {
+// TestConflictingUsageReportsAreViolations checks that a usage window may be reported twice, but
+// not with different counts, and that an unreadable report is a violation too.
+func TestConflictingUsageReportsAreViolations(t *testing.T) {
 	c := newChecker(Options{Bounds: DefaultBounds}, sampleObservations(), at(80))
 	report := func(count int) fleetapi.Call {
 		return fleetapi.Call{Report: &fleetapi.Report{Window: 1, Counts: map[string]int{"w": count}}}
@@ -219,18 +220,19 @@
 	require.NotEmpty(t, c.usageWindowsStable().Violations)
 }
 
-// TestReusedAddresses checks that a request which reaches another instance than the one it names
-// counts as an observation of the configuration by which it was sent.
-func TestReusedAddresses(t *testing.T) {
+// TestMisdirectedRequestShowsConfigOfNamedInstance checks that a request which reaches another
+// instance than the one it names counts as an observation of the configuration by which it was
+// sent.
+func TestMisdirectedRequestShowsConfigOfNamedInstance(t *testing.T) {
 	f := sampleObservations()
 	_, a := f.addAnsweredCall("r", Mark, 40)
 	a.Service, a.Status, a.Ran = serviceApp, http.StatusMisdirectedRequest, false
 	newest := 3 + markService0
-	a.Meant = instanceID(newest, 1)
+	a.TargetInstance = instanceID(newest, 1)
 	c := newChecker(Options{Bounds: DefaultBounds, Processes: 2}, f, at(80))
 	require.Empty(t, c.configurationInForce().Violations)
 	require.Empty(t, c.configurationMonotonic().Violations)
-	a.Meant = instanceID(newest-1, 1)
+	a.TargetInstance = instanceID(newest-1, 1)
 	require.NotEmpty(t, c.configurationInForce().Violations)
 }
 
@@ -259,8 +261,8 @@
 	f.Limits = []*Limit{{"i-1", 2, at(36), at(60)}}
 	addCalls(f, 18, Once, func(*Call, *Arrival) {})
 	require.Empty(t, newChecker(Options{Bounds: DefaultBounds}, f, at(80)).rateLimits().Violations)
-	_, told := f.addAnsweredCall("q", Once, 37)
-	told.ResponseStart, told.RateLimited = told.Ended, true
+	_, notified := f.addAnsweredCall("q", Once, 37)
+	notified.ResponseStart, notified.RateLimited = notified.Ended, true
 	require.Len(t, newChecker(Options{Bounds: DefaultBounds}, f, at(80)).rateLimits().Violations, 1)
 	f.Disturbances = []*Disturbance{{Fault: FaultFreeze, Gateways: []int{0}, From: at(38), To: at(39)}}
 	require.Empty(t, newChecker(Options{Bounds: DefaultBounds}, f, at(80)).rateLimits().Violations)
@@ -272,11 +274,11 @@
 func TestMisdirectedPromptIsNoViolation(t *testing.T) {
 	f := sampleObservations()
 	_, a := f.addAnsweredCall("r", StreamOnce, 40)
-	read := *a
-	read.At, read.Read, read.Ran, read.Status, read.Service, read.Meant = at(39.9), true, false, http.StatusMisdirectedRequest, serviceApp, "i-8-1"
-	f.Arrivals = append(f.Arrivals, &read)
+	prefill := *a
+	prefill.At, prefill.PrefillOnly, prefill.Ran, prefill.Status, prefill.Service, prefill.TargetInstance = at(39.9), true, false, http.StatusMisdirectedRequest, serviceApp, "i-8-1"
+	f.Arrivals = append(f.Arrivals, &prefill)
 	require.Empty(t, newChecker(Options{Bounds: DefaultBounds}, f, at(80)).routedAsConfigured().Violations)
-	read.Status = http.StatusOK
+	prefill.Status = http.StatusOK
 	require.Len(t, newChecker(Options{Bounds: DefaultBounds}, f, at(80)).routedAsConfigured().Violations, 1)
 }
 
--- a/internal/lab/soak/grown.go
+++ b/internal/lab/soak/grown.go
@@ -15,9 +15,9 @@
 	// another watcher if one is stale for longer.
 	meanWatcherFaultInterval = 2 * time.Second
 	maxWatcherFault          = 2500 * time.Millisecond
-	// storeFaultsShare is the first part of a run, in which faults of the store affect all
-	// processes. No time bound applies to any process then: with such faults throughout the run, no
-	// arrival could be checked.
+	// storeFaultsShare is the fraction of a run, from its start, in which faults of the store
+	// affect all processes. No time bound applies to any process then: with such faults throughout
+	// the run, no arrival could be checked against a time bound.
 	storeFaultsShare = 0.25
 	// maxRestores limits how often a run restores the store from an older snapshot, maxSnapshotAge
 	// the age of the snapshot. Within rewriteTime, the operator and the instances write their
--- a/internal/lab/soak/instances.go
+++ b/internal/lab/soak/instances.go
@@ -97,7 +97,7 @@
 	if p.Service == serviceModels {
 		e.Events, e.Gap = streamEvents, eventGap
 	}
-	e.Changed = func(stage string) { p.register(e, stage) }
+	e.OnStageChange = func(stage string) { p.register(e, stage) }
 	p.current, p.draining, p.deregistered = e, false, false
 	p.mu.Unlock()
 	p.register(e, p.Stage)
@@ -142,14 +142,14 @@
 
 // crash aborts all connections and starts a new instance with another ID. The registration of the
 // old one expires after the given time.
-func (p *place) crash(lapse time.Duration) {
-	if p.terminate(lapse) {
+func (p *place) crash(expiry time.Duration) {
+	if p.terminate(expiry) {
 		p.startAt(p.address)
 	}
 }
 
 // terminate ends the current instance. It returns false if none is running.
-func (p *place) terminate(lapse time.Duration) bool {
+func (p *place) terminate(expiry time.Duration) bool {
 	p.mu.Lock()
 	old, server, listener := p.current, p.server, p.listener
 	p.server = nil
@@ -160,7 +160,7 @@
 	p.w.observed.record(func() { p.w.markAborted(old.ID) }) // before the in-flight requests end
 	_ = listener.Close()                                    // the next instance listens here
 	_ = server.Close()                                      // aborts the open connections on purpose
-	p.w.runAfter(lapse, func() {
+	p.w.runAfter(expiry, func() {
 		p.w.store.Deregister(old.ID)
 		p.recordWithdrawal(old.ID)
 	})
@@ -225,7 +225,7 @@
 		p.serveOrder(e, w, r, body)
 		return
 	}
-	a := fleetengine.ReadArrival(r, body)
+	a := fleetengine.ParseArrival(r, body)
 	if a.ID == "" {
 		e.ServeHTTP(w, r) // not a client's request
 		return
@@ -234,7 +234,7 @@
 }
 
 func (p *place) serveOrder(e *fleetengine.Engine, w http.ResponseWriter, r *http.Request, body []byte) {
-	in, err := fleetengine.ReadOrder(body)
+	in, err := fleetengine.ParseOrder(body)
 	if err != nil {
 		in.Holder = "unreadable"
 	}
@@ -251,8 +251,8 @@
 	defer func() {
 		p.w.observed.record(func() {
 			a.Ended, a.Status, a.Aborted = time.Now(), rec.status, a.Aborted || !done
-			a.ResponseStart, a.RateLimited = rec.responseStart, fleetengine.NamesLimit(rec.Header())
-			a.Ran = !a.Read && !fleetengine.NotRun(rec.status, rec.Header())
+			a.ResponseStart, a.RateLimited = rec.responseStart, fleetengine.StatesRateLimit(rec.Header())
+			a.Ran = !a.PrefillOnly && !fleetengine.NotRun(rec.status, rec.Header())
 		})
 	}()
 	e.ServeHTTP(rec, r)
--- a/internal/lab/soak/instances_test.go
+++ b/internal/lab/soak/instances_test.go
@@ -42,14 +42,14 @@
 	for range 20 {
 		conn, err := net.Dial("tcp", p.address)
 		require.NoError(t, err)
-		request := fleetcaller.Request{ID: "r", Path: "/stream/1", Host: p.address, Body: "x", Wait: time.Minute}
+		request := fleetcaller.Request{ID: "r", Path: "/stream/1", Host: p.address, Body: "x", Timeout: time.Minute}
 		_, err = io.WriteString(conn, request.String())
 		require.NoError(t, err)
 		reader := bufio.NewReader(conn)
 		_, err = reader.Peek(1) // the response has begun
 		require.NoError(t, err)
 		p.crash(0)
-		response, err := fleetcaller.ReadAnswer(reader)
+		response, err := fleetcaller.ReadResponse(reader)
 		require.Error(t, err)
 		require.Equal(t, http.StatusOK, response.Status)
 		require.NoError(t, conn.Close())
--- a/internal/lab/soak/layout.go
+++ b/internal/lab/soak/layout.go
@@ -160,9 +160,9 @@
 
 func (s *siteFile) setBounds(b *Bounds) {
 	for _, v := range []struct {
-		to   *time.Duration
-		text float64
-		unit time.Duration
+		to    *time.Duration
+		value float64
+		unit  time.Duration
 	}{
 		{&b.Drain, s.Bounds.DrainMs, time.Millisecond},
 		{&b.Apply, s.Bounds.ConfigMs, time.Millisecond},
@@ -170,8 +170,8 @@
 		{&b.Grace, s.Bounds.GraceS, time.Second},
 		{&b.Recovery, s.Bounds.RecoverS, time.Second},
 	} {
-		if v.text > 0 {
-			*v.to = time.Duration(v.text * float64(v.unit))
+		if v.value > 0 {
+			*v.to = time.Duration(v.value * float64(v.unit))
 		}
 	}
 }
--- a/internal/lab/soak/leases_test.go
+++ b/internal/lab/soak/leases_test.go
@@ -25,26 +25,26 @@
 // the candidate that then lost the duties had first taken the lease of former versions ("roles"),
 // under a higher token. The check treated every lease as that of the duties, and the loser's token
 // 2 as the successor of the holder's token 1.
-func TestLosingCandidateIsNotCountedAsHolder(t *testing.T) {
+func TestCandidateWithFormerLeaseIsNotDutyHolder(t *testing.T) {
 	w, err := newWorld(context.Background(), Options{Dir: t.TempDir(), Bounds: DefaultBounds, Processes: 2})
 	require.NoError(t, err)
 	defer w.close()
-	looked, held := make(chan struct{}), make(chan struct{})
+	dutiesRead, dutiesTaken := make(chan struct{}), make(chan struct{})
 	var once sync.Once
 	loser := startCandidate(t, "gateway-0", func(rw http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/objects/rockdoor-leases/duties":
-			defer once.Do(func() { close(looked) })
+			defer once.Do(func() { close(dutiesRead) })
 		case "/objects/rockdoor-leases/roles":
-			<-held
+			<-dutiesTaken
 		}
 		w.store.ServeHTTP(rw, r)
 	})
-	<-looked // the candidate has found that nobody holds the duties
+	<-dutiesRead // the candidate has found that nobody holds the duties
 	holder := startCandidate(t, "gateway-1", w.store.ServeHTTP)
 	require.Eventually(t, func() bool { g, ok := holder.Grant(); return ok && g.Token == 1 }, 10*time.Second, pollInterval)
 	ordered := time.Now()
-	close(held)
+	close(dutiesTaken)
 	require.Eventually(t, func() bool { return formerHolder(t, w) == "gateway-0" }, 10*time.Second, pollInterval)
 	_, ok := loser.Grant()
 	require.False(t, ok)
--- a/internal/lab/soak/limits.go
+++ b/internal/lab/soak/limits.go
@@ -78,18 +78,18 @@
 // rateLimits checks that all processes together send an instance no more than the rate that it
 // announces.
 func (c *checker) rateLimits() Guarantee {
-	p := Guarantee{Name: "all processes together keep the rate limit that an instance announces"}
+	g := Guarantee{Name: "all processes together keep the rate limit that an instance announces"}
 	judged := 0
 	for _, l := range c.observed.Limits {
 		counted := c.judgedArrivals(l)
 		judged += len(counted)
 		if l.To.Sub(l.From) > c.o.Bounds.ContactTime && len(counted) > 0 {
-			p.Cases++
+			g.Cases++
 		}
-		c.checkRateLimit(&p, l, counted)
+		c.checkRateLimit(&g, l, counted)
 	}
-	p.Closest = " (" + strconv.Itoa(judged) + " arrivals judged)"
-	return p
+	g.Closest = " (" + strconv.Itoa(judged) + " arrivals judged)"
+	return g
 }
 
 // judgedArrivals returns the arrivals at an instance that count towards its limit, in order: those
@@ -114,14 +114,14 @@
 }
 
 // checkRateLimit checks each window that ends with an arrival.
-func (c *checker) checkRateLimit(p *Guarantee, l *Limit, counted []*Arrival) {
+func (c *checker) checkRateLimit(g *Guarantee, l *Limit, counted []*Arrival) {
 	allowed := limitFactor*l.Rate*limitWindow.Seconds() + limitSlack
 	for n, first := 0, 0; n < len(counted); n++ {
 		for counted[n].At.Sub(counted[first].At) >= limitWindow {
 			first++
 		}
 		if got := n - first + 1; float64(got) > allowed && counted[n].At.Sub(l.From) >= c.o.Bounds.ContactTime {
-			p.addViolation(counted[n].ID, "%s: %s announced a limit of %.1f requests per second and got %d in %s", counted[n].ID, l.Instance, l.Rate, got, limitWindow).addLogPatterns("instance=" + l.Instance)
+			g.addViolation(counted[n].ID, "%s: %s announced a limit of %.1f requests per second and got %d in %s", counted[n].ID, l.Instance, l.Rate, got, limitWindow).addLogPatterns("instance=" + l.Instance)
 			return
 		}
 	}
--- a/internal/lab/soak/memory_test.go
+++ b/internal/lab/soak/memory_test.go
@@ -75,7 +75,7 @@
 	conn, err := net.Dial("tcp", g.address(portClients))
 	require.NoError(t, err)
 	require.NoError(t, conn.(*net.TCPConn).SetReadBuffer(slowBuffer))
-	r := fleetcaller.Request{ID: fmt.Sprint("slow-", number), Path: fmt.Sprintf("/%s/%d", Repeat, number), Host: hostName, Key: workspaceKey, Wait: callTimeout}
+	r := fleetcaller.Request{ID: fmt.Sprint("slow-", number), Path: fmt.Sprintf("/%s/%d", Repeat, number), Host: hostName, Key: workspaceKey, Timeout: callTimeout}
 	_, err = io.WriteString(conn, r.String())
 	require.NoError(t, err)
 	return conn
--- a/internal/lab/soak/observations.go
+++ b/internal/lab/soak/observations.go
@@ -52,6 +52,7 @@
 	Unsent bool
 	// Status is 0 if no response header was received.
 	Status int
+	// Sealed is true if the response has a seal, which only instances add.
 	Sealed bool
 	// Complete is true if the framing of the response says that it is complete.
 	Complete     bool
--- a/internal/lab/soak/options.go
+++ b/internal/lab/soak/options.go
@@ -77,15 +77,16 @@
 	// Lease is the time that must pass between orders of two different holders. DelayedDelivery is
 	// how long after the end of a freeze or a network partition delayed messages may still arrive.
 	Lease, DelayedDelivery time.Duration
-	// RetryRatio, RetrySlack and RetryWindow define the retry budget: the arrivals of a request
-	// beyond its first.
+	// RetryRatio, RetrySlack and RetryWindow define the retry budget: within a RetryWindow, the
+	// arrivals beyond the first of each request may number RetryRatio times the requests, plus
+	// RetrySlack.
 	RetryRatio, RetrySlack float64
 	RetryWindow            time.Duration
 	// WorkAfterCancel is how long work for a client may start or continue after the client has
 	// disconnected.
 	WorkAfterCancel time.Duration
-	// UnansweredRead is how long a request may have been read when its connection is closed without
-	// a response at a planned stop.
+	// UnansweredRead applies to planned stops: a process may close a connection without a response
+	// up to this long after the request was sent, if no instance has received the request.
 	UnansweredRead time.Duration
 	// Recovery is the time after the last fault within which requests must be served again.
 	Recovery time.Duration
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -179,7 +179,7 @@
 		return
 	}
 	if err := g.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		g.w.recordFailure(fmt.Errorf("signal %s to %s: %w", s, g.name(), err))
+		g.w.recordFailure(fmt.Errorf("cannot send signal %s to %s: %w", s, g.name(), err))
 	}
 }
 
--- a/internal/lab/soak/schedule.go
+++ b/internal/lab/soak/schedule.go
@@ -31,37 +31,37 @@
 
 // Faults of the store.
 const (
-	FaultStoreDown        Fault = "store-down"   // every call gets an error
-	FaultStoreSilent      Fault = "store-silent" // no call gets a response
-	FaultStoreSlow        Fault = "store-slow"
-	FaultStoreLoses       Fault = "store-loses-answers"   // writes are carried out, but their responses are lost
-	FaultStoreLate        Fault = "store-late-writes"     // like FaultStoreLoses, and writes are carried out late
-	FaultStoreDeaf        Fault = "store-deaf-watches"    // watches stay open without reporting changes
-	FaultStoreForget      Fault = "store-forgets"         // the history is dropped, so that watches have to list again
-	FaultStoreRefusesSome Fault = "store-turns-some-away" // the store is down for some processes only
-	FaultStoreStale       Fault = "store-stale"           // reads that accept stale data get old data
+	FaultStoreDown          Fault = "store-down"   // every call gets an error
+	FaultStoreSilent        Fault = "store-silent" // no call gets a response
+	FaultStoreSlow          Fault = "store-slow"
+	FaultStoreLoses         Fault = "store-loses-answers"   // writes are carried out, but their responses are lost
+	FaultStoreLate          Fault = "store-late-writes"     // like FaultStoreLoses, and writes are carried out late
+	FaultStoreSilentWatches Fault = "store-deaf-watches"    // watches stay open without reporting changes
+	FaultStoreDropsHistory  Fault = "store-forgets"         // the history is dropped, so that watches have to list again
+	FaultStoreRefusesSome   Fault = "store-turns-some-away" // the store is down for some processes only
+	FaultStoreStale         Fault = "store-stale"           // reads that accept stale data get old data
 	// FaultStoreRestore restores the store from an older snapshot.
 	FaultStoreRestore Fault = "store-restored"
 )
 
 // Faults of instances and of the platform's API.
 const (
-	FaultShed       Fault = "instance-sheds"
-	FaultError      Fault = "instance-errors"
-	FaultLoseAnswer Fault = "instance-loses-answers"
-	FaultCut        Fault = "instance-cuts"             // streams are truncated in the middle of an event
-	FaultStray      Fault = "instance-strays"           // a response to another request comes first
-	FaultUnsealed   Fault = "instance-unsealed"         // the response has no seal
-	FaultHang       Fault = "instance-hangs"            // requests run without a response
-	FaultHangMid    Fault = "instance-hangs-mid-stream" // streams stop after their first event
-	FaultLateOrders Fault = "instance-late-orders"      // orders get no response and are carried out late
-	FaultCrash      Fault = "instance-crash"
-	FaultDrain      Fault = "instance-drains"         // announces that it drains, and ends later
-	FaultRemove     Fault = "instance-removed"        // is deregistered, and ends later
-	FaultReuse      Fault = "instance-address-reused" // two instances end and new ones swap their addresses
-	FaultShedAll    Fault = "service-sheds"
-	FaultShedSome   Fault = "service-sheds-some" // every n-th request of a service is rejected
-	FaultAPI        Fault = "api-loses-answers"
+	FaultShed         Fault = "instance-sheds"            // requests are rejected with 503 and do not run
+	FaultError        Fault = "instance-errors"           // requests run and get a response with status 500
+	FaultLoseResponse Fault = "instance-loses-answers"    // requests run, and their connections are closed without a response
+	FaultCut          Fault = "instance-cuts"             // streams are truncated in the middle of an event
+	FaultStray        Fault = "instance-strays"           // a response to another request comes first
+	FaultUnsealed     Fault = "instance-unsealed"         // the response has no seal
+	FaultHang         Fault = "instance-hangs"            // requests run without a response
+	FaultHangMid      Fault = "instance-hangs-mid-stream" // streams stop after their first event
+	FaultLateOrders   Fault = "instance-late-orders"      // orders get no response and are carried out late
+	FaultCrash        Fault = "instance-crash"
+	FaultDrain        Fault = "instance-drains"         // announces that it drains, and ends later
+	FaultRemove       Fault = "instance-removed"        // is deregistered, and ends later
+	FaultReuse        Fault = "instance-address-reused" // two instances end and new ones swap their addresses
+	FaultShedAll      Fault = "service-sheds"           // all requests of a service are rejected
+	FaultShedSome     Fault = "service-sheds-some"      // every n-th request of a service is rejected
+	FaultAPI          Fault = "api-loses-answers"       // calls are carried out, but their responses are lost
 )
 
 // FaultConfig is a configuration change.
@@ -306,8 +306,8 @@
 	{1, storeFault(FaultStoreSlow)},
 	{2, storeFault(FaultStoreLoses)},
 	{1, storeFault(FaultStoreLate)},
-	{1, storeFault(FaultStoreDeaf)},
-	{2, storeFault(FaultStoreForget)},
+	{1, storeFault(FaultStoreSilentWatches)},
+	{2, storeFault(FaultStoreDropsHistory)},
 	{2, storeFault(FaultStoreStale)},
 	{2, func(s *scheduleBuilder) Action {
 		a := storeFault(FaultStoreRefusesSome)(s)
@@ -320,7 +320,7 @@
 
 func streamsResponses(service string) bool { return service == serviceModels }
 
-func respondsWhole(service string) bool { return service != serviceModels }
+func respondsWithoutStreaming(service string) bool { return service != serviceModels }
 
 // instanceFault returns a generator of faults of one instance, whose service meets the condition.
 func instanceFault(f Fault, count int, suits func(service string) bool) func(*scheduleBuilder) Action {
@@ -345,9 +345,9 @@
 var instanceActions = []weightedAction{
 	{2, instanceFault(FaultShed, maxFailedRequests, anyService)},
 	{2, instanceFault(FaultError, maxFailedRequests, anyService)},
-	{2, instanceFault(FaultLoseAnswer, maxFailedRequests, anyService)},
+	{2, instanceFault(FaultLoseResponse, maxFailedRequests, anyService)},
 	{3, instanceFault(FaultCut, maxFailedRequests, streamsResponses)},
-	{2, instanceFault(FaultStray, maxFailedRequests, respondsWhole)},
+	{2, instanceFault(FaultStray, maxFailedRequests, respondsWithoutStreaming)},
 	{2, instanceFault(FaultUnsealed, maxFailedRequests, anyService)},
 	{2, instanceFault(FaultHang, maxFailedRequests, anyService)},
 	{2, instanceFault(FaultHangMid, maxFailedRequests, streamsResponses)},
--- a/internal/lab/soak/touch.go
+++ b/internal/lab/soak/touch.go
@@ -6,7 +6,7 @@
 )
 
 // storeWideFaults are the faults of the store that affect all processes.
-var storeWideFaults = []Fault{FaultStoreDown, FaultStoreSilent, FaultStoreSlow, FaultStoreLoses, FaultStoreLate, FaultStoreDeaf, FaultStoreForget, FaultStoreStale, FaultStoreRestore}
+var storeWideFaults = []Fault{FaultStoreDown, FaultStoreSilent, FaultStoreSlow, FaultStoreLoses, FaultStoreLate, FaultStoreSilentWatches, FaultStoreDropsHistory, FaultStoreStale, FaultStoreRestore}
 
 // plannedChanges do not disturb a process: time bounds apply during them.
 var plannedChanges = []Fault{FaultConfig, FaultReload}
--- a/internal/lab/soak/world.go
+++ b/internal/lab/soak/world.go
@@ -27,16 +27,17 @@
 	balancerMisses   = 2
 )
 
-// world holds the gateway processes and everything around them.
+// world is the environment of a run: the gateway processes, their clients' links, the stand-ins and
+// the observations.
 type world struct {
-	o        Options
-	subnet   string
-	observed *Observations
-	store    *fleetstore.Server
-	api      *fleetapi.Server
-	fronts   []*fleetstore.Front
-	places   []*place
-	gateways []*gateway
+	o             Options
+	subnet        string
+	observed      *Observations
+	store         *fleetstore.Server
+	api           *fleetapi.Server
+	storeHandlers []*fleetstore.ClientHandler
+	places        []*place
+	gateways      []*gateway
 
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -67,7 +68,7 @@
 	}
 	w.eventLog = events
 	w.ctx, w.cancel = context.WithCancel(ctx)
-	w.store.Observe(w.recordLease)
+	w.store.SetObserver(w.recordLease)
 	if o.Layout.isCustom() {
 		w.store.SetEra(1) // its schedule restores the store from older snapshots
 	}
@@ -81,7 +82,7 @@
 	for n := range o.Processes {
 		g := newGateway(w, n)
 		w.gateways = append(w.gateways, g)
-		w.fronts = append(w.fronts, w.store.Front(g.name(), w.linkAddresses(g)))
+		w.storeHandlers = append(w.storeHandlers, w.store.HandlerFor(g.name(), w.linkAddresses(g)))
 	}
 	return w, nil
 }
@@ -146,7 +147,7 @@
 	l, err := NewLink(from, to, target, func(local string) { w.recordSender(local, from) })
 	if err != nil {
 		if w.failure == nil {
-			w.failure = fmt.Errorf("link from %s to %s: %w", from, to, err)
+			w.failure = fmt.Errorf("cannot create link from %s to %s: %w", from, to, err)
 		}
 		return &Link{Address: target}
 	}
@@ -201,7 +202,7 @@
 		return err
 	}
 	for _, g := range w.gateways {
-		address, err := w.serve(w.fronts[g.number])
+		address, err := w.serve(w.storeHandlers[g.number])
 		if err != nil {
 			return err
 		}
--- a/internal/standin/engined/engined.go
+++ b/internal/standin/engined/engined.go
@@ -87,8 +87,8 @@
 	// crashedInOrder is true from a simulated crash until the next reset.
 	crashedInOrder bool
 	models         []string
-	// runsCtx is the parent of all running requests, which abortRuns ends: a change of the role drops
-	// them.
+	// runsCtx is the parent context of all running requests. abortRuns cancels it, which aborts the
+	// requests, when an order changes the role and when the engine is closed.
 	abortRuns     context.CancelFunc
 	runsCtx       context.Context
 	statusHistory []engine.Status
@@ -262,8 +262,8 @@
 	writeJSON(w, http.StatusOK, openai.KVExport{KV: s.opts.Name + "/" + id, PromptTokens: tokens})
 }
 
-// runContext returns a context that is cancelled with the request or when the engine drops all its
-// requests, and the context that is cancelled only in the second case.
+// runContext returns a context that is cancelled with the request or when the engine aborts all
+// running requests, and the context that is cancelled only when it aborts them.
 func (s *Server) runContext(ctx context.Context) (run, all context.Context) {
 	s.mu.Lock()
 	all = s.runsCtx
--- a/internal/standin/engined/scheduler.go
+++ b/internal/standin/engined/scheduler.go
@@ -76,7 +76,8 @@
 	priority         int
 	remainingPrefill int // prompt tokens still to be prefilled
 	remainingDecode  int // tokens still to be generated
-	ready            chan struct{}
+	// ready receives one value for each generated token.
+	ready chan struct{}
 }
 
 // scheduler simulates continuous batching. Sequences with a higher priority run first.
@@ -94,8 +95,7 @@
 	return s
 }
 
-// enqueue adds a sequence to the queue. The sequence's ready channel receives one value
-// for each generated token.
+// enqueue adds a sequence to the queue and creates its ready channel.
 func (s *scheduler) enqueue(q *sequence) {
 	q.ready = make(chan struct{}, q.remainingDecode)
 	s.mu.Lock()
--- a/internal/standin/fleetcaller/fleetcaller.go
+++ b/internal/standin/fleetcaller/fleetcaller.go
@@ -14,16 +14,16 @@
 	"github.com/rockdoor/rockdoor/engine"
 )
 
-// ErrExcess reports that a connection delivered bytes beyond the end of the response.
-var ErrExcess = errors.New("bytes after the answer")
+// ErrExtraBytes reports that a connection delivered bytes beyond the end of the response.
+var ErrExtraBytes = errors.New("bytes after the response")
 
 // Request is a request of a client.
 type Request struct {
 	ID, Path, Body string
 	// Host is the value of the Host header. Key is the API key of the client's workspace.
 	Host, Key string
-	// Wait is the client timeout. The request states it as its deadline.
-	Wait time.Duration
+	// Timeout is the client timeout. The request states it as its deadline.
+	Timeout time.Duration
 	// Prompt is nil for requests that go to a backend server instead of an engine.
 	Prompt *Prompt
 }
@@ -32,14 +32,14 @@
 type Prompt struct {
 	Model string
 	Parts []engine.Part
-	// Output is the maximum number of generated tokens.
-	Output int
+	// MaxOutputTokens is the maximum number of generated tokens.
+	MaxOutputTokens int
 }
 
 // String returns the request in HTTP/1.1 wire format.
 func (r *Request) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "POST %s HTTP/1.1\r\nHost: %s\r\nX-Request-Id: %s\r\nX-Deadline-Ms: %d\r\nApi-Key: %s\r\n", r.Path, r.Host, r.ID, r.Wait.Milliseconds(), r.Key)
+	fmt.Fprintf(&b, "POST %s HTTP/1.1\r\nHost: %s\r\nX-Request-Id: %s\r\nX-Deadline-Ms: %d\r\nApi-Key: %s\r\n", r.Path, r.Host, r.ID, r.Timeout.Milliseconds(), r.Key)
 	if r.Prompt != nil {
 		b.WriteString(r.Prompt.header())
 	}
@@ -54,7 +54,7 @@
 		tokens += part.Tokens
 		parts = append(parts, fmt.Sprintf("%s:%d", part.ID, part.Tokens))
 	}
-	return fmt.Sprintf("X-Model: %s\r\nX-Token-Count: %d,%d\r\nX-Prompt-Prefix: %s\r\n", p.Model, tokens, p.Output, strings.Join(parts, ","))
+	return fmt.Sprintf("X-Model: %s\r\nX-Token-Count: %d,%d\r\nX-Prompt-Prefix: %s\r\n", p.Model, tokens, p.MaxOutputTokens, strings.Join(parts, ","))
 }
 
 // Response is a response as a client receives it.
@@ -64,15 +64,15 @@
 	// Sealed is true if the response has a seal, which only instances add.
 	Sealed bool
 	Body   string
-	// Whole is true if the body was received up to its end as HTTP delimits it.
-	Whole bool
-	// Last is true if the server closes the connection after the response.
-	Last bool
+	// Complete is true if the body was received up to its end as HTTP delimits it.
+	Complete bool
+	// ClosesConnection is true if the server closes the connection after the response.
+	ClosesConnection bool
 }
 
-// ReadAnswer reads the response to one request. If it fails, it also returns the part of the
+// ReadResponse reads the response to one request. If it fails, it also returns the part of the
 // response that was received.
-func ReadAnswer(r *bufio.Reader) (Response, error) {
+func ReadResponse(r *bufio.Reader) (Response, error) {
 	resp, err := http.ReadResponse(r, &http.Request{Method: http.MethodPost})
 	if err != nil {
 		return Response{}, err
@@ -80,10 +80,10 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	out := Response{
-		Status: resp.StatusCode, Sealed: resp.Header.Get("X-Response-Seal") != "", Body: string(body), Whole: err == nil, Last: resp.Close,
+		Status: resp.StatusCode, Sealed: resp.Header.Get("X-Response-Seal") != "", Body: string(body), Complete: err == nil, ClosesConnection: resp.Close,
 	}
 	if err == nil && r.Buffered() > 0 {
-		err = ErrExcess
+		err = ErrExtraBytes
 	}
 	return out, err
 }
--- a/internal/standin/fleetengine/arrival.go
+++ b/internal/standin/fleetengine/arrival.go
@@ -33,24 +33,25 @@
 	// ID is the ID of a client's request, empty for other calls.
 	ID                 string
 	Method, Path, Body string
-	// Meant is the ID of the instance that the call is intended for, empty if the call states none.
-	Meant string
-	// Left is the time remaining until the client timeout. Timed is false, and Left is 0, if the
-	// call states no valid deadline.
-	Left  time.Duration
-	Timed bool
-	// Read is true for a call that asks only for the prefill of the prompt.
-	Read  bool
-	Parts []engine.Part
+	// TargetInstance is the ID of the instance that the call is intended for, empty if the call
+	// states none.
+	TargetInstance string
+	// Remaining is the time until the client timeout. HasDeadline is false, and Remaining is 0, if
+	// the call states no valid deadline.
+	Remaining   time.Duration
+	HasDeadline bool
+	// PrefillOnly is true for a call that asks only for the prefill of the prompt.
+	PrefillOnly bool
+	Parts       []engine.Part
 }
 
-// ReadArrival parses the path and the headers of a call. Body is the body of r, which the caller has
+// ParseArrival parses the path and the headers of a call. Body is the body of r, which the caller has
 // already read.
-func ReadArrival(r *http.Request, body []byte) Arrival {
-	left, err := time.ParseDuration(r.Header.Get("X-Deadline-Ms") + "ms")
+func ParseArrival(r *http.Request, body []byte) Arrival {
+	remaining, err := time.ParseDuration(r.Header.Get("X-Deadline-Ms") + "ms")
 	return Arrival{
-		ID: r.Header.Get(headerRequestID), Method: r.Method, Path: r.RequestURI, Body: string(body), Meant: r.Header.Get("X-Expect-Instance"),
-		Left: left, Timed: err == nil, Read: r.Header.Get("X-Serving-Stage") == StagePrefill, Parts: parseParts(r.Header),
+		ID: r.Header.Get(headerRequestID), Method: r.Method, Path: r.RequestURI, Body: string(body), TargetInstance: r.Header.Get("X-Expect-Instance"),
+		Remaining: remaining, HasDeadline: err == nil, PrefillOnly: r.Header.Get("X-Serving-Stage") == StagePrefill, Parts: parseParts(r.Header),
 	}
 }
 
@@ -66,22 +67,25 @@
 	return out
 }
 
-// isTarget reports whether a call is intended for this instance. A call that states no instance is.
-func (e *Engine) isTarget(a Arrival) bool { return a.Meant == "" || a.Meant == e.ID }
+// isTarget reports whether a call is intended for this instance. A call that states no instance is
+// intended for every instance.
+func (e *Engine) isTarget(a Arrival) bool {
+	return a.TargetInstance == "" || a.TargetInstance == e.ID
+}
 
 // NotRun reports whether a response states that the request was not run.
 func NotRun(status int, h http.Header) bool {
 	return status == http.StatusMisdirectedRequest || h.Get(headerNotRun) != ""
 }
 
-// NamesLimit reports whether the headers of a response state a rate limit.
-func NamesLimit(h http.Header) bool { return h.Get(headerRateLimit) != "" }
+// StatesRateLimit reports whether the headers of a response state a rate limit.
+func StatesRateLimit(h http.Header) bool { return h.Get(headerRateLimit) != "" }
 
 // IsOrder reports whether a call is an order to change the stage.
 func IsOrder(r *http.Request) bool { return r.URL.Path == "/order" }
 
-// ReadOrder decodes the body of an order.
-func ReadOrder(body []byte) (Order, error) {
+// ParseOrder decodes the body of an order.
+func ParseOrder(body []byte) (Order, error) {
 	var o Order
 	err := json.Unmarshal(body, &o)
 	return o, err
--- a/internal/standin/fleetengine/fleetengine.go
+++ b/internal/standin/fleetengine/fleetengine.go
@@ -71,8 +71,8 @@
 	Work, Gap time.Duration
 	// Padding is the number of filler bytes at the end of a plain response.
 	Padding int
-	// Changed is called after each change of the stage. It may be nil.
-	Changed func(stage string)
+	// OnStageChange is called after each change of the stage. It may be nil.
+	OnStageChange func(stage string)
 	// ShuttingDown makes the engine state in its responses that it is shutting down. Rest is the
 	// Retry-After of each shed request, 0 for none. Both are set before the engine is used;
 	// afterwards, SetLeaving sets ShuttingDown.
@@ -251,12 +251,12 @@
 
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
-	o, oerr := ReadOrder(body)
+	o, oerr := ParseOrder(body)
 	if err != nil || oerr != nil || o.Holder == "" || o.Token == 0 {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if !e.isTarget(ReadArrival(r, body)) {
+	if !e.isTarget(ParseArrival(r, body)) {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -283,8 +283,8 @@
 		e.mu.Lock()
 		e.stage, e.changingStage = o.Stage, false
 		e.mu.Unlock()
-		if e.Changed != nil {
-			e.Changed(o.Stage)
+		if e.OnStageChange != nil {
+			e.OnStageChange(o.Stage)
 		}
 	})
 	return http.StatusAccepted
@@ -301,7 +301,7 @@
 	if err != nil {
 		return
 	}
-	a := ReadArrival(r, body)
+	a := ParseArrival(r, body)
 	run := Run{At: time.Now(), ID: a.ID, Path: a.Path, Header: r.Header.Clone(), Body: a.Body, LastEvent: r.Header.Get("Last-Event-Id")}
 	if !e.isTarget(a) {
 		w.WriteHeader(http.StatusMisdirectedRequest)
@@ -317,7 +317,7 @@
 		return
 	}
 	w.Header().Set(headerRequestID, a.ID)
-	if a.Read {
+	if a.PrefillOnly {
 		if fault == Hang {
 			<-r.Context().Done()
 			return
--- a/internal/standin/fleetstore/fleetstore.go
+++ b/internal/standin/fleetstore/fleetstore.go
@@ -103,9 +103,9 @@
 	Deleted    bool
 }
 
-// Observe sets the function that is called for every change, in order. The function must not use
+// SetObserver sets the function that is called for every change, in order. The function must not use
 // the store. Observe must be called before the first change.
-func (s *Server) Observe(f func(Change)) { s.observer = f }
+func (s *Server) SetObserver(f func(Change)) { s.observer = f }
 
 // New returns an empty store.
 func New() *Server {
@@ -284,7 +284,7 @@
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.Front("", Addresses{}).ServeHTTP(w, r)
+	s.HandlerFor("", Addresses{}).ServeHTTP(w, r)
 }
 
 // eventsAfter returns the events of a kind with a revision above since and up to upTo. The caller
--- a/internal/standin/fleetstore/front.go
+++ b/internal/standin/fleetstore/front.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// Front is the store's HTTP handler for one client. It can simulate failures for this client only. It is
-// an http.Handler and safe for concurrent use.
-type Front struct {
+// ClientHandler is the store's HTTP handler for one client. It can simulate failures for this
+// client only. It is an http.Handler and safe for concurrent use.
+type ClientHandler struct {
 	server    *Server
 	client    string
 	addresses Addresses
@@ -22,14 +22,14 @@
 	faults Faults
 }
 
-// Front returns the store's handler for one client. Client is the name of the client's own
+// HandlerFor returns the store's handler for one client. Client is the name of the client's own
 // registration if the client is a process of the product.
-func (s *Server) Front(client string, addresses Addresses) *Front {
-	return &Front{server: s, client: client, addresses: addresses}
+func (s *Server) HandlerFor(client string, addresses Addresses) *ClientHandler {
+	return &ClientHandler{server: s, client: client, addresses: addresses}
 }
 
 // SetFaults replaces the failures that are simulated for this client.
-func (f *Front) SetFaults(faults Faults) {
+func (f *ClientHandler) SetFaults(faults Faults) {
 	f.mu.Lock()
 	f.faults = faults
 	f.mu.Unlock()
@@ -39,7 +39,7 @@
 }
 
 // activeFaults returns the failures simulated for this client, or those of the store if there are none.
-func (f *Front) activeFaults() Faults {
+func (f *ClientHandler) activeFaults() Faults {
 	f.mu.Lock()
 	own := f.faults
 	f.mu.Unlock()
@@ -52,7 +52,7 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *ClientHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.server.mu.Lock()
 	f.server.calls++
 	f.server.mu.Unlock()
@@ -115,14 +115,14 @@
 }
 
 // withClientAddresses returns an object with the addresses that this client is meant to see.
-func (f *Front) withClientAddresses(kind string, o object) object {
+func (f *ClientHandler) withClientAddresses(kind string, o object) object {
 	if len(o.Spec) > 0 {
 		o.Spec = f.addresses.rewrite(f.client, kind, o.Metadata.Name, o.Spec)
 	}
 	return o
 }
 
-func (f *Front) get(w http.ResponseWriter, r *http.Request, kind, name string) {
+func (f *ClientHandler) get(w http.ResponseWriter, r *http.Request, kind, name string) {
 	q := r.URL.Query()
 	staleBy := f.activeFaults().StaleBy
 	if q.Get("stale_ok") == "" {
@@ -145,7 +145,7 @@
 	}
 }
 
-func (f *Front) list(w http.ResponseWriter, kind, after string, staleBy time.Duration) {
+func (f *ClientHandler) list(w http.ResponseWriter, kind, after string, staleBy time.Duration) {
 	f.server.mu.Lock()
 	objects, rev := f.server.objectsAsOf(kind, time.Now().Add(-staleBy))
 	f.server.mu.Unlock()
@@ -165,7 +165,7 @@
 	reply(w, out)
 }
 
-func (f *Front) watch(w http.ResponseWriter, r *http.Request, kind string, staleBy time.Duration) {
+func (f *ClientHandler) watch(w http.ResponseWriter, r *http.Request, kind string, staleBy time.Duration) {
 	since, _ := strconv.ParseInt(r.URL.Query().Get("watch"), 10, 64)
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	deadline := time.After(time.Duration(wait) * time.Millisecond)
@@ -211,7 +211,7 @@
 	return time.After(staleBy)
 }
 
-func (f *Front) write(w http.ResponseWriter, r *http.Request, kind, name string, faults Faults) {
+func (f *ClientHandler) write(w http.ResponseWriter, r *http.Request, kind, name string, faults Faults) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
