--- a/cmd/rockdoor-lab/replay.go
+++ b/cmd/rockdoor-lab/replay.go
@@ -59,7 +59,7 @@
 	slices.Sort(names)
 	for _, name := range names {
 		s := sum[name]
-		fmt.Printf("%-8s asked %6d  in time %.3f  answered %.3f\n", name, s.Requests, float64(s.InTime)/float64(s.Requests), float64(s.Answered)/float64(s.Requests))
+		fmt.Printf("%-8s requests %6d  in time %.3f  answered %.3f\n", name, s.Requests, float64(s.InTime)/float64(s.Requests), float64(s.Answered)/float64(s.Requests))
 	}
 	return nil
 }
--- a/internal/lab/load/check.go
+++ b/internal/lab/load/check.go
@@ -47,7 +47,7 @@
 		err = json.NewDecoder(resp.Body).Decode(&runs)
 		resp.Body.Close()
 		if err != nil {
-			return nil, fault.Wrap(err, fault.Internal, "list of runs of stand-in "+t.Name+" is not valid JSON", "check that the target is a stand-in of this version")
+			return nil, fault.Wrap(err, fault.Internal, "list of runs of stand-in "+t.Name+" cannot be decoded", "check that the target is a stand-in of this version")
 		}
 		all = append(all, runs...)
 	}
@@ -56,18 +56,18 @@
 
 // Violations counts violated guarantees.
 type Violations struct {
-	// WrongPlace counts runs at targets that the rules did not permit.
-	WrongPlace int `json:"wrongPlace"`
-	// Doubled counts requests that must not be retried but ran more than once.
-	Doubled int `json:"doubled"`
+	// WrongTarget counts runs at targets that the rules did not permit.
+	WrongTarget int `json:"wrongPlace"`
+	// RanMoreThanOnce counts requests that must not be retried but ran more than once.
+	RanMoreThanOnce int `json:"doubled"`
 	// FalseNotRun counts requests that ran although they were reported as not run.
 	FalseNotRun int `json:"falseNotRun"`
-	// WrongAnswer counts complete responses that belonged to another request.
-	WrongAnswer int `json:"wrongAnswer"`
-	// Broken counts requests that got no final response.
-	Broken int `json:"broken"`
-	// Missing counts complete responses without a recorded run.
-	Missing int `json:"missing"`
+	// WrongResponse counts complete responses that belonged to another request.
+	WrongResponse int `json:"wrongAnswer"`
+	// NoFinalResponse counts requests that got no final response.
+	NoFinalResponse int `json:"broken"`
+	// NoRecordedRun counts complete responses without a recorded run.
+	NoRecordedRun int `json:"missing"`
 }
 
 // Any reports whether there was any violation. Requests without a final response count too, since
@@ -88,22 +88,22 @@
 		for _, run := range recorded {
 			t := c.Targets[run.Target()]
 			if _, rejected := rules.Rejects(t.Labels); rejected {
-				v.WrongPlace++
+				v.WrongTarget++
 			}
 		}
 		recorded = slices.DeleteFunc(recorded, func(r TargetRun) bool { return r.Phase != "" })
 		if !idempotent && len(recorded) > 1 {
-			v.Doubled++
+			v.RanMoreThanOnce++
 		}
 		switch {
 		case r.Outcome == NotRun && len(recorded) > 0:
 			v.FalseNotRun++
 		case r.Outcome == Broken:
-			v.Broken++
-		case r.Outcome == Complete && r.Wrong:
-			v.WrongAnswer++
+			v.NoFinalResponse++
+		case r.Outcome == Complete && r.WrongResponse:
+			v.WrongResponse++
 		case r.Outcome == Complete && len(recorded) == 0:
-			v.Missing++
+			v.NoRecordedRun++
 		}
 	}
 	return v
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -44,23 +44,27 @@
 
 // Result is one request as its client observed it.
 type Result struct {
-	ID      string        `json:"id"`
-	Class   string        `json:"class"`
-	Entry   string        `json:"entry"`
+	ID    string `json:"id"`
+	Class string `json:"class"`
+	// Entry is the address of the entry host that the request was sent to.
+	Entry string `json:"entry"`
+	// Planned is the planned arrival, as the time since the start of the run.
 	Planned time.Duration `json:"planned"`
 	// First is the time from the planned arrival to the first token, Gap the 95th percentile of the
 	// time between tokens, and Total the time from the planned arrival to the end.
-	First   time.Duration `json:"first"`
-	Gap     time.Duration `json:"gap"`
-	Total   time.Duration `json:"total"`
-	Prompt  int           `json:"prompt"`
-	Tokens  int           `json:"tokens"`
-	Outcome Outcome       `json:"outcome"`
-	Code    string        `json:"code"`
+	First        time.Duration `json:"first"`
+	Gap          time.Duration `json:"gap"`
+	Total        time.Duration `json:"total"`
+	PromptTokens int           `json:"prompt"`
+	// Tokens is the number of generated tokens that the client received in a stream.
+	Tokens  int     `json:"tokens"`
+	Outcome Outcome `json:"outcome"`
+	// Code is the error code of the response, or the client's own code if the connection ended.
+	Code string `json:"code"`
 	// RetryAfter is the delay that a rejection asked for.
 	RetryAfter time.Duration `json:"retryAfter"`
-	// Wrong is true if a complete response belonged to another request.
-	Wrong bool `json:"wrong"`
+	// WrongResponse is true if a complete response belonged to another request.
+	WrongResponse bool `json:"wrong"`
 	// Good is true if the response was complete, correct and within its time bounds.
 	Good bool `json:"good"`
 }
@@ -86,7 +90,7 @@
 
 // send sends one request and returns its result. due is the planned arrival time.
 func (c *client) send(ctx context.Context, id string, a Arrival, due time.Time) Result {
-	r := Result{ID: id, Class: a.Class.Name, Planned: a.At, Prompt: a.PromptTokens, Entry: c.entries[rand.IntN(len(c.entries))]}
+	r := Result{ID: id, Class: a.Class.Name, Planned: a.At, PromptTokens: a.PromptTokens, Entry: c.entries[rand.IntN(len(c.entries))]}
 	text := prompt(id, a.PromptTokens)
 	req, err := c.request(ctx, r.Entry, id, text, a)
 	if err != nil {
@@ -108,7 +112,7 @@
 		r.readBody(resp, due, expected(a, text, req))
 	}
 	r.Total = time.Since(due)
-	r.Good = r.Outcome == Complete && !r.Wrong && withinBound(r.First, a.Class.FirstTokenBound) && withinBound(r.Gap, a.Class.TokenGapBound) && withinBound(r.Total, a.Class.TotalBound)
+	r.Good = r.Outcome == Complete && !r.WrongResponse && withinBound(r.First, a.Class.FirstTokenBound) && withinBound(r.Gap, a.Class.TokenGapBound) && withinBound(r.Total, a.Class.TotalBound)
 	return r
 }
 
@@ -179,7 +183,7 @@
 	if json.Unmarshal(body, &completion) == nil && len(completion.Choices) > 0 && completion.Choices[0].Message != nil {
 		got = completion.Choices[0].Message.Content
 	}
-	r.Wrong = got != want
+	r.WrongResponse = got != want
 }
 
 func (r *Result) readStream(resp *http.Response, due time.Time, want string) {
@@ -219,7 +223,7 @@
 		return
 	}
 	r.Gap = Percentile(gaps, 0.95)
-	r.Wrong = got.String() != want
+	r.WrongResponse = got.String() != want
 }
 
 func streamError(data string) string {
--- a/internal/lab/load/report.go
+++ b/internal/lab/load/report.go
@@ -43,7 +43,7 @@
 	s.Outcomes[r.Outcome]++
 	if r.Good {
 		s.Good++
-		s.Tokens += r.Tokens + r.Prompt
+		s.Tokens += r.Tokens + r.PromptTokens
 	}
 	if r.Outcome == Complete {
 		s.First = append(s.First, r.First)
@@ -78,12 +78,12 @@
 	t.SetStyle(table.StyleLight)
 	t.AppendHeader(table.Row{"promise", "broken"})
 	t.AppendRows([]table.Row{
-		{"runs at a target not permitted", v.WrongPlace},
-		{"requests run more than once", v.Doubled},
+		{"runs at a target not permitted", v.WrongTarget},
+		{"requests run more than once", v.RanMoreThanOnce},
 		{"false \"not run\"", v.FalseNotRun},
-		{"responses of another request", v.WrongAnswer},
-		{"requests without a final response", v.Broken},
-		{"responses without a run", v.Missing},
+		{"responses of another request", v.WrongResponse},
+		{"requests without a final response", v.NoFinalResponse},
+		{"responses without a run", v.NoRecordedRun},
 	})
 	t.Render()
 }
--- a/internal/lab/replay/replay.go
+++ b/internal/lab/replay/replay.go
@@ -134,6 +134,8 @@
 	return r.result
 }
 
+// buildEngines creates the engines. The preferred engines of prompt prefixes depend on the engines'
+// IDs, so that other IDs would change the results.
 func (r *replay) buildEngines() {
 	for n := range r.o.PrefillEngines + r.o.MixedEngines {
 		i := &fleet.Instance{ID: fmt.Sprintf("reader-%02d", n), Role: engine.RolePrefill, Domain: r.domain(n), Slots: r.o.EngineProfile.Slots}
