--- a/internal/lab/load/report.go
+++ b/internal/lab/load/report.go
@@ -43,7 +43,7 @@
 	s.Outcomes[r.Outcome]++
 	if r.Good {
 		s.Good++
-		s.Tokens += r.Tokens + r.Prompt
+		s.Tokens += r.Tokens + r.PromptTokens
 	}
 	if r.Outcome == Complete {
 		s.First = append(s.First, r.First)
@@ -59,7 +59,7 @@
 	t := table.NewWriter()
 	t.SetOutputMirror(w)
 	t.SetStyle(table.StyleLight)
-	t.AppendHeader(table.Row{"class", "requests", "complete", "refused", "unknown", "failed", "broken", "good", "good/s", "first p50", "first p95", "gap p95", "whole p50", "whole p99"})
+	t.AppendHeader(table.Row{"class", "requests", "complete", "refused", "unknown", "failed", "broken", "good", "good/s", "first p50", "first p95", "gap p95", "total p50", "total p99"})
 	for _, s := range sums {
 		t.AppendRow(table.Row{
 			s.Class, s.Requests, s.Outcomes[Complete], s.Outcomes[NotRun], s.Outcomes[Unknown], s.Outcomes[Failed], s.Outcomes[Broken],
@@ -78,12 +78,12 @@
 	t.SetStyle(table.StyleLight)
 	t.AppendHeader(table.Row{"promise", "broken"})
 	t.AppendRows([]table.Row{
-		{"runs at a target not permitted", v.WrongPlace},
-		{"requests run more than once", v.Doubled},
+		{"runs at a target not permitted", v.WrongTarget},
+		{"requests run more than once", v.RanMoreThanOnce},
 		{"false \"not run\"", v.FalseNotRun},
-		{"responses of another request", v.WrongAnswer},
-		{"requests without a final response", v.Broken},
-		{"responses without a run", v.Missing},
+		{"responses of another request", v.WrongResponse},
+		{"requests without a final response", v.NoFinalResponse},
+		{"responses without a run", v.NoRecordedRun},
 	})
 	t.Render()
 }
