--- a/capacity/policy_test.go
+++ b/capacity/policy_test.go
@@ -52,7 +52,7 @@
 			here.OnDemand = targets[n].OnDemand
 			wanted := min(targets[n].Spot, w.scaling.MaxEngines-here.OnDemand)
 			if more := wanted - here.Spot - starting; more > 0 && !w.exhausted[here.Name] {
-				w.starting[here.Name][w.now.Add(w.scaling.Startup)] += more
+				w.starting[here.Name][w.now.Add(w.scaling.StartupTime)] += more
 			} else if more < 0 {
 				here.Spot = max(here.Spot+more, 0)
 			}
@@ -72,7 +72,7 @@
 var testPrices = map[string]float64{"a": 0.85, "b": 1.2, "c": 1}
 
 func testScaling(maxEngines int, spot float64) *fleet.Scaling {
-	return &fleet.Scaling{MinEngines: 1, MaxEngines: maxEngines, Startup: 4 * time.Second, SpotPrice: spot, Prices: testPrices}
+	return &fleet.Scaling{MinEngines: 1, MaxEngines: maxEngines, StartupTime: 4 * time.Second, SpotPrice: spot, Prices: testPrices}
 }
 
 // TestSpotEnginesReplaceOnDemandEngines checks that there are never fewer engines than at the
--- a/claims/claimant.go
+++ b/claims/claimant.go
@@ -36,19 +36,19 @@
 	Grants, Holders int
 }
 
-// Claimant claims keys on behalf of one process. It is safe for concurrent use.
-type Claimant struct {
+// Acquirer claims keys on behalf of one process. It is safe for concurrent use.
+type Acquirer struct {
 	store *Store
 	peers Peers
 }
 
-// NewClaimant sets up the acquisition of keys for the process of s. The holders of
+// NewAcquirer sets up the acquisition of keys for the process of s. The holders of
 // a key are those in the table that s has adopted.
-func NewClaimant(s *Store, p Peers) *Claimant { return &Claimant{store: s, peers: p} }
+func NewAcquirer(s *Store, p Peers) *Acquirer { return &Acquirer{store: s, peers: p} }
 
 // Acquire claims a key at all its holders. The request may run only if the
 // result is Granted; otherwise the claim has been withdrawn.
-func (c *Claimant) Acquire(ctx context.Context, claim Claim) Result {
+func (c *Acquirer) Acquire(ctx context.Context, claim Claim) Result {
 	t := c.store.Table()
 	if t == nil {
 		return Result{}
@@ -76,7 +76,7 @@
 
 // drainReplies adds the replies that have already arrived, since one of these
 // replies may name the claimant that holds the key.
-func (c *Claimant) drainReplies(r *Result, replies chan Reply) {
+func (c *Acquirer) drainReplies(r *Result, replies chan Reply) {
 	for {
 		select {
 		case reply := <-replies:
@@ -98,7 +98,7 @@
 	}
 }
 
-func (c *Claimant) sendClaim(ctx context.Context, to Member, claim Claim) Reply {
+func (c *Acquirer) sendClaim(ctx context.Context, to Member, claim Claim) Reply {
 	if to.Name == c.store.self.Name && to.Incarnation == c.store.self.Incarnation {
 		return c.store.Claim(claim)
 	}
@@ -112,7 +112,7 @@
 // Abandon withdraws a claim whose request has not run and will not run. It does
 // not wait for remote holders; if a withdrawal is lost, the key merely stays
 // claimed until the window has passed.
-func (c *Claimant) Abandon(claim Claim) {
+func (c *Acquirer) Abandon(claim Claim) {
 	t := c.store.Table()
 	if t == nil {
 		return
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -36,8 +36,8 @@
 	cluster    *cluster
 	m          Member
 	store      *Store
-	reconciler *Keeper
-	claim      *Claimant
+	reconciler *Reconciler
+	claim      *Acquirer
 	mirrored   objstore.Object // the mirror
 	down       bool
 }
@@ -49,8 +49,8 @@
 	name := fmt.Sprintf("p%d", i)
 	p := &process{cluster: w, m: Member{name, fmt.Sprintf("%04d", w.started), fmt.Sprintf("d%d", i%3)}}
 	p.store = NewStore(p.m, testWindow)
-	p.claim = NewClaimant(p.store, p)
-	p.reconciler = NewKeeper(KeeperOptions{
+	p.claim = NewAcquirer(p.store, p)
+	p.reconciler = NewReconciler(ReconcilerOptions{
 		Store: p.store, Peers: p, Objects: p, Logger: log.NewNopLogger(), Live: w.live,
 		Mirrored: func() (objstore.Object, bool) { return p.mirrored, p.mirrored.Version > 0 },
 		// Every process may change the table, which tests more races than a single registrar.
@@ -326,7 +326,7 @@
 	require.Equal(t, Granted, s.Claim(other).Verdict)
 	other.Epoch = 7
 	require.Equal(t, Abstain, s.Claim(other).Verdict, "another epoch")
-	require.Equal(t, 1, s.Held())
+	require.Equal(t, 1, s.ClaimCount())
 }
 
 func TestClaimsExpireAfterTheWindow(t *testing.T) {
@@ -339,7 +339,7 @@
 	require.Equal(t, Granted, s.Claim(Claim{Key: "k", Claimant: "b", Epoch: 1}).Verdict)
 	time.Sleep(time.Millisecond)
 	s.Expire()
-	require.Zero(t, s.Held())
+	require.Zero(t, s.ClaimCount())
 }
 
 func TestKeyIsFreeOnlyWhenAllClaimsAreWithdrawn(t *testing.T) {
--- a/claims/example_test.go
+++ b/claims/example_test.go
@@ -14,7 +14,7 @@
 	table, _ := claims.Next(nil, []claims.Member{self}, false)
 	store := claims.NewStore(self, time.Minute)
 	store.Adopt(table)
-	c := claims.NewClaimant(store, nil)
+	c := claims.NewAcquirer(store, nil)
 	first := c.Acquire(context.Background(), claims.Claim{Key: "k", Claimant: "request-1", Process: "entry-1"})
 	second := c.Acquire(context.Background(), claims.Claim{Key: "k", Claimant: "request-2", Process: "entry-1"})
 	fmt.Println(first.Granted, second.Granted, second.Claimant)
--- a/claims/holder.go
+++ b/claims/holder.go
@@ -252,15 +252,15 @@
 	}
 }
 
-// Held returns the number of claims in memory.
-func (s *Store) Held() int {
+// ClaimCount returns the number of claims in memory.
+func (s *Store) ClaimCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.count
 }
 
-// Holds reports whether this store holds any shard.
-func (s *Store) Holds() bool {
+// HasShards reports whether this store holds any shard.
+func (s *Store) HasShards() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.shards) > 0
--- a/claims/keeper.go
+++ b/claims/keeper.go
@@ -24,8 +24,8 @@
 	writeTimeout = 2 * time.Second
 )
 
-// KeeperOptions contains the dependencies of the reconciliation.
-type KeeperOptions struct {
+// ReconcilerOptions contains the dependencies of the reconciliation.
+type ReconcilerOptions struct {
 	Store *Store
 	Peers Peers
 	// Objects is the object store that the table is written to.
@@ -44,11 +44,11 @@
 	Logger  log.Logger
 }
 
-// Keeper reconciles a process's claims with the table: it adopts new tables and
+// Reconciler reconciles a process's claims with the table: it adopts new tables and
 // copies the claims of shards assigned to this process. In the registrar it also
 // replaces holders that are no longer live.
-type Keeper struct {
-	o      KeeperOptions
+type Reconciler struct {
+	o      ReconcilerOptions
 	logger log.Logger
 
 	adopted    objstore.Version
@@ -73,13 +73,13 @@
 	at     bootclock.Instant
 }
 
-// NewKeeper sets up the reconciliation, which starts when Run is called.
-func NewKeeper(o KeeperOptions) *Keeper {
-	return &Keeper{o: o, logger: log.With(o.Logger, "component", "claims")}
+// NewReconciler sets up the reconciliation, which starts when Run is called.
+func NewReconciler(o ReconcilerOptions) *Reconciler {
+	return &Reconciler{o: o, logger: log.With(o.Logger, "component", "claims")}
 }
 
 // Run calls Step at a fixed interval until ctx ends.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Reconciler) Run(ctx context.Context) error {
 	tick := time.NewTicker(stepInterval)
 	defer tick.Stop()
 	for {
@@ -93,7 +93,7 @@
 }
 
 // Step does one round of reconciliation.
-func (k *Keeper) Step(ctx context.Context) {
+func (k *Reconciler) Step(ctx context.Context) {
 	if err := k.adoptTable(); err != nil {
 		level.Error(k.logger).Log("msg", "claim table could not be adopted", "err", err)
 		return
@@ -110,7 +110,7 @@
 	}
 }
 
-func (k *Keeper) adoptTable() error {
+func (k *Reconciler) adoptTable() error {
 	obj, ok := k.o.Mirrored()
 	if !ok || obj.Version == k.adopted {
 		return nil
@@ -126,7 +126,7 @@
 
 // syncShards copies the claims of the shards that were assigned to this process
 // and then marks it as synced in the table.
-func (k *Keeper) syncShards(ctx context.Context) {
+func (k *Reconciler) syncShards(ctx context.Context) {
 	done := map[int]int64{}
 	for shard, epoch := range k.o.Store.unsynced() {
 		if k.copyShard(ctx, shard, epoch) {
@@ -147,7 +147,7 @@
 // copyShard copies the claims of a shard from all its other synced holders. It
 // reports success only if there were enough of them that every claim is known to
 // at least one.
-func (k *Keeper) copyShard(ctx context.Context, i int, epoch int64) bool {
+func (k *Reconciler) copyShard(ctx context.Context, i int, epoch int64) bool {
 	shard := &k.o.Store.Table().Shards[i]
 	if shard.Epoch != epoch {
 		return false
@@ -165,7 +165,7 @@
 	return copied >= min(shard.requiredSynced(), len(shard.Holders)-1)
 }
 
-func (k *Keeper) copyFrom(ctx context.Context, from Member, shard int, epoch int64) bool {
+func (k *Reconciler) copyFrom(ctx context.Context, from Member, shard int, epoch int64) bool {
 	after := ""
 	for {
 		pctx, cancel := context.WithTimeout(ctx, claimTimeout)
@@ -183,7 +183,7 @@
 
 // updateHolders replaces holders that are no longer live and resets shards that
 // have had too few synced holders for too long.
-func (k *Keeper) updateHolders(ctx context.Context) {
+func (k *Reconciler) updateHolders(ctx context.Context) {
 	t := k.o.Store.Table()
 	live := k.o.Live()
 	if t != nil && k.noChange.version == k.adopted && slices.Equal(k.noChange.live, live) {
@@ -215,7 +215,7 @@
 // clearResetMarks returns the table without reset marks once a window has passed
 // since this process first saw the present marks, so that all claims lost by
 // those resets have expired.
-func (k *Keeper) clearResetMarks(t *Table) (*Table, bool) {
+func (k *Reconciler) clearResetMarks(t *Table) (*Table, bool) {
 	epoch, shards := resetShards(t)
 	if epoch != k.reset.epoch || shards != k.reset.shards {
 		k.reset = resetSighting{epoch, shards, bootclock.Now()}
@@ -228,7 +228,7 @@
 
 // lacksSynced reports whether some shard has too few synced holders to replace
 // the lost ones, so that only a reset would change the table.
-func (k *Keeper) lacksSynced(t *Table, live []Member) bool {
+func (k *Reconciler) lacksSynced(t *Table, live []Member) bool {
 	if t == nil {
 		return false
 	}
@@ -238,7 +238,7 @@
 }
 
 // writeTable replaces the stored table if it is still the adopted version.
-func (k *Keeper) writeTable(ctx context.Context, t *Table) error {
+func (k *Reconciler) writeTable(ctx context.Context, t *Table) error {
 	value, err := json.Marshal(t)
 	if err != nil {
 		return fault.Wrap(err, fault.Internal, "claim table cannot be encoded", "report this as a defect")
--- a/confstore/confstore.go
+++ b/confstore/confstore.go
@@ -116,8 +116,8 @@
 	return &c
 }
 
-// Accepted is a head as it is stored.
-type Accepted struct {
+// StoredHead is a head as it is stored.
+type StoredHead struct {
 	Head    Head
 	Version objstore.Version
 	// Raw is the head as encoded in the store.
@@ -125,8 +125,8 @@
 }
 
 // ParseHead decodes the object at HeadKey.
-func ParseHead(obj objstore.Object) (Accepted, error) {
-	a := Accepted{Version: obj.Version, Raw: obj.Value}
+func ParseHead(obj objstore.Object) (StoredHead, error) {
+	a := StoredHead{Version: obj.Version, Raw: obj.Value}
 	if err := json.Unmarshal(obj.Value, &a.Head); err != nil {
 		return a, fault.Wrap(err, fault.Internal, "configuration head cannot be read", "check who else writes to "+HeadKey)
 	}
@@ -134,13 +134,13 @@
 }
 
 // ReadHead reads the current head. It returns the zero value if there is none.
-func ReadHead(ctx context.Context, s objstore.Store) (Accepted, error) {
+func ReadHead(ctx context.Context, s objstore.Store) (StoredHead, error) {
 	obj, err := s.Get(ctx, HeadKey)
 	if fault.Is(err, fault.NotFound) {
-		return Accepted{}, nil
+		return StoredHead{}, nil
 	}
 	if err != nil {
-		return Accepted{}, err
+		return StoredHead{}, err
 	}
 	return ParseHead(obj)
 }
@@ -169,13 +169,13 @@
 // if the change was certainly not accepted, and Unknown if that cannot be
 // determined yet. The text of an Unknown error contains the change ID, which
 // appears in the history if the change was accepted.
-func (w *Writer) Apply(ctx context.Context, base Accepted, c *config.Config, ch Change) (Accepted, error) {
+func (w *Writer) Apply(ctx context.Context, base StoredHead, c *config.Config, ch Change) (StoredHead, error) {
 	if ch.ID == "" {
 		ch.ID = ulid.Make().String()
 	}
 	chunks, err := Split(c)
 	if err != nil {
-		return Accepted{}, err
+		return StoredHead{}, err
 	}
 	head := Head{Revision: base.Head.Revision + 1, ChangeID: ch.ID, Author: ch.Author, Note: ch.Note, At: w.now().UTC()}
 	if base.Version != 0 {
@@ -183,7 +183,7 @@
 		head.Parent = Digest(base.Raw)
 	}
 	if err := w.putChunks(ctx, base.Head, chunks); err != nil {
-		return Accepted{}, err
+		return StoredHead{}, err
 	}
 	delete(chunks, "head")
 	for name, content := range chunks {
@@ -192,42 +192,42 @@
 	slices.SortFunc(head.Chunks, func(a, b Ref) int { return strings.Compare(a.Name, b.Name) })
 	raw, err := json.Marshal(head)
 	if err != nil {
-		return Accepted{}, fault.Wrap(err, fault.Internal, "configuration head cannot be encoded", "report this as a defect")
+		return StoredHead{}, fault.Wrap(err, fault.Internal, "configuration head cannot be encoded", "report this as a defect")
 	}
 	obj, err := objstore.PutSettled(ctx, w.store, HeadKey, raw, base.Version, ch.ID)
 	if fault.Is(err, fault.Unknown) {
 		return w.resolveFromHistory(ctx, head, err)
 	}
 	if err != nil {
-		return Accepted{}, err
+		return StoredHead{}, err
 	}
-	return Accepted{Head: head, Version: obj.Version, Raw: raw}, nil
+	return StoredHead{Head: head, Version: obj.Version, Raw: raw}, nil
 }
 
 // resolveFromHistory determines from the history whether a change was accepted
 // whose head was overwritten before its writer could read it back.
-func (w *Writer) resolveFromHistory(ctx context.Context, head Head, cause error) (Accepted, error) {
+func (w *Writer) resolveFromHistory(ctx context.Context, head Head, cause error) (StoredHead, error) {
 	unknown := fault.Wrap(cause, fault.Unknown, "change "+head.ChangeID+" is not settled", "look for the change id in: rockdoor config history")
 	current, err := ReadHead(ctx, w.store)
 	if err != nil || current.Head.Revision < head.Revision {
-		return Accepted{}, unknown
+		return StoredHead{}, unknown
 	}
 	for current.Head.Revision > head.Revision {
 		if current, err = w.readParent(ctx, current); err != nil {
-			return Accepted{}, unknown
+			return StoredHead{}, unknown
 		}
 	}
 	if current.Head.ChangeID == head.ChangeID {
 		return current, nil
 	}
-	return Accepted{}, fault.Newf(fault.Conflict, "read the configuration again and repeat the change",
+	return StoredHead{}, fault.Newf(fault.Conflict, "read the configuration again and repeat the change",
 		"revision %d was taken by change %s of %s", head.Revision, current.Head.ChangeID, current.Head.Author)
 }
 
-func (w *Writer) readParent(ctx context.Context, a Accepted) (Accepted, error) {
+func (w *Writer) readParent(ctx context.Context, a StoredHead) (StoredHead, error) {
 	obj, err := w.store.Get(ctx, ChunkPrefix+a.Head.Parent)
 	if err != nil {
-		return Accepted{}, err
+		return StoredHead{}, err
 	}
 	return ParseHead(obj)
 }
--- a/confstore/confstore_test.go
+++ b/confstore/confstore_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func load(t *testing.T, s objstore.Store, l *Loader) (Accepted, *config.Config) {
+func load(t *testing.T, s objstore.Store, l *Loader) (StoredHead, *config.Config) {
 	a, err := ReadHead(context.Background(), s)
 	require.NoError(t, err)
 	c, err := l.Load(context.Background(), a.Head)
@@ -44,7 +44,7 @@
 	for i := range 38000 {
 		c.Workspaces = append(c.Workspaces, config.Workspace{Name: fmt.Sprintf("workspace-%d", i), Keys: []string{fmt.Sprintf("%064x", i)}})
 	}
-	a, err := NewWriter(s).Apply(ctx, Accepted{}, c, Change{Author: "t"})
+	a, err := NewWriter(s).Apply(ctx, StoredHead{}, c, Change{Author: "t"})
 	require.NoError(t, err)
 	require.Less(t, len(a.Raw), 16<<10, "the head stays small")
 	before := s.Calls()[memstore.OpPut]
@@ -59,7 +59,7 @@
 func TestConcurrentEditsAllTakeEffect(t *testing.T) {
 	ctx := context.Background()
 	s := memstore.New()
-	_, err := NewWriter(s).Apply(ctx, Accepted{}, testConfig(), Change{})
+	_, err := NewWriter(s).Apply(ctx, StoredHead{}, testConfig(), Change{})
 	require.NoError(t, err)
 	var wg sync.WaitGroup
 	for i := range 8 {
@@ -81,7 +81,7 @@
 func TestInvalidEditsChangeNothing(t *testing.T) {
 	ctx := context.Background()
 	s := memstore.New()
-	_, err := NewWriter(s).Apply(ctx, Accepted{}, testConfig(), Change{})
+	_, err := NewWriter(s).Apply(ctx, StoredHead{}, testConfig(), Change{})
 	require.NoError(t, err)
 	for _, e := range []Edit{
 		{Kind: KindEngine, Name: "e9"},
@@ -100,7 +100,7 @@
 func TestDamagedChunkIsFetchedFromNextSource(t *testing.T) {
 	ctx := context.Background()
 	s := memstore.New()
-	a, err := NewWriter(s).Apply(ctx, Accepted{}, testConfig(), Change{})
+	a, err := NewWriter(s).Apply(ctx, StoredHead{}, testConfig(), Change{})
 	require.NoError(t, err)
 	damaged := func(context.Context, string) ([]byte, error) { return []byte(`{"pools": []}`), nil }
 	c, err := NewLoader(damaged, StoreSource(s)).Load(ctx, a.Head)
@@ -180,7 +180,7 @@
 		rngMu.Lock()
 		defer rngMu.Unlock()
 		if op != memstore.OpPut || key != HeadKey || rng.IntN(2) == 0 {
-			return memstore.Works
+			return memstore.NoFailure
 		}
 		return memstore.Failure(1 + rng.IntN(3))
 	})
--- a/confstore/edit.go
+++ b/confstore/edit.go
@@ -42,32 +42,32 @@
 
 // EditAll applies edits to the configuration in force. Either all of them are
 // accepted, as one change, or none.
-func (w *Writer) EditAll(ctx context.Context, l *Loader, edits []Edit, ch Change) (Accepted, error) {
+func (w *Writer) EditAll(ctx context.Context, l *Loader, edits []Edit, ch Change) (StoredHead, error) {
 	var err error
 	for range maxRebases {
-		var base, next Accepted
+		var base, next StoredHead
 		if base, err = ReadHead(ctx, w.store); err != nil {
-			return Accepted{}, err
+			return StoredHead{}, err
 		}
 		var current *config.Compiled
 		if current, err = l.Load(ctx, base.Head); err != nil {
-			return Accepted{}, err
+			return StoredHead{}, err
 		}
 		c := cloneForEdit(current.Config)
 		for _, e := range edits {
 			if err := e.apply(c); err != nil {
-				return Accepted{}, err
+				return StoredHead{}, err
 			}
 		}
 		if _, err := config.Compile(c); err != nil {
-			return Accepted{}, err
+			return StoredHead{}, err
 		}
 		next, err = w.Apply(ctx, base, c, ch)
 		if !fault.Is(err, fault.Conflict) {
 			return next, err
 		}
 	}
-	return Accepted{}, err
+	return StoredHead{}, err
 }
 
 // cloneForEdit copies the slices that edits modify and shares the rest.
--- a/duty/model_test.go
+++ b/duty/model_test.go
@@ -223,7 +223,7 @@
 	})
 	count := func(ctx context.Context) {
 		for ctx.Err() == nil {
-			ledger.Began("w")
+			ledger.CountRequest("w")
 			time.Sleep(p.world.randomBetween(50*time.Millisecond, time.Second))
 		}
 	}
@@ -278,7 +278,7 @@
 	}
 	p.world.mu.Unlock()
 	v.Config = &fleet.Config{Services: map[string]fleet.Service{
-		"plain": {Name: "plain", Scaling: &fleet.Scaling{MinEngines: 1, MaxEngines: 6, Startup: time.Second, SpotPrice: 0.2, Prices: prices}},
+		"plain": {Name: "plain", Scaling: &fleet.Scaling{MinEngines: 1, MaxEngines: 6, StartupTime: time.Second, SpotPrice: 0.2, Prices: prices}},
 		"model": {Name: "model", KVCapacity: 1, RoleChange: 50 * time.Millisecond},
 	}}
 	v.Index()
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -68,8 +68,8 @@
 type Controller interface {
 	// Status returns the status that the engine reports.
 	Status(ctx context.Context, address string) (Status, error)
-	// Give sends an order. The error is of package fault. Its kind is Denied if the
+	// Send sends an order. The error is of package fault. Its kind is Denied if the
 	// token is outdated, Conflict if the engine is busy with another order,
 	// Unavailable if no byte was sent, and Unknown if the response was lost.
-	Give(ctx context.Context, address string, o Order) error
+	Send(ctx context.Context, address string, o Order) error
 }
--- a/engine/httpcontrol/httpcontrol.go
+++ b/engine/httpcontrol/httpcontrol.go
@@ -57,9 +57,9 @@
 	return st, nil
 }
 
-// Give implements engine.Controller. The request has no GetBody, so that the transport
+// Send implements engine.Controller. The request has no GetBody, so that the transport
 // never resends it by itself.
-func (c *Client) Give(ctx context.Context, address string, o engine.Order) error {
+func (c *Client) Send(ctx context.Context, address string, o engine.Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return fault.Wrap(err, fault.Internal, "order cannot be encoded", "report this as a defect")
--- a/engine/ratelimit.go
+++ b/engine/ratelimit.go
@@ -16,21 +16,21 @@
 	Limited bool
 	// PerSecond is the rate in requests a second, if Limited. It may be 0.
 	PerSecond float64
-	// Unreadable is the text of a malformed rate, empty if there is none. A malformed rate neither
+	// Malformed is the text of a malformed rate, empty if there is none. A malformed rate neither
 	// sets nor revokes a limit.
-	Unreadable string
+	Malformed string
 }
 
-// ReadRateLimit parses the value of the rate limit header, which is empty if the response has no
+// ParseRateLimit parses the value of the rate limit header, which is empty if the response has no
 // such header.
-func ReadRateLimit(text string) RateLimit {
+func ParseRateLimit(text string) RateLimit {
 	if text == "" {
 		return RateLimit{}
 	}
 	rate, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	outside := err != nil && !math.IsInf(rate, 1)
 	if outside || !(rate >= 0) {
-		return RateLimit{Unreadable: text}
+		return RateLimit{Malformed: text}
 	}
 	return RateLimit{Limited: true, PerSecond: min(rate, maxRate)}
 }
--- a/engine/ratelimit_test.go
+++ b/engine/ratelimit_test.go
@@ -14,12 +14,12 @@
 		"0":     {Limited: true},
 		"1e999": {Limited: true, PerSecond: maxRate},
 		"Inf":   {Limited: true, PerSecond: maxRate},
-		"-1":    {Unreadable: "-1"},
-		"-Inf":  {Unreadable: "-Inf"},
-		"NaN":   {Unreadable: "NaN"},
-		"few":   {Unreadable: "few"},
+		"-1":    {Malformed: "-1"},
+		"-Inf":  {Malformed: "-Inf"},
+		"NaN":   {Malformed: "NaN"},
+		"few":   {Malformed: "few"},
 	} {
-		require.Equal(t, want, ReadRateLimit(text), text)
+		require.Equal(t, want, ParseRateLimit(text), text)
 	}
 }
 
@@ -27,8 +27,8 @@
 	f.Add("10.8")
 	f.Add("0x1p-2")
 	f.Fuzz(func(t *testing.T, text string) {
-		l := ReadRateLimit(text)
+		l := ParseRateLimit(text)
 		require.True(t, l.PerSecond >= 0 && l.PerSecond <= maxRate, "%v", l)
-		require.False(t, l.Limited && l.Unreadable != "")
+		require.False(t, l.Limited && l.Malformed != "")
 	})
 }
--- a/engine/serving.go
+++ b/engine/serving.go
@@ -16,8 +16,8 @@
 type Call struct {
 	// ID identifies one attempt of the client. A retry by the client has another ID.
 	ID string
-	// Wait is the client timeout, 0 if the client gives none.
-	Wait time.Duration
+	// ClientTimeout is the client timeout, 0 if the client gives none.
+	ClientTimeout time.Duration
 	// Model is empty for requests to plain services.
 	Model string
 	// PromptTokens is the size of the prompt and OutputTokens the max size of the
@@ -43,9 +43,9 @@
 	return n
 }
 
-// Subject returns the prompt prefix of the request: the ID of the last shared part,
+// PromptPrefix returns the prompt prefix of the request: the ID of the last shared part,
 // empty if there is none.
-func (c *Call) Subject() string {
+func (c *Call) PromptPrefix() string {
 	if len(c.Parts) < 2 {
 		return ""
 	}
@@ -59,17 +59,17 @@
 	Handle  string
 }
 
-// Send holds the parameters with which a request is sent to an instance.
-type Send struct {
+// SendOptions holds the parameters with which a request is sent to an instance.
+type SendOptions struct {
 	Instance string
-	// Left is the remaining client timeout.
-	Left time.Duration
+	// Remaining is the remaining client timeout.
+	Remaining time.Duration
 	// Rank is the rank of the request in the engine's queue; rank 0 runs first. It is
 	// not sent if negative.
 	Rank int
-	// ReadOnly asks the engine only to prefill the prompt and to hold its KV cache for
+	// PrefillOnly asks the engine only to prefill the prompt and to hold its KV cache for
 	// another engine.
-	ReadOnly bool
+	PrefillOnly bool
 	// Source is the location of the prompt's KV cache, nil if the prompt has not been
 	// prefilled.
 	Source *KVSource
@@ -91,32 +91,32 @@
 	NotRun bool
 	// Replaced is true if another instance now listens at the address.
 	Replaced bool
-	// Genuine is true if the response carries the header by which it is known to come
+	// Sealed is true if the response carries the header by which it is known to come
 	// from an instance.
-	Genuine bool
-	// Leaving is true if the instance states that it is shutting down, whatever its
+	Sealed bool
+	// ShuttingDown is true if the instance states that it is shutting down, whatever its
 	// registration says.
-	Leaving bool
-	// Rest is the backoff that an instance asked of this process when it rejected the
+	ShuttingDown bool
+	// Backoff is the backoff that an instance asked of this process when it rejected the
 	// request, 0 if it asked for none.
-	Rest time.Duration
+	Backoff time.Duration
 	// RateLimit is the rate limit that the instance announces in the response.
 	RateLimit RateLimit
 }
 
 // Protocol translates between rockdoor and the headers that clients and instances use.
 type Protocol interface {
-	// Read decodes the headers of a client request. The error is of kind Invalid.
-	Read(h http.Header) (Call, error)
+	// DecodeRequest decodes the headers of a client request. The error is of kind Invalid.
+	DecodeRequest(h http.Header) (Call, error)
 	// Forward returns the headers to send to an instance.
-	Forward(h http.Header, s Send) http.Header
+	Forward(h http.Header, s SendOptions) http.Header
 	// Matches reports whether the headers of a response belong to the request with the
 	// given ID.
 	Matches(id string, h http.Header) bool
-	// Judge decodes the status and the headers of a response.
-	Judge(status int, h http.Header) Verdict
-	// ReadResult decodes the response to a request with ReadOnly.
-	ReadResult(body []byte) (handle string, err error)
+	// ReadOutcome decodes the status and the headers of a response.
+	ReadOutcome(status int, h http.Header) Verdict
+	// DecodePrefillResult decodes the response to a request with ReadOnly.
+	DecodePrefillResult(body []byte) (handle string, err error)
 	// FreeHandle returns the request that frees the KV cache of a prefilled prompt that
 	// is no longer needed.
 	FreeHandle(handle string) (method, uri string)
@@ -148,10 +148,10 @@
 	Check func() error
 }
 
-// Keeper reads the reports of engines and sends them orders. Errors of Order are of kind
+// RoleClient reads the reports of engines and sends them orders. Errors of Order are of kind
 // Conflict if the engine rejected the order, Unavailable if the order was not sent, and
 // Unknown if the engine may carry it out, possibly much later.
-type Keeper interface {
+type RoleClient interface {
 	Report(ctx context.Context, address string) (Report, error)
 	Order(ctx context.Context, address string, o RoleOrder) error
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -94,8 +94,8 @@
 type Scaling struct {
 	// MinEngines and MaxEngines are the minimum and maximum of on-demand and spot engines together.
 	MinEngines, MaxEngines int
-	// Startup is the time from the order of an engine until it serves requests.
-	Startup time.Duration
+	// StartupTime is the time from the order of an engine until it serves requests.
+	StartupTime time.Duration
 	// SpotPrice is the price of a spot engine relative to an on-demand engine, 0 if there are no spot
 	// engines. The platform may reclaim spot engines at any time.
 	SpotPrice float64
@@ -154,9 +154,9 @@
 // RouteByName returns the route with the name, or nil if there is none.
 func (c *Config) RouteByName(name string) *Route { return c.routesByName[name] }
 
-// Pick returns the service for a request. It depends only on the request ID, so that the choice can
+// PickService returns the service for a request. It depends only on the request ID, so that the choice can
 // be reproduced later.
-func (r *Route) Pick(id string) string {
+func (r *Route) PickService(id string) string {
 	total := 0
 	for _, s := range r.Shares {
 		total += s.Weight
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -28,10 +28,10 @@
 	InstancesRevision objstore.Revision
 	// InstancesKnown is true once the registrations have been read for the first time.
 	InstancesKnown bool
-	// Partial is true once a scheduler has sent a partial snapshot with the configuration and the
+	// RelayReceived is true once a scheduler has sent a partial snapshot with the configuration and the
 	// rules. Until the registrations are known here, the scheduler chooses the instances and sends
 	// their registrations with its decisions.
-	Partial bool
+	RelayReceived bool
 	// FullSnapshotAt is the earliest time at which this process requests the full snapshot after the
 	// partial one, 0 if it need not wait.
 	FullSnapshotAt bootclock.Instant
@@ -142,7 +142,9 @@
 func (v *View) Complete() bool { return v.Config != nil && v.InstancesKnown }
 
 // Ready reports whether the view has all that is needed to serve requests.
-func (v *View) Ready() bool { return v.Complete() || v.Config != nil && v.Partial && !v.Scheduling }
+func (v *View) Ready() bool {
+	return v.Complete() || v.Config != nil && v.RelayReceived && !v.Scheduling
+}
 
 // FilterPermitted filters instances by Permitted: it returns those that accept requests for the
 // service and on which the rules permit requests of the route, sorted by ID.
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -56,7 +56,7 @@
 	Refresh func(context.Context)
 	// Ready returns why the process does not accept requests, or nil if it does.
 	Ready   func() error
-	Explain func(entry.Question) (*entry.Explanation, error)
+	Explain func(entry.ExplainRequest) (*entry.Explanation, error)
 	// Pools returns the pools that this process controls or is a candidate to control.
 	Pools func() []controller.PoolStatus
 	// Watcher reports whether this process watches the store.
@@ -223,7 +223,7 @@
 	return confstore.Change{ID: q.Get("changeID"), Author: q.Get("author"), Note: q.Get("note")}
 }
 
-func (s *Server) writeChange(w http.ResponseWriter, r *http.Request, a confstore.Accepted, err error) {
+func (s *Server) writeChange(w http.ResponseWriter, r *http.Request, a confstore.StoredHead, err error) {
 	if err != nil {
 		writeError(w, err)
 		return
@@ -305,7 +305,7 @@
 }
 
 func (s *Server) explain(w http.ResponseWriter, r *http.Request) {
-	var q entry.Question
+	var q entry.ExplainRequest
 	if err := decodeJSON(w, r, &q); err != nil {
 		writeError(w, err)
 		return
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -135,7 +135,7 @@
 	if a.response == nil {
 		return engine.RateLimit{}, false
 	}
-	return engine.ReadRateLimit(a.Header().Get(openai.RateLimitHeader)), true
+	return engine.ParseRateLimit(a.Header().Get(openai.RateLimitHeader)), true
 }
 
 // Length returns the Content-Length of the response, -1 if it is unknown.
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -281,7 +281,7 @@
 }
 
 func explain(c *cli.Context) error {
-	body, err := json.Marshal(entry.Question{
+	body, err := json.Marshal(entry.ExplainRequest{
 		Workspace: c.String("workspace"), Model: c.String("model"), Path: c.String("path"), Selector: c.String("selector"),
 		PromptTokens: c.Int("prompt-tokens"), OutputTokens: c.Int("output-tokens"),
 	})
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -97,7 +97,7 @@
 				return err
 			}
 			fmt.Fprintf(c.App.Writer, "%s  ready %t  in hand %d  configuration %d (%d ms old)  instances %d ms old  store up %t, era %d  scheduler %t  %d processes, %d schedulers, %d of the others heard, watchers %s\n\n",
-				st.Name, st.Ready, st.InHand, st.Config, st.ConfigAgeMs, st.InstancesAgeMs, st.StoreUp, st.Era, st.Scheduling, st.Members, len(st.Schedulers), len(st.Heard), strings.Join(st.Watchers, ", "))
+				st.Name, st.Ready, st.InFlight, st.Config, st.ConfigAgeMs, st.InstancesAgeMs, st.StoreUp, st.Era, st.Scheduling, st.Members, len(st.Schedulers), len(st.ReachableSchedulers), strings.Join(st.Watchers, ", "))
 			t := newTable(c, "INSTANCE", "SERVICE", "DOMAIN", "ROLE", "STATE", "REQUESTS", "STARTING", "PROMPTS", "LATE")
 			for _, i := range st.Instances {
 				t.AppendRow([]any{i.ID, i.Service, i.Domain, i.Role, instanceState(i), i.Load.Requests, i.Load.Starting, i.Load.Pending.All().Prompts, i.Load.Pending.Late().Prompts})
@@ -113,7 +113,7 @@
 	switch {
 	case i.Draining:
 		return "draining"
-	case i.Lapsed:
+	case i.Expired:
 		return "lapsed"
 	case i.Changing:
 		return "changing role"
@@ -150,7 +150,7 @@
 			fmt.Fprintf(c.App.Writer, "route %s, service %s, configuration %d (%d ms old), instances %d ms old\n\n", e.Route, e.Service, e.Config, e.ConfigAgeMs, e.InstancesAgeMs)
 			t := newTable(c, "INSTANCE", "DOMAIN", "ROLE", "SCORE", "AHEAD MS", "READ MS", "UNCACHED", "REQUESTS", "PACE", "FAILURES", "WHY NOT")
 			for _, i := range e.Considered {
-				t.AppendRow([]any{i.Instance, i.Domain, i.Role, formatNumber(i.Score), formatNumber(i.QueueDelayMs), formatNumber(i.PrefillMs), i.Uncached, i.Load.Requests, formatNumber(i.Slowdown), formatNumber(i.Failures), i.Unavailable})
+				t.AppendRow([]any{i.Instance, i.Domain, i.Role, formatNumber(i.Score), formatNumber(i.QueueDelayMs), formatNumber(i.PrefillMs), i.Uncached, i.Load.Requests, formatNumber(i.Slowdown), formatNumber(i.FailureRate), i.Unavailable})
 			}
 			for _, r := range e.Rejected {
 				t.AppendRow([]any{r.Instance, "", "", "", "", "", "", "", "", "", "forbidden by " + r.Rule})
@@ -193,7 +193,7 @@
 			if err != nil {
 				return err
 			}
-			rt, err := trace.Tell(lines, id)
+			rt, err := trace.ForRequest(lines, id)
 			if err != nil {
 				return err
 			}
@@ -216,7 +216,7 @@
 		return err
 	}
 	t := newTable(c, "FIRST", "CHANGE", "ID", "PROCESSES", "HALF AFTER", "LAST AFTER")
-	for _, ch := range trace.Reach(lines) {
+	for _, ch := range trace.Propagation(lines) {
 		t.AppendRow([]any{ch.First.Format(time.TimeOnly), ch.What, ch.ID, ch.Processes, ch.Half.Round(time.Millisecond), ch.Last.Round(time.Millisecond)})
 	}
 	t.Render()
@@ -230,7 +230,7 @@
 	}
 	t := newTable(c, "REQUESTS", "ROUTE", "SERVICE", "OUTCOME", "PHASE", "ERROR", "FIRST")
 	for _, g := range trace.Summarize(lines) {
-		t.AppendRow([]any{g.Count, g.Route, g.Service, g.Outcome, g.Phase, g.Why, g.First})
+		t.AppendRow([]any{g.Count, g.Route, g.Service, g.Outcome, g.Phase, g.Error, g.ExampleID})
 	}
 	t.Render()
 	workspaceSummary(c, lines)
@@ -248,7 +248,7 @@
 		return
 	}
 	t := newTable(c, "WORKSPACE", "REQUESTS", "SERVED", "REFUSED", "FAILED", "SHARE SERVED")
-	add := func(name string, w trace.Workspace) {
+	add := func(name string, w trace.WorkspaceOutcomes) {
 		t.AppendRow([]any{name, w.Requests, w.Served, w.Refused, w.Failed, strconv.FormatFloat(w.ShareServed(), 'f', 3, 64)})
 	}
 	for _, w := range each[:min(len(each), maxSummaryWorkspaces)] {
--- a/internal/cli/limits.go
+++ b/internal/cli/limits.go
@@ -24,7 +24,7 @@
 			}
 			t := newTable(c, "INSTANCE", "PER SECOND", "FOR", "LAST HEARD", "WANTED", "KEEPER", "PART")
 			for _, l := range st.Limits {
-				t.AppendRow([]any{l.Instance, formatNumber(l.PerSecond), formatSeconds(l.ForMs), formatAgo(l.HeardMs), formatNumber(l.Wanted), st.Keeper, formatNumber(st.Part)})
+				t.AppendRow([]any{l.Instance, formatNumber(l.PerSecond), formatSeconds(l.LimitedForMs), formatAgo(l.ReportAgeMs), formatNumber(l.DemandPerSecond), st.Coordinator, formatNumber(st.Share)})
 			}
 			t.Render()
 			return nil
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -32,7 +32,7 @@
 				if s.Refused {
 					refused = formatSeconds(s.RefusedForMs)
 				}
-				t.AppendRow([]any{s.Fingerprint, refused, formatSeconds(s.LastEndMs) + " ago", strings.Join(s.Ended, " ")})
+				t.AppendRow([]any{s.Fingerprint, refused, formatSeconds(s.SinceLastCrashMs) + " ago", strings.Join(s.CrashedInstances, " ")})
 			}
 			t.Render()
 			return nil
--- a/internal/daemon/claims.go
+++ b/internal/daemon/claims.go
@@ -25,9 +25,9 @@
 
 // claimService connects the claims of this process with those of the other members.
 type claimService struct {
-	*claims.Claimant
+	*claims.Acquirer
 	store      *claims.Store
-	reconciler *claims.Keeper
+	reconciler *claims.Reconciler
 	d          *Daemon
 }
 
@@ -37,8 +37,8 @@
 	self := claims.Member{Name: d.self.Name, Incarnation: d.self.Incarnation, Domain: d.self.Domain}
 	c := &claimService{d: d, store: claims.NewStore(self, d.set.Control.ClaimWindow.Std())}
 	peers := claimPeers{d}
-	c.Claimant = claims.NewClaimant(c.store, peers)
-	c.reconciler = claims.NewKeeper(claims.KeeperOptions{
+	c.Acquirer = claims.NewAcquirer(c.store, peers)
+	c.reconciler = claims.NewReconciler(claims.ReconcilerOptions{
 		Store: c.store, Peers: peers, Objects: d.store, Live: c.liveHolders, Registrar: c.isRegistrar, Refresh: d.refresh, Logger: d.logger,
 		Mirrored: func() (objstore.Object, bool) { return d.mirror.Get(claims.TableKey) },
 	})
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -380,10 +380,10 @@
 	defer tick.Stop()
 	// Serving counts this process too, which can no longer hold claims. With at most
 	// Replicas members, no other member can replace it as a holder.
-	for d.claims.store.Holds() && d.loop.Snapshot().Serving > claims.Replicas {
+	for d.claims.store.HasShards() && d.loop.Snapshot().Serving > claims.Replicas {
 		select {
 		case <-ctx.Done():
-			level.Warn(d.logger).Log("msg", "claims not handed over", "claims", d.claims.store.Held())
+			level.Warn(d.logger).Log("msg", "claims not handed over", "claims", d.claims.store.ClaimCount())
 			return
 		case <-tick.C:
 		}
--- a/internal/discovery/relay.go
+++ b/internal/discovery/relay.go
@@ -286,7 +286,7 @@
 	at := bootclock.Now().Add(-f.Age)
 	d.cur.ConfigConfirmedAt, d.cur.InstancesConfirmedAt = max(d.cur.ConfigConfirmedAt, at), max(d.cur.InstancesConfirmedAt, at)
 	d.cur.ConfigFreshAt = max(d.cur.ConfigFreshAt, f.ConfigFreshAt)
-	d.cur.Partial = true
+	d.cur.RelayReceived = true
 	for _, s := range []feedName{feedConfig, feedInstances, feedRules} {
 		if f.Partial && s == feedInstances {
 			continue
--- a/internal/discovery/rules_test.go
+++ b/internal/discovery/rules_test.go
@@ -156,7 +156,7 @@
 	view := startOn(t, fake, nil)
 	eventually(t, func() bool { return version(view()) == 1 && view().Rules != nil })
 	require.False(t, permits(view(), "b"))
-	fake.Forget() // ends the watches, so that everything is listed again
+	fake.DropHistory() // ends the watches, so that everything is listed again
 	time.Sleep(applyLimit)
 	require.NotNil(t, view().Rules)
 }
--- a/internal/e2e/chaos_test.go
+++ b/internal/e2e/chaos_test.go
@@ -47,7 +47,7 @@
 		f.platform.SetFaults(platformd.Faults{})
 	}},
 	{"platform loses answers", func(f *fleet, _ int) {
-		f.platform.SetFaults(platformd.Faults{LoseAnswers: true})
+		f.platform.SetFaults(platformd.Faults{LoseResponses: true})
 		time.Sleep(2 * time.Second)
 		f.platform.SetFaults(platformd.Faults{})
 	}},
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -69,7 +69,7 @@
 	engines         []*engined.Server
 	services        []*serviced.Server
 	// crashHosts run the servers that can crash. poisonSends counts the requests that crashed them.
-	crashHosts  []*crash.Host
+	crashHosts  []*crash.RestartingServer
 	poisonSends atomic.Int64
 	config      string
 	procs       []*process
@@ -151,7 +151,7 @@
 // serveWithCrashes serves h at an address. A request with the poison body crashes the server, which
 // restarts after a second.
 func (f *fleet) serveWithCrashes(address string, h http.Handler) {
-	host, err := crash.NewHost(address, time.Second, func(_ string, crash func()) http.Handler {
+	host, err := crash.NewRestartingServer(address, time.Second, func(_ string, crash func()) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			body, err := io.ReadAll(r.Body)
 			if err != nil {
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -88,7 +88,7 @@
 	})
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
 	for _, s := range f.services {
-		s.Forget()
+		s.ClearRuns()
 	}
 	keepAlive.CloseIdleConnections()
 	b.ReportMetric((heap()-before)/(1<<20), "held-MB")
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -41,7 +41,7 @@
 	require.Equal(t, "complete", stream.trailer.Get(HeaderOutcome))
 	require.Equal(t, 2, f.engineRuns())
 	plain := f.do(http.MethodPost, "/alerts/x", "farm 7")
-	require.Equal(t, serviced.Answer("POST", "/alerts/x", []byte("farm 7")), plain.body)
+	require.Equal(t, serviced.ResponseBody("POST", "/alerts/x", []byte("farm 7")), plain.body)
 }
 
 func TestRequestsRunOnlyWhereAllSelectorsPermit(t *testing.T) {
@@ -231,7 +231,7 @@
 
 func TestOutcomeAfterDeadlineIsUnknown(t *testing.T) {
 	f := start(t)
-	f.engineFaults(engined.Faults{Silent: true})
+	f.engineFaults(engined.Faults{NoResponse: true})
 	g := f.chat("notes", false, HeaderDeadline, "50ms")
 	require.Equal(t, "unknown", g.header.Get(HeaderOutcome))
 	g = f.chat("review", true, HeaderDeadline, "50ms")
@@ -240,7 +240,7 @@
 
 func TestClientDisconnectCancelsEngineRequest(t *testing.T) {
 	f := start(t)
-	f.engineFaults(engined.Faults{Silent: true})
+	f.engineFaults(engined.Faults{NoResponse: true})
 	conn, err := net.Dial("tcp", strings.TrimPrefix(f.url, "http://"))
 	require.NoError(t, err)
 	body := `{"model": "review", "messages": [{"role": "user", "content": "x"}]}`
@@ -262,7 +262,7 @@
 
 func TestFullTargetsRejectAtOnce(t *testing.T) {
 	f := start(t)
-	f.engineFaults(engined.Faults{Silent: true})
+	f.engineFaults(engined.Faults{NoResponse: true})
 	var wg sync.WaitGroup
 	for i := range 12 { // 2 engines with a capacity of 4 and a queue factor of 1.5
 		wg.Add(1)
@@ -299,16 +299,16 @@
 
 func TestExplainNamesTargetAndExclusions(t *testing.T) {
 	f := start(t)
-	e, err := f.entry.Explain(Question{Workspace: "d1only", Model: "review"})
+	e, err := f.entry.Explain(ExplainRequest{Workspace: "d1only", Model: "review"})
 	require.NoError(t, err)
 	require.Equal(t, "e1", e.Chosen)
 	require.Equal(t, "workspace domain=d1", e.Targets[1].Rule)
 	f.snapshot.Reports = map[string]control.Report{"e1": {Status: engine.Status{Role: engine.RolePrefill}}}
-	e, err = f.entry.Explain(Question{Workspace: "d1only", Model: "review"})
+	e, err = f.entry.Explain(ExplainRequest{Workspace: "d1only", Model: "review"})
 	require.NoError(t, err)
 	require.Empty(t, e.Chosen)
 	require.Contains(t, e.Targets[0].Rule+e.Targets[1].Rule, "role is prefill")
-	_, err = f.entry.Explain(Question{Workspace: "w"})
+	_, err = f.entry.Explain(ExplainRequest{Workspace: "w"})
 	require.ErrorContains(t, err, "remedy")
 	require.Zero(t, f.engineRuns())
 }
@@ -411,7 +411,7 @@
 // engine. The stream must not be resumed there.
 func TestRetryUsesNewestConfiguration(t *testing.T) {
 	f := start(t)
-	f.engines[0].SetFaults(engined.Faults{Silent: true})
+	f.engines[0].SetFaults(engined.Faults{NoResponse: true})
 	before := f.current()
 	busy := *before
 	busy.PeerLoads = map[string]routing.Load{"e1": {Requests: 3}}
--- a/internal/entry/explain.go
+++ b/internal/entry/explain.go
@@ -11,9 +11,9 @@
 	"github.com/rockdoor/rockdoor/routing"
 )
 
-// Question describes a request whose placement is to be explained. Either Model
+// ExplainRequest describes a request whose placement is to be explained. Either Model
 // or Path is set.
-type Question struct {
+type ExplainRequest struct {
 	Workspace string `json:"workspace"`
 	Model     string `json:"model,omitempty"`
 	Path      string `json:"path,omitempty"`
@@ -23,8 +23,8 @@
 	OutputTokens int `json:"outputTokens,omitempty"`
 }
 
-// Verdict says whether one target could serve the request, and with which score.
-type Verdict struct {
+// TargetEvaluation says whether one target could serve the request, and with which score.
+type TargetEvaluation struct {
 	Target string  `json:"target"`
 	Domain string  `json:"domain"`
 	Score  float64 `json:"score"`
@@ -37,10 +37,10 @@
 // Explanation names the target that a request would be sent to and says why the
 // other targets are excluded or rank lower.
 type Explanation struct {
-	Revision int64     `json:"revision"`
-	Policy   string    `json:"policy"`
-	Chosen   string    `json:"chosen"`
-	Targets  []Verdict `json:"targets"`
+	Revision int64              `json:"revision"`
+	Policy   string             `json:"policy"`
+	Chosen   string             `json:"chosen"`
+	Targets  []TargetEvaluation `json:"targets"`
 	// Entry is the rule by which this entry host must not handle the request,
 	// empty if it may.
 	Entry string `json:"entry,omitempty"`
@@ -48,28 +48,28 @@
 
 // Explain evaluates the placement of a request under the current loads, without
 // sending it.
-func (s *Server) Explain(q Question) (*Explanation, error) {
+func (s *Server) Explain(q ExplainRequest) (*Explanation, error) {
 	snap := s.o.Snapshot()
 	c, err := s.callFor(snap, q)
 	if err != nil {
 		return nil, err
 	}
-	e := &Explanation{Revision: snap.Revision, Policy: c.policy, Targets: []Verdict{}}
+	e := &Explanation{Revision: snap.Revision, Policy: c.policy, Targets: []TargetEvaluation{}}
 	if !c.workspace.Entry.Matches(s.hostLabels(snap)) {
 		e.Entry = "entrySelector " + c.workspace.Entry.String()
 	}
 	permitted := routing.Permit(c.targets, c.rules, func(r routing.Rejection) {
-		e.Targets = append(e.Targets, Verdict{Target: r.Target, Domain: snap.Config.Targets[r.Target].Domain, Rule: r.Rule})
+		e.Targets = append(e.Targets, TargetEvaluation{Target: r.Target, Domain: snap.Config.Targets[r.Target].Domain, Rule: r.Rule})
 	})
 	p := s.policy(c.policy)
 	for _, t := range permitted {
 		if why := s.unavailableReason(snap, t); why != "" {
-			e.Targets = append(e.Targets, Verdict{Target: t.Name, Domain: t.Domain, Rule: why})
+			e.Targets = append(e.Targets, TargetEvaluation{Target: t.Name, Domain: t.Domain, Rule: why})
 			continue
 		}
-		cand := routing.Candidate{Target: t, Load: s.load(t, c), Rates: routing.DefaultRates, Broken: s.breakers.broken(t.Name)}
-		e.Targets = append(e.Targets, Verdict{
-			Target: t.Name, Domain: t.Domain, Score: p.Score(c.cost, &cand), Load: cand.Load.Requests, Broken: cand.Broken,
+		cand := routing.Candidate{Target: t, Load: s.load(t, c), Rates: routing.DefaultRates, BreakerOpen: s.breakers.broken(t.Name)}
+		e.Targets = append(e.Targets, TargetEvaluation{
+			Target: t.Name, Domain: t.Domain, Score: p.Score(c.cost, &cand), Load: cand.Load.Requests, Broken: cand.BreakerOpen,
 		})
 	}
 	slices.SortStableFunc(e.Targets, compareVerdicts)
@@ -93,7 +93,7 @@
 
 // compareVerdicts sorts by preference: the target that would be chosen comes
 // first, targets that are not permitted come last.
-func compareVerdicts(a, b Verdict) int {
+func compareVerdicts(a, b TargetEvaluation) int {
 	switch {
 	case (a.Rule == "") != (b.Rule == ""):
 		return compareFirst(a.Rule == "")
@@ -112,7 +112,7 @@
 	return 1
 }
 
-func (s *Server) callFor(snap *control.Snapshot, q Question) (*call, error) {
+func (s *Server) callFor(snap *control.Snapshot, q ExplainRequest) (*call, error) {
 	if snap.Config == nil {
 		return nil, fault.New(fault.Unavailable, "no configuration yet", "accept one with: rockdoor config apply")
 	}
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -114,7 +114,7 @@
 
 // Acquire implements Claims with the fleet's single claim holder.
 func (f *fleet) Acquire(ctx context.Context, c claims.Claim) claims.Result {
-	return claims.NewClaimant(f.claims, nil).Acquire(ctx, c)
+	return claims.NewAcquirer(f.claims, nil).Acquire(ctx, c)
 }
 
 func (f *fleet) Abandon(c claims.Claim) { f.claims.Abandon(c) }
--- a/internal/entry/notice_test.go
+++ b/internal/entry/notice_test.go
@@ -17,13 +17,13 @@
 func TestBackoffOfTargetIsRespected(t *testing.T) {
 	f := start(t)
 	overloaded := f.services[0]
-	overloaded.SetFaults(serviced.Faults{RestSeconds: 60})
+	overloaded.SetFaults(serviced.Faults{RetryAfterSeconds: 60})
 	for n := range 40 {
 		got := f.do(http.MethodPost, "/alerts/x", fmt.Sprint(n))
 		require.Equal(t, http.StatusOK, got.status, got.body)
 	}
 	require.Len(t, overloaded.Runs(), 1)
-	f.services[1].SetFaults(serviced.Faults{RestSeconds: 30})
+	f.services[1].SetFaults(serviced.Faults{RetryAfterSeconds: 30})
 	f.do(http.MethodPost, "/alerts/x", "a")
 	got := f.do(http.MethodPost, "/alerts/x", "b")
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -160,7 +160,7 @@
 	if float64(inFlight) < shareThreshold*float64(capacity) {
 		return nil
 	}
-	if err := r.s.admission.OverShare(&r.c.workspace.Workspace); err != nil {
+	if err := r.s.admission.CheckFairShare(&r.c.workspace.Workspace); err != nil {
 		return errorReplyFor(err)
 	}
 	return nil
@@ -232,7 +232,7 @@
 		if !r.s.o.Snapshot().Available(t) || !r.s.limits.CheckGrant(t.Name, r.waiting) {
 			continue
 		}
-		cands = append(cands, routing.Candidate{Target: t, Load: load, Rates: routing.DefaultRates, Broken: r.s.breakers.broken(t.Name)})
+		cands = append(cands, routing.Candidate{Target: t, Load: load, Rates: routing.DefaultRates, BreakerOpen: r.s.breakers.broken(t.Name)})
 	}
 	return cands, full
 }
--- a/internal/entry/share_test.go
+++ b/internal/entry/share_test.go
@@ -17,7 +17,7 @@
 
 func TestFloodDoesNotStarveOtherWorkspace(t *testing.T) {
 	f := start(t)
-	f.engineFaults(engined.Faults{Silent: true})
+	f.engineFaults(engined.Faults{NoResponse: true})
 	responses := make(chan got, 40)
 	for range 40 {
 		go func() { responses <- f.chat("review", false, HeaderWorkspace, "flood", HeaderDeadline, "1s") }()
--- a/internal/gateway/admit_test.go
+++ b/internal/gateway/admit_test.go
@@ -65,7 +65,7 @@
 		require.Len(t, runs, before+1, c.name)
 	}
 	seen := map[string]string{}
-	for _, run := range append(append(plain.Runs(), decodeEngine.Runs()...), prefillEngine.Reads()...) {
+	for _, run := range append(append(plain.Runs(), decodeEngine.Runs()...), prefillEngine.Prefills()...) {
 		require.Empty(t, run.Header.Values("Api-Key"), run.ID)
 		require.LessOrEqual(t, len(run.Header.Values("X-Tenant")), 1, run.ID)
 		seen[run.ID] = run.Header.Get("X-Tenant")
@@ -74,8 +74,8 @@
 	require.Equal(t, "v", seen["id-forged workspace"])
 	require.Equal(t, "", seen["id-no key on a public route"])
 	require.Equal(t, "w", seen["id-prompt that is prefilled separately"])
-	require.Len(t, prefillEngine.Reads(), 1)
-	require.Equal(t, "w", prefillEngine.Reads()[0].Header.Get("X-Tenant"))
+	require.Len(t, prefillEngine.Prefills(), 1)
+	require.Equal(t, "w", prefillEngine.Prefills()[0].Header.Get("X-Tenant"))
 	for _, run := range plain.Runs() {
 		if run.ID == "id-forged workspace" {
 			require.Equal(t, "3", run.Header.Get("X-Request-Priority"), "the workspace's rank overrides the route's")
--- a/internal/gateway/backup.go
+++ b/internal/gateway/backup.go
@@ -47,13 +47,13 @@
 		return lifecycle.Lost, streamErr
 	}
 	q.plan.Granted = true // checkBackup has counted the send against the backup's rate limit
-	resp, verdict, err := q.exchange(q.ctx, backup, engine.Send{
-		Instance: backup.ID, Left: time.Until(q.deadline), Rank: q.route.Rank, ResumeAfter: q.lastEventID,
+	resp, verdict, err := q.exchange(q.ctx, backup, engine.SendOptions{
+		Instance: backup.ID, Remaining: time.Until(q.deadline), Rank: q.route.Rank, ResumeAfter: q.lastEventID,
 		Source: &engine.KVSource{Address: backup.Address, Handle: q.call.ID},
 	})
 	q.sends++
 	if err == nil {
-		if verdict.NotRun || !verdict.Genuine || !isStream(resp) {
+		if verdict.NotRun || !verdict.Sealed || !isStream(resp) {
 			resp.DiscardBody()
 			err = fault.Newf(fault.Unavailable, "the stream ends here", "backup %s did not continue the stream, status %d", backup.ID, resp.Status)
 		}
--- a/internal/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -54,7 +54,7 @@
 	if route == nil {
 		return nil, fault.New(fault.NotFound, "no route for "+q.Host+q.Path, "check the host name and the path")
 	}
-	service := route.Pick(q.ID)
+	service := route.PickService(q.ID)
 	call := &engine.Call{ID: q.ID, PromptTokens: q.PromptTokens, Parts: []engine.Part{
 		{ID: q.PromptPrefix, Tokens: q.SharedTokens}, {Tokens: q.PromptTokens - q.SharedTokens},
 	}}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -140,11 +140,11 @@
 
 // accept validates a request, matches it to a route, checks its API key and reads its body.
 func (s *Server) accept(w http.ResponseWriter, r *http.Request, arrived time.Time) (*request, *reply) {
-	call, err := s.o.Protocol.Read(r.Header)
+	call, err := s.o.Protocol.DecodeRequest(r.Header)
 	if err != nil {
 		return nil, replyWithStatus(http.StatusBadRequest, "bad-request", err, 0)
 	}
-	view := s.readyView(r.Context(), call.Wait)
+	view := s.readyView(r.Context(), call.ClientTimeout)
 	if !view.Ready() {
 		return nil, replyWithStatus(http.StatusServiceUnavailable, "not-ready",
 			fault.New(fault.Unavailable, "no configuration has been loaded yet", "ask again after the time in Retry-After"), notReadyRetry)
@@ -159,7 +159,7 @@
 		return nil, rep
 	}
 	q := &request{s: s, w: w, http: r, call: &call, route: withWorkspaceRank(route, workspace), workspace: workspace, arrived: arrived, avoid: map[string]bool{}, lifecycle: lifecycle.New(call.ID, s.o.Logger)}
-	q.deadline = arrived.Add(requestTimeout(call.Wait, route.Timeout))
+	q.deadline = arrived.Add(requestTimeout(call.ClientTimeout, route.Timeout))
 	if rep := q.readBody(view.Config.Limits); rep != nil {
 		q.releaseBuffers()
 		return nil, rep
@@ -228,7 +228,7 @@
 
 // rejectEarly sends and logs the reply to a request that accept rejected.
 func (s *Server) rejectEarly(w http.ResponseWriter, r *http.Request, rep *reply) {
-	call, _ := s.o.Protocol.Read(r.Header) // only the request ID is needed; it is empty if the headers are invalid
+	call, _ := s.o.Protocol.DecodeRequest(r.Header) // only the request ID is needed; it is empty if the headers are invalid
 	s.count("outcome." + rep.code)
 	v := s.o.View()
 	version := int64(0)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -52,11 +52,11 @@
 		{"sound", pathAtMostOnce, fleetengine.None, 0, 200, 1},
 		{"at most once: a rejected request is retried at another instance", pathAtMostOnce, fleetengine.Shed, 1, 200, 1},
 		{"at most once: a request that all instances reject has not run", pathAtMostOnce, fleetengine.Shed, -1, 503, 0},
-		{"at most once: a request whose response is lost may have run", pathAtMostOnce, fleetengine.LoseAnswer, 1, 502, 1},
+		{"at most once: a request whose response is lost may have run", pathAtMostOnce, fleetengine.LoseResponse, 1, 502, 1},
 		{"at most once: an error response is relayed", pathAtMostOnce, fleetengine.Error, 1, 500, 1},
 		{"at most once: a response without a seal is not relayed", pathAtMostOnce, fleetengine.Unsealed, 1, 502, 1},
 		{"at most once: a response to another request is skipped", pathAtMostOnce, fleetengine.StrayFirst, 1, 200, 1},
-		{"idempotent: a request whose response is lost is retried", pathIdempotent, fleetengine.LoseAnswer, 1, 200, 2},
+		{"idempotent: a request whose response is lost is retried", pathIdempotent, fleetengine.LoseResponse, 1, 200, 2},
 		{"idempotent: an error response is retried", pathIdempotent, fleetengine.Error, 1, 200, 2},
 		{"idempotent: a second error response is relayed", pathIdempotent, fleetengine.Error, -1, 500, 2},
 		{"idempotent: a response without a seal is retried", pathIdempotent, fleetengine.Unsealed, 1, 200, 2},
@@ -220,8 +220,8 @@
 		require.Equal(t, http.StatusOK, r.send(http.MethodPost, pathModel, "id", "x", prompt("bb")).status)
 	}
 	require.Len(t, decodeEngines[0].Runs(), 5)
-	require.Equal(t, 5, len(prefillEngines[0].Reads())+len(prefillEngines[1].Reads()))
-	require.True(t, len(prefillEngines[0].Reads()) == 5 || len(prefillEngines[1].Reads()) == 5, "all prompts with the same prefix go to one prefill engine")
+	require.Equal(t, 5, len(prefillEngines[0].Prefills())+len(prefillEngines[1].Prefills()))
+	require.True(t, len(prefillEngines[0].Prefills()) == 5 || len(prefillEngines[1].Prefills()) == 5, "all prompts with the same prefix go to one prefill engine")
 	require.Zero(t, len(prefillEngines[0].Runs())+len(prefillEngines[1].Runs()))
 	require.Equal(t, http.StatusOK, r.send(http.MethodPost, pathModel, "short", "x", http.Header{"X-Token-Count": {"100,50"}}).status)
 	require.Len(t, decodeEngines[0].Runs(), 6)
@@ -237,9 +237,9 @@
 	for range 6 {
 		require.Equal(t, http.StatusOK, r.send(http.MethodPost, pathModel, "id", "x", prompt("bb")).status)
 	}
-	require.Len(t, prefillEngines[0].Reads(), 6)
+	require.Len(t, prefillEngines[0].Prefills(), 6)
 	require.Len(t, decodeEngines[1].Runs(), 6)
-	require.Empty(t, prefillEngines[0].Freed())
+	require.Empty(t, prefillEngines[0].FreedHandles())
 }
 
 // TestUnusedKVCacheIsReleased checks that the KV cache is released if all decode engines
@@ -251,14 +251,14 @@
 	a := r.send(http.MethodPost, pathModel, "id", "x", prompt("bb"))
 	require.Equal(t, http.StatusServiceUnavailable, a.status)
 	require.Zero(t, len(decodeEngines[0].Runs()))
-	require.Eventually(t, func() bool { return len(prefillEngines[0].Freed()) == 1 }, time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return len(prefillEngines[0].FreedHandles()) == 1 }, time.Second, 5*time.Millisecond)
 }
 
 func TestRetriesStayWithinBudget(t *testing.T) {
 	all := engines("", "i-1", "i-2", "i-3")
 	r := newHarness(t, harnessOptions{plain: all, budget: gateway.RetryBudgetConfig{Ratio: 0.2, Slack: 16, Window: 10 * time.Second}})
 	for _, e := range all {
-		e.Fail(fleetengine.LoseAnswer, -1)
+		e.Fail(fleetengine.LoseResponse, -1)
 	}
 	const requests = 60
 	for range requests {
@@ -328,7 +328,7 @@
 	r.view.Store(&v)
 	require.Equal(t, http.StatusOK, r.send(http.MethodPost, pathModel, "id", "x", prompt("bb")).status)
 	require.Empty(t, other[0].Runs()[0].Header.Get("X-Kv-Source"))
-	require.Eventually(t, func() bool { return len(prefillEngines[0].Freed()) == 1 }, time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return len(prefillEngines[0].FreedHandles()) == 1 }, time.Second, 5*time.Millisecond)
 }
 
 // TestHalfClosedClientGetsNoCompleteResponse covers clients that close their sending side after
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -47,7 +47,7 @@
 			for _, e := range append(c.plain, c.model...) {
 				if e.ID == draining {
 					require.Empty(t, e.Runs())
-					require.Empty(t, e.Reads())
+					require.Empty(t, e.Prefills())
 				}
 			}
 		})
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -21,7 +21,7 @@
 		kv = append(kv, "by", p.DecidedBy)
 	}
 	if p.PrefillEngine != nil {
-		kv = append(kv, "subject", q.call.Subject(), "reader", p.PrefillEngine.ID)
+		kv = append(kv, "subject", q.call.PromptPrefix(), "reader", p.PrefillEngine.ID)
 	}
 	if p.FetchFrom != nil {
 		kv = append(kv, "fetch_from", p.FetchFrom.ID)
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -13,21 +13,21 @@
 
 // exchange sends the request to an instance, and records what the response headers say about the
 // instance: its shutdown, a requested backoff, its rate limit.
-func (q *request) exchange(ctx context.Context, i *fleet.Instance, s engine.Send) (*upstream.Response, engine.Verdict, error) {
+func (q *request) exchange(ctx context.Context, i *fleet.Instance, s engine.SendOptions) (*upstream.Response, engine.Verdict, error) {
 	q.notSent = false
 	resp, err := q.s.o.Client.Do(ctx, q.upstreamRequest(i, s))
 	if err != nil {
 		return nil, engine.Verdict{}, err
 	}
-	v := q.s.o.Protocol.Judge(resp.Status, resp.Header)
+	v := q.s.o.Protocol.ReadOutcome(resp.Status, resp.Header)
 	if v.Replaced {
 		return resp, v, nil // the headers describe the instance that took over the address
 	}
-	if v.Leaving {
+	if v.ShuttingDown {
 		q.s.notices.RecordShutdown(i.RunID(), q.call.ID)
 	}
-	if v.Rest > 0 {
-		q.s.notices.RecordBackoff(i.RunID(), q.call.ID, v.Rest)
+	if v.Backoff > 0 {
+		q.s.notices.RecordBackoff(i.RunID(), q.call.ID, v.Backoff)
 	}
 	q.s.limits.RecordResponse(i.RunID(), q.call.ID, v.RateLimit, q.sentAt)
 	return resp, v, nil
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -15,7 +15,7 @@
 
 // requestsReceived returns how many requests an engine has received, including rejected ones.
 func requestsReceived(e *fleetengine.Engine) int {
-	return len(e.Runs()) + len(e.Reads()) + len(e.Refused())
+	return len(e.Runs()) + len(e.Prefills()) + len(e.ShedRequests())
 }
 
 func noHeader(int) http.Header { return nil }
@@ -47,7 +47,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, harnessOptions{plain: c.plain, model: c.model})
 			leaving := append(c.plain, c.model...)[0]
-			leaving.SetLeaving()
+			leaving.SetShuttingDown()
 			for n := 0; requestsReceived(leaving) == 0 && n < 100; n++ {
 				r.send(http.MethodPost, c.path, fmt.Sprint("a-", n), fmt.Sprint(n), c.header(n))
 			}
@@ -75,7 +75,7 @@
 	plain := []*fleetengine.Engine{fleetengine.New("a", ""), fleetengine.New("b", "")}
 	r := newHarness(t, harnessOptions{plain: plain})
 	throttled := plain[0]
-	throttled.Rest = requestedBackoff
+	throttled.RetryAfter = requestedBackoff
 	throttled.Fail(fleetengine.Shed, -1)
 	send := func(id string) { r.send(http.MethodPost, pathIdempotent, id, id, nil) }
 	for n := 0; requestsReceived(throttled) == 0 && n < 100; n++ {
@@ -84,7 +84,7 @@
 	backoffStart := time.Now()
 	time.Sleep(maxTransitTime)
 	before := requestsReceived(throttled)
-	plain[1].Work = 20 * time.Millisecond // the instance that asked for a backoff is the less loaded one
+	plain[1].ResponseDelay = 20 * time.Millisecond // the instance that asked for a backoff is the less loaded one
 	var wg sync.WaitGroup
 	for c := range 8 {
 		wg.Go(func() {
@@ -105,7 +105,7 @@
 	plain := []*fleetengine.Engine{fleetengine.New("a", ""), fleetengine.New("b", "")}
 	r := newHarness(t, harnessOptions{plain: plain})
 	for _, e := range plain {
-		e.Rest = 30 * time.Second
+		e.RetryAfter = 30 * time.Second
 		e.Fail(fleetengine.Shed, -1)
 	}
 	for n := range 10 {
--- a/internal/gateway/read.go
+++ b/internal/gateway/read.go
@@ -27,8 +27,8 @@
 	start := time.Now()
 	ctx, cancel := context.WithDeadline(q.ctx, q.firstEventDeadline())
 	defer cancel()
-	resp, verdict, err := q.exchange(ctx, plan.PrefillEngine, engine.Send{
-		Instance: plan.PrefillEngine.ID, Left: time.Until(q.firstEventDeadline()), Rank: plan.Rank, ReadOnly: true, FetchFrom: addressOf(plan.FetchFrom),
+	resp, verdict, err := q.exchange(ctx, plan.PrefillEngine, engine.SendOptions{
+		Instance: plan.PrefillEngine.ID, Remaining: time.Until(q.firstEventDeadline()), Rank: plan.Rank, PrefillOnly: true, FetchFrom: addressOf(plan.FetchFrom),
 	})
 	if err != nil {
 		if q.retryCharged = fault.Is(err, fault.Unavailable); !q.retryCharged { // the engine may have received the request
@@ -48,7 +48,7 @@
 	if resp.Status != http.StatusOK {
 		return q.prefillFailed(plan, ticket, placement.Failed, fault.Newf(fault.Unavailable, "another engine is tried", "engine %s answered %d to a prefill request", plan.PrefillEngine.ID, resp.Status))
 	}
-	handle, err := q.s.o.Protocol.ReadResult(body)
+	handle, err := q.s.o.Protocol.DecodePrefillResult(body)
 	if err != nil {
 		return q.prefillFailed(plan, ticket, placement.Failed, err)
 	}
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -131,7 +131,7 @@
 	}
 	firstAttempt := q.service == ""
 	q.workspace, q.route, q.configVersion = workspace, withWorkspaceRank(route, workspace), view.Config.Version
-	service := route.Pick(q.call.ID)
+	service := route.PickService(q.call.ID)
 	if service != q.service {
 		q.releaseKV() // a KV cache of one service is of no use to another
 	}
@@ -263,8 +263,8 @@
 		q.logDecision(view)
 	}
 	q.backup = q.chooseBackup(plan.Target)
-	resp, verdict, err := q.exchange(q.ctx, plan.Target, engine.Send{
-		Instance: plan.Target.ID, Left: time.Until(q.deadline), Rank: q.route.Rank, Source: q.kvSource, ResumeAfter: q.resumeAfter(),
+	resp, verdict, err := q.exchange(q.ctx, plan.Target, engine.SendOptions{
+		Instance: plan.Target.ID, Remaining: time.Until(q.deadline), Rank: q.route.Rank, Source: q.kvSource, ResumeAfter: q.resumeAfter(),
 		Backup: addressOf(q.backup),
 	})
 	q.sends++
@@ -304,7 +304,7 @@
 	if !isStream(resp) {
 		q.countRun() // the run of a stream is counted at its first event
 	}
-	if !verdict.Genuine && resp.Status < http.StatusMultipleChoices {
+	if !verdict.Sealed && resp.Status < http.StatusMultipleChoices {
 		resp.Close(false)
 		q.ticket.RunEnded(placement.Failed)
 		q.avoid[plan.Target.ID] = true
@@ -366,7 +366,7 @@
 	return q.call.LastEvent
 }
 
-func (q *request) upstreamRequest(i *fleet.Instance, s engine.Send) upstream.Request {
+func (q *request) upstreamRequest(i *fleet.Instance, s engine.SendOptions) upstream.Request {
 	s.Workspace = q.workspaceName()
 	return upstream.Request{
 		Address: i.Address, Method: q.http.Method, URI: q.http.RequestURI, Host: q.http.Host, Body: q.body,
--- a/internal/gatewayd/deadly_test.go
+++ b/internal/gatewayd/deadly_test.go
@@ -34,7 +34,7 @@
 // crashingEngines are engines that crash when they run the poison request. Each of them is restarted
 // under another ID soon after.
 type crashingEngines struct {
-	hosts []*crash.Host
+	hosts []*crash.RestartingServer
 
 	mu      sync.Mutex
 	engines []*fleetengine.Engine
@@ -47,7 +47,7 @@
 	d.t.Helper()
 	c := &crashingEngines{currentIDs: map[string]string{}}
 	for range n {
-		h, err := crash.NewHost("127.0.0.1:0", 500*time.Millisecond, func(address string, crash func()) http.Handler { return c.start(d, address, crash) })
+		h, err := crash.NewRestartingServer("127.0.0.1:0", 500*time.Millisecond, func(address string, crash func()) http.Handler { return c.start(d, address, crash) })
 		require.NoError(d.t, err)
 		d.t.Cleanup(h.Close)
 		c.hosts = append(c.hosts, h)
@@ -59,7 +59,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := fleetengine.New(fmt.Sprint("c-", len(c.engines)), "decode")
-	e.Events, e.Deadly, e.Crash = 3, poisonBody, crash
+	e.Events, e.PoisonBody, e.Crash = 3, poisonBody, crash
 	if previous := c.currentIDs[address]; previous != "" {
 		d.store.Remove("servers", previous)
 	}
@@ -81,7 +81,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, e := range slices.Concat(c.engines, d.engines) {
-		for _, run := range append(e.Runs(), e.Reads()...) {
+		for _, run := range append(e.Runs(), e.Prefills()...) {
 			if run.Body == poisonBody {
 				n++
 			}
--- a/internal/gatewayd/duties.go
+++ b/internal/gatewayd/duties.go
@@ -34,7 +34,7 @@
 		Collect: d.usage.Collect, Due: d.settings.Duties.UsageDue.Std(), Metrics: d.reg, Logger: d.logger,
 	})
 	d.duties = append(d.duties, r.Run)
-	return ledger.Began
+	return ledger.CountRequest
 }
 
 // runDuties performs the duties until ctx ends. It then waits for the end of background before it
--- a/internal/gatewayd/fleet_test.go
+++ b/internal/gatewayd/fleet_test.go
@@ -85,7 +85,7 @@
 	}
 	for _, p := range behind {
 		st := p.fetchStatus(d.t)
-		d.t.Logf("%s: config %d of %d ms ago, schedulers %v, reachable %v; last log lines:\n%s", st.Name, st.Config, st.ConfigAgeMs, st.Schedulers, st.Heard, lastLines(p.log.String(), 30))
+		d.t.Logf("%s: config %d of %d ms ago, schedulers %v, reachable %v; last log lines:\n%s", st.Name, st.Config, st.ConfigAgeMs, st.Schedulers, st.ReachableSchedulers, lastLines(p.log.String(), 30))
 	}
 	require.Empty(d.t, behind, "configuration %d is not in force at %d of %d processes after %s; this program was not scheduled for %s at a time", version, len(behind), len(all), within, schedulingDelay())
 }
@@ -194,7 +194,7 @@
 		require.Equal(t, http.StatusOK, status(p, "gone", p.settings.Name+"-1"))
 		require.Equal(t, http.StatusUnauthorized, status(p, "none", p.settings.Name+"-2"))
 	}
-	d.store.SetFaults(fleetstore.Faults{Silent: true})
+	d.store.SetFaults(fleetstore.Faults{NoResponse: true})
 	d.workspaces = map[string][]string{"w": {"kept", "moved"}, "v": {"new"}}
 	d.configure(2, "/app/")
 	revokedAt := time.Now()
--- a/internal/gatewayd/gatewayd_test.go
+++ b/internal/gatewayd/gatewayd_test.go
@@ -241,11 +241,11 @@
 		require.Equal(t, http.StatusOK, status, body)
 		require.Equal(t, 3, strings.Count(body, "data: 2-"))
 	}
-	require.Len(t, d.engines[2].Reads(), 2)
+	require.Len(t, d.engines[2].Prefills(), 2)
 	require.Len(t, d.engines[3].Runs(), 2)
 
 	var st Status
-	require.Eventually(t, func() bool { a.get(t, "/status", &st); return len(st.Heard) == 1 && st.Members == 2 }, 5*time.Second, 20*time.Millisecond)
+	require.Eventually(t, func() bool { a.get(t, "/status", &st); return len(st.ReachableSchedulers) == 1 && st.Members == 2 }, 5*time.Second, 20*time.Millisecond)
 	require.True(t, st.Ready)
 	require.Len(t, st.Instances, 4)
 	var e gateway.Explanation
--- a/internal/gatewayd/notice_test.go
+++ b/internal/gatewayd/notice_test.go
@@ -32,8 +32,8 @@
 			d := newDeployment(t)
 			d.applyLimit = "3s"
 			all := start(d)
-			d.store.SetFaults(fleetstore.Faults{Silent: true})
-			d.engines[0].SetLeaving()
+			d.store.SetFaults(fleetstore.Faults{NoResponse: true})
+			d.engines[0].SetShuttingDown()
 			for n := range sends {
 				for _, p := range all {
 					status, body := p.send("/app/x", fmt.Sprint(p.settings.Name, "/", n), nil)
@@ -62,7 +62,7 @@
 			d := newDeployment(t)
 			d.applyLimit = "3s"
 			all := start(d)
-			d.engines[0].Rest = time.Minute
+			d.engines[0].RetryAfter = time.Minute
 			d.engines[0].Fail(fleetengine.Shed, -1)
 			for n := range sends {
 				for _, p := range all {
@@ -70,7 +70,7 @@
 				}
 			}
 			rejected := map[string]int{}
-			for _, run := range d.engines[0].Refused() {
+			for _, run := range d.engines[0].ShedRequests() {
 				process, _, _ := strings.Cut(run.ID, "/")
 				rejected[process]++
 			}
--- a/internal/gatewayd/operators.go
+++ b/internal/gatewayd/operators.go
@@ -23,7 +23,7 @@
 	Run      string `json:"run"`
 	Ready    bool   `json:"ready"`
 	Stopping bool   `json:"stopping"`
-	InHand   int64  `json:"inHand"`
+	InFlight int64  `json:"inHand"`
 	// Config is the version of the configuration in force, 0 if there is none.
 	Config         int64 `json:"config"`
 	ConfigAgeMs    int64 `json:"configAgeMs"`
@@ -36,10 +36,10 @@
 	// Scheduling is true if the process is a scheduler. Schedulers are the names of all schedulers,
 	// Watchers of those among them that watch the store, Heard of the other schedulers that this
 	// process receives loads from.
-	Scheduling bool     `json:"scheduling"`
-	Schedulers []string `json:"schedulers"`
-	Watchers   []string `json:"watchers"`
-	Heard      []string `json:"heard"`
+	Scheduling          bool     `json:"scheduling"`
+	Schedulers          []string `json:"schedulers"`
+	Watchers            []string `json:"watchers"`
+	ReachableSchedulers []string `json:"heard"`
 	// Followers says how current the processes are that get their updates from this one.
 	Followers scheduler.Followers `json:"followers"`
 	Instances []InstanceStatus    `json:"instances"`
@@ -55,7 +55,7 @@
 	Domain   string         `json:"domain"`
 	Role     engine.Role    `json:"role,omitempty"`
 	Draining bool           `json:"draining"`
-	Lapsed   bool           `json:"lapsed"`
+	Expired  bool           `json:"lapsed"`
 	Changing bool           `json:"changing"`
 	Load     placement.Load `json:"load"`
 }
@@ -84,16 +84,16 @@
 func (d *Daemon) status(w http.ResponseWriter, _ *http.Request) {
 	v := d.discovery.View()
 	st := Status{
-		Name: d.settings.Name, Run: d.runID, Ready: v.Ready(), Stopping: d.stopping.Load(), InHand: d.gateway.InFlight(),
+		Name: d.settings.Name, Run: d.runID, Ready: v.Ready(), Stopping: d.stopping.Load(), InFlight: d.gateway.InFlight(),
 		ConfigAgeMs: v.ConfigAge().Milliseconds(), InstancesAgeMs: v.InstancesAge().Milliseconds(), StoreUp: v.StoreUp, Era: v.Era,
-		Members: v.Processes, Scheduling: v.Scheduling, Schedulers: members.Names(v.Schedulers), Watchers: members.Names(v.Watchers), Heard: d.loadSync.Reachable(), Followers: d.schedulerServer.Followers(), Instances: []InstanceStatus{},
+		Members: v.Processes, Scheduling: v.Scheduling, Schedulers: members.Names(v.Schedulers), Watchers: members.Names(v.Watchers), ReachableSchedulers: d.loadSync.Reachable(), Followers: d.schedulerServer.Followers(), Instances: []InstanceStatus{},
 	}
 	if v.Config != nil {
 		st.Config = v.Config.Version
 	}
 	for id, i := range v.Instances {
 		st.Instances = append(st.Instances, InstanceStatus{
-			ID: id, Service: i.Service, Address: i.Address, Domain: i.Domain, Role: i.Role, Draining: i.Draining, Lapsed: i.Expired,
+			ID: id, Service: i.Service, Address: i.Address, Domain: i.Domain, Role: i.Role, Draining: i.Draining, Expired: i.Expired,
 			Changing: d.isChangingRole(i), Load: d.placer.Load(i),
 		})
 	}
--- a/internal/gatewayd/quarantine.go
+++ b/internal/gatewayd/quarantine.go
@@ -14,9 +14,9 @@
 // SuspectStatus is the state of a request during whose runs instances have crashed. Ended lists the
 // runs of these instances.
 type SuspectStatus struct {
-	Fingerprint string   `json:"fingerprint"`
-	Ended       []string `json:"ended"`
-	LastEndMs   int64    `json:"lastEndMs"`
+	Fingerprint      string   `json:"fingerprint"`
+	CrashedInstances []string `json:"ended"`
+	SinceLastCrashMs int64    `json:"lastEndMs"`
 	// Refused is true if the request is sent to no instance for another RefusedForMs.
 	Refused      bool  `json:"refused"`
 	RefusedForMs int64 `json:"refusedForMs"`
@@ -27,7 +27,7 @@
 	out := []SuspectStatus{}
 	for _, s := range d.suspects.Suspects() {
 		out = append(out, SuspectStatus{
-			Fingerprint: s.Request.String(), Ended: s.Verdict.CrashedInstances, LastEndMs: s.SinceLastCrash.Milliseconds(),
+			Fingerprint: s.Request.String(), CrashedInstances: s.Verdict.CrashedInstances, SinceLastCrashMs: s.SinceLastCrash.Milliseconds(),
 			Refused: s.Verdict.Refused, RefusedForMs: s.Verdict.RetryAfter.Milliseconds(),
 		})
 	}
--- a/internal/gatewayd/ratelimit_test.go
+++ b/internal/gatewayd/ratelimit_test.go
@@ -43,7 +43,7 @@
 // arrivalTimes returns when requests arrived at an engine, in order.
 func arrivalTimes(e *fleetengine.Engine) []time.Time {
 	var out []time.Time
-	for _, run := range slices.Concat(e.Runs(), e.Reads(), e.Refused()) {
+	for _, run := range slices.Concat(e.Runs(), e.Prefills(), e.ShedRequests()) {
 		out = append(out, run.At)
 	}
 	slices.SortFunc(out, time.Time.Compare)
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -153,7 +153,7 @@
 	if a.Class.Model != "" {
 		return answer.Text(text, a.OutputTokens)
 	}
-	return serviced.Answer(req.Method, req.URL.Path, nil)
+	return serviced.ResponseBody(req.Method, req.URL.Path, nil)
 }
 
 // readError reads an unsuccessful response.
--- a/internal/lab/soak/actions.go
+++ b/internal/lab/soak/actions.go
@@ -55,7 +55,7 @@
 	case FaultConfig:
 		w.writeConfigs(op, a.Count)
 	case FaultAPI:
-		w.api.SetFaults(fleetapi.Faults{LoseAnswers: true})
+		w.api.SetFaults(fleetapi.Faults{LoseResponses: true})
 		w.runAfter(a.Duration, func() { w.api.SetFaults(fleetapi.Faults{}) })
 	case FaultStoreRestore:
 		w.restoreStore(op, a.Duration)
@@ -204,17 +204,17 @@
 func storeFaults(f Fault) fleetstore.Faults {
 	switch f {
 	case FaultStoreSilent:
-		return fleetstore.Faults{Silent: true}
+		return fleetstore.Faults{NoResponse: true}
 	case FaultStoreSlow:
 		return fleetstore.Faults{Delay: storeDelay}
 	case FaultStoreLoses:
-		return fleetstore.Faults{LoseAnswers: true}
+		return fleetstore.Faults{LoseResponses: true}
 	case FaultStoreLate:
-		return fleetstore.Faults{LateBy: lateWriteDelay}
+		return fleetstore.Faults{WriteDelay: lateWriteDelay}
 	case FaultStoreStale:
 		return fleetstore.Faults{StaleBy: staleReadAge}
 	case FaultStoreSilentWatches:
-		return fleetstore.Faults{DeafWatches: true}
+		return fleetstore.Faults{WithholdEvents: true}
 	}
 	return fleetstore.Faults{Down: true}
 }
@@ -222,7 +222,7 @@
 // applyStoreFault sets a fault of the store, which replaces the current one.
 func (w *world) applyStoreFault(a Action, d *Disturbance) {
 	if a.Fault == FaultStoreDropsHistory {
-		w.store.Forget()
+		w.store.DropHistory()
 		return
 	}
 	if a.Fault == FaultStoreRefusesSome {
@@ -238,7 +238,7 @@
 	w.mu.Unlock()
 	w.store.SetFaults(storeFaults(a.Fault))
 	if a.Fault == FaultStoreStale {
-		w.runAfter(a.Duration/2, w.store.Forget) // so that watches have to list again while lists are stale
+		w.runAfter(a.Duration/2, w.store.DropHistory) // so that watches have to list again while lists are stale
 	}
 	w.endAfter(a.Duration, d, func() {
 		w.mu.Lock()
@@ -251,7 +251,7 @@
 }
 
 var engineFaults = map[Fault]fleetengine.Fault{
-	FaultShed: fleetengine.Shed, FaultError: fleetengine.Error, FaultLoseResponse: fleetengine.LoseAnswer, FaultCut: fleetengine.CutMidEvent,
+	FaultShed: fleetengine.Shed, FaultError: fleetengine.Error, FaultLoseResponse: fleetengine.LoseResponse, FaultCut: fleetengine.CutMidEvent,
 	FaultStray: fleetengine.StrayFirst, FaultUnsealed: fleetengine.Unsealed, FaultHang: fleetengine.Hang, FaultHangMid: fleetengine.HangMidStream,
 	FaultLateOrders: fleetengine.LateOrders,
 }
--- a/internal/lab/soak/instances.go
+++ b/internal/lab/soak/instances.go
@@ -93,7 +93,7 @@
 	p.mu.Lock()
 	p.starts++
 	e := fleetengine.New(instanceID(p.number, p.starts), p.Stage)
-	e.Work, e.RoleChange, e.OrderDelay = workTime, roleChangeTime, lateOrderDelay
+	e.ResponseDelay, e.RoleChange, e.OrderDelay = workTime, roleChangeTime, lateOrderDelay
 	if p.Service == serviceModels {
 		e.Events, e.Gap = streamEvents, eventGap
 	}
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -103,7 +103,7 @@
 	defer log.Close()
 	args := append(append([]string{}, g.w.o.Command[1:]...), "gateway", "serve", "--settings", g.settingsFile())
 	cmd := exec.Command(g.w.o.Command[0], args...)
-	cmd.Env = append(append(os.Environ(), g.w.o.Env...), wallclock.FileVariable+"="+g.clockFile())
+	cmd.Env = append(append(os.Environ(), g.w.o.Env...), wallclock.OffsetFileVariable+"="+g.clockFile())
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("cannot start %s: %w", g.name(), err)
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -124,11 +124,11 @@
 	guaranteedRequests = 4
 )
 
-// OverShare returns a *RejectionError if a workspace has more than its weighted share of the requests
+// CheckFairShare returns a *RejectionError if a workspace has more than its weighted share of the requests
 // in flight, nil otherwise. It is called only while targets are scarce, so that a workspace that
 // floods them cannot starve the others. The shares are computed as if one more workspace of
 // weight 1 were active, which leaves room for the next one to arrive.
-func (c *AdmissionController) OverShare(w *config.Workspace) error {
+func (c *AdmissionController) CheckFairShare(w *config.Workspace) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ws, ok := c.workspaces.Peek(w.Name)
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -78,10 +78,10 @@
 		_, err := c.Admit(flood, config.Normal, 1)
 		require.NoError(t, err)
 	}
-	requireRejection(t, c.OverShare(flood)) // even if it is the only one, to leave room for the next workspace
+	requireRejection(t, c.CheckFairShare(flood)) // even if it is the only one, to leave room for the next workspace
 	release, err := c.Admit(small, config.Normal, 1)
 	require.NoError(t, err)
-	requireRejection(t, c.OverShare(flood))
-	require.NoError(t, c.OverShare(small))
+	requireRejection(t, c.CheckFairShare(flood))
+	require.NoError(t, c.CheckFairShare(small))
 	release()
 }
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -175,10 +175,10 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	if l.Unreadable != "" {
+	if l.Malformed != "" {
 		if now.Sub(t.unreadableLoggedAt) >= logInterval {
 			t.unreadableLoggedAt = now
-			level.Warn(t.logger).Log("msg", "rate limit cannot be read, the one known before is kept", "instance", run, "request", request, "text", l.Unreadable)
+			level.Warn(t.logger).Log("msg", "rate limit cannot be read, the one known before is kept", "instance", run, "request", request, "text", l.Malformed)
 		}
 		return
 	}
--- a/internal/ratelimit/table_test.go
+++ b/internal/ratelimit/table_test.go
@@ -45,7 +45,7 @@
 	clock.advance(time.Second)
 	b.RecordResponse("a@1", "r", noLimit, early)
 	require.True(t, b.Limit("a@1").Limited, "the request was sent before the limit was reported")
-	b.RecordResponse("a@1", "r", engine.RateLimit{Unreadable: "few"}, clock.at)
+	b.RecordResponse("a@1", "r", engine.RateLimit{Malformed: "few"}, clock.at)
 	require.True(t, b.Limit("a@1").Limited, "an unreadable limit changes nothing")
 	b.RecordResponse("a@1", "r", limited(5), early)
 	require.Equal(t, limited(5), b.Limit("a@1").RateLimit)
@@ -67,7 +67,7 @@
 	clock.advance(time.Millisecond)
 	b.RecordResponse("a@1", "r-2", noLimit, clock.at)
 	for range 10 {
-		b.RecordResponse("a@1", "r-3", engine.RateLimit{Unreadable: "few"}, clock.at)
+		b.RecordResponse("a@1", "r-3", engine.RateLimit{Malformed: "few"}, clock.at)
 	}
 	require.Equal(t, 3, strings.Count(out.String(), "\n"), out.String())
 	require.Contains(t, out.String(), `msg="rate limit cannot be read, the one known before is kept" instance=a@1 request=r-3 text=few`)
--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -48,7 +48,7 @@
 	Authority duty.Granter
 	// Policy is the name of a policy of package roles.
 	Policy  string
-	Engines engine.Keeper
+	Engines engine.RoleClient
 	Placer  *placement.Placer
 	// View returns the latest view. Only schedulers know the load, so other processes review no
 	// roles.
--- a/internal/scaler/scaler.go
+++ b/internal/scaler/scaler.go
@@ -145,7 +145,7 @@
 	level.Info(s.logger).Log("msg", "engines ordered", "service", o.Service, "domain", o.Domain, "spot", o.Spot, "engines", o.Engines,
 		"before", last.count(), "present", present, "others", others, "token", g.Token, "err", err)
 	metrics.GetOrRegisterCounter("scaler.orders", s.opts.Metrics).Inc(1)
-	retryAfter := service.Scaling.Startup + startupMargin
+	retryAfter := service.Scaling.StartupTime + startupMargin
 	if err != nil {
 		retryAfter = failedOrderBackoff
 	}
--- a/internal/scheduler/head_test.go
+++ b/internal/scheduler/head_test.go
@@ -20,7 +20,7 @@
 // clearInstances gives a node the view of a process that has not received the registrations yet.
 func clearInstances(n *node, rules *fleet.Rules) {
 	v := *n.view.Load()
-	v.Instances, v.InstancesKnown, v.Partial, v.Rules = map[string]*fleet.Instance{}, false, true, rules
+	v.Instances, v.InstancesKnown, v.RelayReceived, v.Rules = map[string]*fleet.Instance{}, false, true, rules
 	v.Index()
 	n.view.Store(&v)
 }
--- a/internal/scheduler/server.go
+++ b/internal/scheduler/server.go
@@ -270,7 +270,7 @@
 		case peerpb.TicketEvent_TICKET_EVENT_STARTED:
 			t.FirstEvent()
 		case peerpb.TicketEvent_TICKET_EVENT_ENDED:
-			t.Gaps(micros(int64(r.GetGapUs())), int(r.GetGaps()))
+			t.RecordGaps(micros(int64(r.GetGapUs())), int(r.GetGaps()))
 			t.RunEnded(outcome)
 			s.removeTicket(from, r.GetTicket())
 		case peerpb.TicketEvent_TICKET_EVENT_CANCELLED:
--- a/internal/standin/crash/crash.go
+++ b/internal/standin/crash/crash.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Host runs an HTTP server at a fixed address. After a crash, it starts a new server at the same
+// RestartingServer runs an HTTP server at a fixed address. After a crash, it starts a new server at the same
 // address, as a supervisor does. It is safe for concurrent use.
-type Host struct {
+type RestartingServer struct {
 	address string
 	// newHandler returns the handler of a new server. The handler calls crash to simulate a crash.
 	newHandler func(address string, crash func()) http.Handler
@@ -23,19 +23,19 @@
 	closed  bool
 }
 
-// NewHost listens on address, whose port may be 0, and serves the handler that newHandler returns.
+// NewRestartingServer listens on address, whose port may be 0, and serves the handler that newHandler returns.
 // NewHandler is called again for each restart, which follows restartDelay after a crash.
-func NewHost(address string, restartDelay time.Duration, newHandler func(address string, crash func()) http.Handler) (*Host, error) {
+func NewRestartingServer(address string, restartDelay time.Duration, newHandler func(address string, crash func()) http.Handler) (*RestartingServer, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	h := &Host{address: l.Addr().String(), newHandler: newHandler, restartDelay: restartDelay}
+	h := &RestartingServer{address: l.Addr().String(), newHandler: newHandler, restartDelay: restartDelay}
 	h.serve(l)
 	return h, nil
 }
 
-func (h *Host) serve(l net.Listener) {
+func (h *RestartingServer) serve(l net.Listener) {
 	server := &http.Server{Handler: h.newHandler(h.address, h.crash)}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -48,7 +48,7 @@
 }
 
 // crash closes all connections and the listener, and schedules the restart.
-func (h *Host) crash() {
+func (h *RestartingServer) crash() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.server == nil {
@@ -60,7 +60,7 @@
 	time.AfterFunc(h.restartDelay, h.restart)
 }
 
-func (h *Host) restart() {
+func (h *RestartingServer) restart() {
 	h.mu.Lock()
 	closed := h.closed
 	h.mu.Unlock()
@@ -76,14 +76,14 @@
 }
 
 // Crashes returns the number of crashes so far.
-func (h *Host) Crashes() int {
+func (h *RestartingServer) Crashes() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.crashes
 }
 
 // Close stops the server and prevents further restarts.
-func (h *Host) Close() {
+func (h *RestartingServer) Close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.closed = true
--- a/internal/standin/engined/engined.go
+++ b/internal/standin/engined/engined.go
@@ -39,8 +39,8 @@
 	CutBeforeHeaders bool `json:"cutBeforeHeaders"`
 	// WrongID responds with the ID of another attempt.
 	WrongID bool `json:"wrongID"`
-	// Silent accepts requests and never responds to them.
-	Silent bool `json:"silent"`
+	// NoResponse accepts requests and never responds to them.
+	NoResponse bool `json:"silent"`
 	// Refuse rejects requests with 503 and does not run them.
 	Refuse bool `json:"refuse"`
 	// RateLimit is sent in the rate limit header of all responses. If it is empty, the header is
@@ -186,7 +186,7 @@
 	pieces := 0
 	ctx, allRuns := s.runContext(r.Context())
 	defer func() { s.recordEnd(n, pieces, r.Context().Err() != nil, allRuns.Err() != nil) }()
-	if f.Silent {
+	if f.NoResponse {
 		<-ctx.Done()
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/standin/fleetapi/fleetapi.go
+++ b/internal/standin/fleetapi/fleetapi.go
@@ -41,8 +41,8 @@
 type Faults struct {
 	// Down rejects every call with 503.
 	Down bool
-	// LoseAnswers handles each call and closes the connection without a response.
-	LoseAnswers bool
+	// LoseResponses handles each call and closes the connection without a response.
+	LoseResponses bool
 	// NoCapacityDomain is the failure domain whose scaling orders are rejected with 409, empty for none.
 	NoCapacityDomain string
 }
@@ -149,7 +149,7 @@
 	f := s.faults
 	status := s.record(c)
 	s.mu.Unlock()
-	if f.LoseAnswers {
+	if f.LoseResponses {
 		panic(http.ErrAbortHandler)
 	}
 	w.WriteHeader(status)
--- a/internal/standin/fleetengine/fleetengine.go
+++ b/internal/standin/fleetengine/fleetengine.go
@@ -26,8 +26,8 @@
 	Shed Fault = "shed"
 	// Error runs the request and responds with 500.
 	Error Fault = "error"
-	// LoseAnswer runs the request and closes the connection without a response.
-	LoseAnswer Fault = "lose-answer"
+	// LoseResponse runs the request and closes the connection without a response.
+	LoseResponse Fault = "lose-answer"
 	// CutMidEvent closes the connection in the middle of the second event of a stream.
 	CutMidEvent Fault = "cut-mid-event"
 	// StrayFirst sends a response to another request before the expected one.
@@ -66,9 +66,9 @@
 	RoleChange time.Duration
 	// OrderDelay is the delay after which LateOrders applies an order.
 	OrderDelay time.Duration
-	// Work is the time before the response or the first event of a request. Gap is the time
+	// ResponseDelay is the time before the response or the first event of a request. Gap is the time
 	// between two events.
-	Work, Gap time.Duration
+	ResponseDelay, Gap time.Duration
 	// Padding is the number of filler bytes at the end of a plain response.
 	Padding int
 	// OnStageChange is called after each change of the stage. It may be nil.
@@ -77,11 +77,11 @@
 	// Retry-After of each shed request, 0 for none. Both are set before the engine is used;
 	// afterwards, SetLeaving sets ShuttingDown.
 	ShuttingDown bool
-	Rest         time.Duration
-	// Deadly is the body of a poison request, empty for none: the engine crashes when it starts to
+	RetryAfter   time.Duration
+	// PoisonBody is the body of a poison request, empty for none: the engine crashes when it starts to
 	// run a request with this body. Crash then simulates the end of the engine's process.
-	Deadly string
-	Crash  func()
+	PoisonBody string
+	Crash      func()
 
 	mu sync.Mutex
 	// rateLimit is sent in the rate limit header. If it is empty, the header is left out.
@@ -134,8 +134,8 @@
 // Runs returns the requests that were run.
 func (e *Engine) Runs() []Run { return e.snapshot(&e.runs) }
 
-// Refused returns the requests that were shed.
-func (e *Engine) Refused() []Run { return e.snapshot(&e.shedRequests) }
+// ShedRequests returns the requests that were shed.
+func (e *Engine) ShedRequests() []Run { return e.snapshot(&e.shedRequests) }
 
 // record adds a request to a record.
 func (e *Engine) record(run Run, to *[]Run) {
@@ -144,8 +144,8 @@
 	*to = append(*to, run)
 }
 
-// Reads returns the requests whose prompts were prefilled for another engine.
-func (e *Engine) Reads() []Run { return e.snapshot(&e.prefills) }
+// Prefills returns the requests whose prompts were prefilled for another engine.
+func (e *Engine) Prefills() []Run { return e.snapshot(&e.prefills) }
 
 func (e *Engine) snapshot(runs *[]Run) []Run {
 	e.mu.Lock()
@@ -153,8 +153,8 @@
 	return append([]Run(nil), *runs...)
 }
 
-// Freed returns the KV cache handles that were freed.
-func (e *Engine) Freed() []string {
+// FreedHandles returns the KV cache handles that were freed.
+func (e *Engine) FreedHandles() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]string(nil), e.freedHandles...)
@@ -186,8 +186,8 @@
 	return e.fault
 }
 
-// SetLeaving makes the engine state in all further responses that it is shutting down.
-func (e *Engine) SetLeaving() {
+// SetShuttingDown makes the engine state in all further responses that it is shutting down.
+func (e *Engine) SetShuttingDown() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.ShuttingDown = true
@@ -241,7 +241,7 @@
 // serveKVList lists the cached prompt parts: those of all prompts that this engine prefilled or ran.
 func (e *Engine) serveKVList(w http.ResponseWriter) {
 	held := [][]any{}
-	for _, run := range append(e.Reads(), e.Runs()...) {
+	for _, run := range append(e.Prefills(), e.Runs()...) {
 		for _, part := range parseParts(run.Header) {
 			held = append(held, []any{"", part.ID, part.Tokens, run.Header.Get("X-Model")})
 		}
@@ -310,8 +310,8 @@
 	fault := e.nextFault()
 	if fault == Shed {
 		e.record(run, &e.shedRequests)
-		if e.Rest > 0 {
-			w.Header().Set("Retry-After", strconv.FormatFloat(e.Rest.Seconds(), 'f', 3, 64))
+		if e.RetryAfter > 0 {
+			w.Header().Set("Retry-After", strconv.FormatFloat(e.RetryAfter.Seconds(), 'f', 3, 64))
 		}
 		writeNotRun(w, http.StatusServiceUnavailable)
 		return
@@ -330,7 +330,7 @@
 		return
 	}
 	e.record(run, &e.runs)
-	if e.Deadly != "" && run.Body == e.Deadly {
+	if e.PoisonBody != "" && run.Body == e.PoisonBody {
 		go e.Crash() // closes this connection too
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
@@ -372,7 +372,7 @@
 
 func (e *Engine) respond(w http.ResponseWriter, r *http.Request, run Run, fault Fault) {
 	switch fault {
-	case LoseAnswer:
+	case LoseResponse:
 		panic(http.ErrAbortHandler)
 	case Hang:
 		<-r.Context().Done()
@@ -389,7 +389,7 @@
 		e.respondToAnotherFirst(w, run)
 		return
 	}
-	if !sleep(r, e.Work) {
+	if !sleep(r, e.ResponseDelay) {
 		return
 	}
 	w.Header().Set("X-Response-Seal", "seal-"+e.ID)
--- a/internal/standin/fleetstore/fleetstore.go
+++ b/internal/standin/fleetstore/fleetstore.go
@@ -23,15 +23,15 @@
 	Down bool
 	// DownKind rejects the calls for this kind of objects with 503.
 	DownKind string
-	// Silent accepts calls and never responds to them.
-	Silent bool
-	// LoseAnswers applies each write and closes the connection without a response.
-	LoseAnswers bool
-	// LateBy, if positive, closes the connection of a write without a response and applies the
+	// NoResponse accepts calls and never responds to them.
+	NoResponse bool
+	// LoseResponses applies each write and closes the connection without a response.
+	LoseResponses bool
+	// WriteDelay, if positive, closes the connection of a write without a response and applies the
 	// write after this time.
-	LateBy time.Duration
-	// DeafWatches withholds all events from watches, which then end with their wait time.
-	DeafWatches bool
+	WriteDelay time.Duration
+	// WithholdEvents withholds all events from watches, which then end with their wait time.
+	WithholdEvents bool
 	// Delay is the delay of each response to a read or a write.
 	Delay time.Duration
 	// StaleBy is the age of the data in the lists and watches of clients that accept stale data.
@@ -120,9 +120,9 @@
 	s.wakeWatches()
 }
 
-// Forget removes the history. Watches that continue from an older revision fail with 410 and must
+// DropHistory removes the history. Watches that continue from an older revision fail with 410 and must
 // list again.
-func (s *Server) Forget() {
+func (s *Server) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history, s.compactedRev = nil, s.rev
--- a/internal/standin/fleetstore/front.go
+++ b/internal/standin/fleetstore/front.go
@@ -59,7 +59,7 @@
 	faults := f.activeFaults()
 	w = &eraWriter{ResponseWriter: w, server: f.server}
 	switch {
-	case faults.Silent:
+	case faults.NoResponse:
 		// The HTTP server does not detect that the client has disconnected before the body has been read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
@@ -170,7 +170,7 @@
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	deadline := time.After(time.Duration(wait) * time.Millisecond)
 	for {
-		withheld := f.activeFaults().DeafWatches
+		withheld := f.activeFaults().WithholdEvents
 		f.server.mu.Lock()
 		_, rev := f.server.objectsAsOf(kind, time.Now().Add(-staleBy))
 		events, unknownRevision, changed := f.server.eventsAfter(kind, since, rev), since < f.server.compactedRev || since > f.server.rev, f.server.changed
@@ -217,12 +217,12 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if faults.LateBy > 0 {
-		time.AfterFunc(faults.LateBy, func() { f.server.applyWrite(r, kind, name, body) })
+	if faults.WriteDelay > 0 {
+		time.AfterFunc(faults.WriteDelay, func() { f.server.applyWrite(r, kind, name, body) })
 		panic(http.ErrAbortHandler)
 	}
 	status, o := f.server.applyWrite(r, kind, name, body)
-	if faults.LoseAnswers {
+	if faults.LoseResponses {
 		panic(http.ErrAbortHandler)
 	}
 	time.Sleep(faults.Delay)
--- a/internal/standin/platformd/platformd.go
+++ b/internal/standin/platformd/platformd.go
@@ -25,8 +25,8 @@
 type Faults struct {
 	// Down fails the calls for objects and for the list of hosts.
 	Down bool `json:"down"`
-	// LoseAnswers applies each write and closes the connection without a response.
-	LoseAnswers bool `json:"loseAnswers"`
+	// LoseResponses applies each write and closes the connection without a response.
+	LoseResponses bool `json:"loseAnswers"`
 	// DelayMillis is the delay before each call is handled, in milliseconds.
 	DelayMillis int `json:"delayMillis"`
 }
@@ -86,7 +86,7 @@
 		f := s.faults
 		s.mu.Unlock()
 		time.Sleep(time.Duration(f.DelayMillis) * time.Millisecond)
-		if f.LoseAnswers && r.Method != http.MethodGet {
+		if f.LoseResponses && r.Method != http.MethodGet {
 			next(discardWriter{http.Header{}}, r)
 			panic(http.ErrAbortHandler)
 		}
--- a/internal/standin/serviced/serviced.go
+++ b/internal/standin/serviced/serviced.go
@@ -26,8 +26,8 @@
 	CutInBody bool `json:"cutInBody"`
 	// NoResponse accepts requests and never responds to them.
 	NoResponse bool `json:"silent"`
-	// RestSeconds, if positive, rejects requests with 503 and a Retry-After of this many seconds.
-	RestSeconds int `json:"restSeconds"`
+	// RetryAfterSeconds, if positive, rejects requests with 503 and a Retry-After of this many seconds.
+	RetryAfterSeconds int `json:"restSeconds"`
 	// RateLimit is sent in the rate limit header of all responses. If it is empty, the header is
 	// left out.
 	RateLimit string `json:"rateLimit"`
@@ -81,15 +81,15 @@
 	return append([]Run{}, s.runs...)
 }
 
-// Forget clears the recorded requests.
-func (s *Server) Forget() {
+// ClearRuns clears the recorded requests.
+func (s *Server) ClearRuns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs = nil
 }
 
-// Answer returns the response body for a request.
-func Answer(method, path string, body []byte) string {
+// ResponseBody returns the response body for a request.
+func ResponseBody(method, path string, body []byte) string {
 	return method + " " + path + "\n" + string(body)
 }
 
@@ -111,9 +111,9 @@
 	if f.RateLimit != "" {
 		w.Header().Set(openai.RateLimitHeader, f.RateLimit)
 	}
-	if f.RestSeconds > 0 {
+	if f.RetryAfterSeconds > 0 {
 		w.Header().Set(openai.NotRunHeader, "1")
-		w.Header().Set("Retry-After", strconv.Itoa(f.RestSeconds))
+		w.Header().Set("Retry-After", strconv.Itoa(f.RetryAfterSeconds))
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -121,7 +121,7 @@
 	if f.CutBeforeHeaders {
 		panic(http.ErrAbortHandler)
 	}
-	text := Answer(r.Method, r.URL.Path, body)
+	text := ResponseBody(r.Method, r.URL.Path, body)
 	if f.CutInBody {
 		w.Header().Set("Content-Length", "100000")
 		_, _ = io.WriteString(w, text)
--- a/internal/trace/reach.go
+++ b/internal/trace/reach.go
@@ -23,9 +23,9 @@
 // that identifies the change.
 var propagatedMessages = map[string]string{"configuration in force": "version", "instance gone": "id", "ready": ""}
 
-// Reach returns how long changes took to reach the processes that wrote the logs, in the order in which the
+// Propagation returns how long changes took to reach the processes that wrote the logs, in the order in which the
 // changes were first logged. For each process only the first line about a change counts.
-func Reach(lines []Line) []Change {
+func Propagation(lines []Line) []Change {
 	type key struct{ what, id string }
 	seen := map[key]map[string]time.Time{}
 	for _, l := range lines {
--- a/internal/trace/reach_test.go
+++ b/internal/trace/reach_test.go
@@ -20,7 +20,7 @@
 `
 	lines, err := Read(strings.NewReader(logs), "")
 	require.NoError(t, err)
-	all := Reach(lines)
+	all := Propagation(lines)
 	require.Len(t, all, 3)
 	require.Equal(t, Change{What: "ready", First: lines[0].At, Processes: 2, Last: 250 * time.Millisecond}, all[0])
 	require.Equal(t, Change{What: "configuration in force", ID: "2", First: lines[2].At, Processes: 3, Half: 30 * time.Millisecond, Last: 900 * time.Millisecond}, all[1])
--- a/internal/trace/summary.go
+++ b/internal/trace/summary.go
@@ -30,11 +30,11 @@
 type Group struct {
 	Route, Service, Outcome string
 	Phase                   Phase
-	// Why is the error without the parts that differ between the requests.
-	Why string
+	// Error is the error without the parts that differ between the requests.
+	Error string
 	// Count is the number of requests, First the ID of one of them.
-	Count int
-	First string
+	Count     int
+	ExampleID string
 }
 
 // Summarize groups the requests that did not succeed, the largest group first. It expects the log lines of
@@ -57,18 +57,18 @@
 		out = append(out, *g)
 	}
 	slices.SortFunc(out, func(a, b Group) int {
-		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.First, b.First))
+		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.ExampleID, b.ExampleID))
 	})
 	return out
 }
 
 func addToGroup(groups map[Group]*Group, l Line, p Phase) {
-	key := Group{Route: l.Get("route"), Service: l.Get("service"), Outcome: l.Get("outcome"), Phase: p, Why: normalizeError(l.Get("err"))}
+	key := Group{Route: l.Get("route"), Service: l.Get("service"), Outcome: l.Get("outcome"), Phase: p, Error: normalizeError(l.Get("err"))}
 	g := groups[key]
 	if g == nil {
 		g = &Group{}
 		*g = key
-		g.First = l.Get("request")
+		g.ExampleID = l.Get("request")
 		groups[key] = g
 	}
 	g.Count++
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -106,9 +106,9 @@
 	"role decision": true, "order": true, "stopping": true, "start": true, "ready": true, "peer silent": true, "log lines dropped": true,
 }
 
-// Tell returns the trace of the request with the given ID. The error is of kind NotFound if no line is about
+// ForRequest returns the trace of the request with the given ID. The error is of kind NotFound if no line is about
 // the request.
-func Tell(lines []Line, id string) (*RequestTrace, error) {
+func ForRequest(lines []Line, id string) (*RequestTrace, error) {
 	var own []Line
 	engines := map[string]bool{}
 	for _, l := range lines {
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -24,7 +24,7 @@
 func TestRequestTrace(t *testing.T) {
 	lines, err := Read(strings.NewReader(sampleLog), "r1")
 	require.NoError(t, err)
-	s, err := Tell(lines, "r1")
+	s, err := ForRequest(lines, "r1")
 	require.NoError(t, err)
 	var msgs []string
 	for _, l := range s.Lines {
@@ -37,7 +37,7 @@
 	require.Contains(t, out.String(), "20:56:53.000 +2s  a  request  outcome=lost")
 	require.Contains(t, out.String(), "cause:   an instance broke off")
 
-	_, err = Tell(lines, "r9")
+	_, err = ForRequest(lines, "r9")
 	require.True(t, fault.Is(err, fault.NotFound))
 }
 
@@ -50,7 +50,7 @@
 	}
 	lines, err := Read(strings.NewReader(text), "r1")
 	require.NoError(t, err)
-	s, err := Tell(lines, "r1")
+	s, err := ForRequest(lines, "r1")
 	require.NoError(t, err)
 	require.Equal(t, "lost", s.Outcome)
 }
@@ -58,7 +58,7 @@
 func TestLogThatEndsBeforeTheRequest(t *testing.T) {
 	lines, err := Read(strings.NewReader(sampleLog), "r2")
 	require.NoError(t, err)
-	s, err := Tell(lines, "r2")
+	s, err := ForRequest(lines, "r2")
 	require.NoError(t, err)
 	require.Empty(t, s.Outcome)
 	require.Contains(t, s.Cause, "killed")
@@ -88,9 +88,9 @@
 	lines, err := Read(strings.NewReader(text), "")
 	require.NoError(t, err)
 	require.Equal(t, []Group{
-		{Route: "x", Service: "s", Outcome: "lost", Phase: PhaseRunning, Why: "no answer from * at *", Count: 2, First: "r2"},
-		{Route: "x", Service: "s", Outcome: "deadline", Phase: PhasePrefilling, Why: "time is up", Count: 1, First: "r1"},
-		{Route: "x", Service: "s", Outcome: "lost", Phase: PhaseRelaying, Why: "stream was cut", Count: 1, First: "r5"},
-		{Route: "x", Service: "s", Outcome: "hopeless", Phase: PhaseWaiting, Why: "refused", Count: 1, First: "r6"},
+		{Route: "x", Service: "s", Outcome: "lost", Phase: PhaseRunning, Error: "no answer from * at *", Count: 2, ExampleID: "r2"},
+		{Route: "x", Service: "s", Outcome: "deadline", Phase: PhasePrefilling, Error: "time is up", Count: 1, ExampleID: "r1"},
+		{Route: "x", Service: "s", Outcome: "lost", Phase: PhaseRelaying, Error: "stream was cut", Count: 1, ExampleID: "r5"},
+		{Route: "x", Service: "s", Outcome: "hopeless", Phase: PhaseWaiting, Error: "refused", Count: 1, ExampleID: "r6"},
 	}, Summarize(lines))
 }
--- a/internal/trace/workspace.go
+++ b/internal/trace/workspace.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Workspace counts the requests of one workspace by how they ended.
-type Workspace struct {
+// WorkspaceOutcomes counts the requests of one workspace by how they ended.
+type WorkspaceOutcomes struct {
 	Name string
 	// Requests counts all requests, Served those with a complete response, Refused those that certainly did
 	// not run, Failed the others, also those that the client aborted.
@@ -14,14 +14,14 @@
 }
 
 // ShareServed returns the share of the requests that were served, 0 if there are none.
-func (w Workspace) ShareServed() float64 {
+func (w WorkspaceOutcomes) ShareServed() float64 {
 	if w.Requests == 0 {
 		return 0
 	}
 	return float64(w.Served) / float64(w.Requests)
 }
 
-func (w *Workspace) count(l Line) {
+func (w *WorkspaceOutcomes) count(l Line) {
 	w.Requests++
 	switch {
 	case l.Get("outcome") == "ok":
@@ -36,15 +36,15 @@
 // ByWorkspace counts requests by workspace, sorted by the share that was served with the lowest first, and
 // counts all of them together. Requests without a workspace are left out. It expects the lines of all requests,
 // also of successful ones, which are logged at level debug.
-func ByWorkspace(lines []Line) (each []Workspace, all Workspace) {
-	found := map[string]*Workspace{}
+func ByWorkspace(lines []Line) (each []WorkspaceOutcomes, all WorkspaceOutcomes) {
+	found := map[string]*WorkspaceOutcomes{}
 	for _, l := range lines {
 		name := l.Get("workspace")
 		if l.Msg != "request" || name == "" {
 			continue
 		}
 		if found[name] == nil {
-			found[name] = &Workspace{Name: name}
+			found[name] = &WorkspaceOutcomes{Name: name}
 		}
 		found[name].count(l)
 		all.count(l)
@@ -52,7 +52,7 @@
 	for _, w := range found {
 		each = append(each, *w)
 	}
-	slices.SortFunc(each, func(a, b Workspace) int {
+	slices.SortFunc(each, func(a, b WorkspaceOutcomes) int {
 		return cmp.Or(cmp.Compare(a.ShareServed(), b.ShareServed()), cmp.Compare(b.Requests, a.Requests), cmp.Compare(a.Name, b.Name))
 	})
 	return each, all
--- a/internal/trace/workspace_test.go
+++ b/internal/trace/workspace_test.go
@@ -24,12 +24,12 @@
 	lines, err := Read(strings.NewReader(text), "")
 	require.NoError(t, err)
 	each, all := ByWorkspace(lines)
-	require.Equal(t, []Workspace{
+	require.Equal(t, []WorkspaceOutcomes{
 		{Name: "gone", Requests: 1, Refused: 1},
 		{Name: "small", Requests: 3, Served: 1, Refused: 1, Failed: 1},
 		{Name: "large", Requests: 2, Served: 2},
 	}, each)
-	require.Equal(t, Workspace{Requests: 6, Served: 3, Refused: 2, Failed: 1}, all)
+	require.Equal(t, WorkspaceOutcomes{Requests: 6, Served: 3, Refused: 2, Failed: 1}, all)
 	require.InDelta(t, 0.5, all.ShareServed(), 1e-9)
-	require.Zero(t, Workspace{}.ShareServed())
+	require.Zero(t, WorkspaceOutcomes{}.ShareServed())
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -62,8 +62,8 @@
 	// BeforeSend is called just before the request is written. If it returns an error, the
 	// request is not sent. It may be nil.
 	BeforeSend func() error
-	// Fresh forces a new connection.
-	Fresh bool
+	// NewConn forces a new connection.
+	NewConn bool
 	// MaxIdle bounds the idle connections to the address that are kept after this request.
 	// 0 means the default.
 	MaxIdle int
@@ -136,7 +136,7 @@
 // Unavailable if no byte was sent, and of kind Unknown if the instance may have started to
 // run the request. When ctx ends, the connection is closed, which tells the instance to stop.
 func (c *Client) Do(ctx context.Context, r Request) (*Response, error) {
-	cn, err := c.get(ctx, r.Address, r.Fresh)
+	cn, err := c.get(ctx, r.Address, r.NewConn)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Unavailable, "cannot connect to the instance", "another instance is tried")
 	}
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -58,8 +58,8 @@
 	return l.now().Sub(time.Unix(0, (window+1)*int64(l.windowLength)))
 }
 
-// Began counts a request of a workspace that starts to run now.
-func (l *Ledger) Began(workspace string) {
+// CountRequest counts a request of a workspace that starts to run now.
+func (l *Ledger) CountRequest(workspace string) {
 	window := l.currentWindow()
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -100,10 +100,10 @@
 	p := b.start("p", func() []*usage.Ledger { return []*usage.Ledger{other} })
 	const each = 60
 	for n := range each {
-		p.ledger.Began("w")
-		other.Began("w")
+		p.ledger.CountRequest("w")
+		other.CountRequest("w")
 		if n%3 == 0 {
-			other.Began("v")
+			other.CountRequest("v")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -121,7 +121,7 @@
 		store fleetstore.Faults
 		api   fleetapi.Faults
 	}{
-		{}, {api: fleetapi.Faults{LoseAnswers: true}}, {store: fleetstore.Faults{LoseAnswers: true}}, {store: fleetstore.Faults{LateBy: 150 * time.Millisecond}}, {api: fleetapi.Faults{Down: true}}, {store: fleetstore.Faults{DownKind: "rockdoor-usage"}}, {},
+		{}, {api: fleetapi.Faults{LoseResponses: true}}, {store: fleetstore.Faults{LoseResponses: true}}, {store: fleetstore.Faults{WriteDelay: 150 * time.Millisecond}}, {api: fleetapi.Faults{Down: true}}, {store: fleetstore.Faults{DownKind: "rockdoor-usage"}}, {},
 	} {
 		name := string(rune('a' + round))
 		p := b.start(name, noLedgers)
@@ -131,7 +131,7 @@
 		b.store.SetFaults(f.store)
 		b.api.SetFaults(f.api)
 		for range 40 {
-			p.ledger.Began("w")
+			p.ledger.CountRequest("w")
 			time.Sleep(10 * time.Millisecond)
 		}
 		if round < 6 {
@@ -163,16 +163,16 @@
 		return usage.NewLedger(usage.Source{Process: process, Incarnation: incarnation}, 5*time.Second, clock)
 	}
 	a, restarted, k1, k2 := ledger("a", "1"), ledger("a", "2"), ledger("k1", "1"), ledger("k2", "1")
-	a.Began("w")
+	a.CountRequest("w")
 	early := a.TakeUnsent()
-	a.Began("w")
-	a.Began("v")
+	a.CountRequest("w")
+	a.CountRequest("v")
 	late := a.TakeUnsent()
 	require.Empty(t, a.TakeUnsent())
 	k1.Merge(late)
 	k1.Merge(early)
 	k2.Merge(early)
-	restarted.Began("w")
+	restarted.CountRequest("w")
 	k2.Merge(restarted.TakeUnsent())
 	window := k1.Window(now)
 	require.Equal(t, map[string]int{"w": 2, "v": 1}, k1.Total(window))
@@ -182,7 +182,7 @@
 	a.MarkAllUnsent()
 	require.Equal(t, late, a.TakeUnsent(), "a new replica gets all counts")
 	now = now.Add(10 * time.Minute)
-	k1.Began("w")
+	k1.CountRequest("w")
 	require.Empty(t, k1.Entries(window), "old windows are dropped")
 	k1.Merge(late)
 	require.Empty(t, k1.Entries(window))
@@ -199,7 +199,7 @@
 	defer cancel()
 	begin := func(p *process, workspace string) {
 		for ctx.Err() == nil {
-			p.ledger.Began(workspace)
+			p.ledger.CountRequest(workspace)
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -66,9 +66,9 @@
 	s.FailWith(func(op memstore.Op, _ string) memstore.Failure {
 		if op == memstore.OpPut && !lost {
 			lost = true
-			return memstore.LosesAnswer
+			return memstore.LosesResponse
 		}
-		return memstore.Works
+		return memstore.NoFailure
 	})
 	require.NoError(t, a.Step(ctx))
 	g, held := a.Grant()
@@ -96,12 +96,12 @@
 		faultMu.Lock()
 		defer faultMu.Unlock()
 		if faultRand.IntN(4) > 0 {
-			return memstore.Works
+			return memstore.NoFailure
 		}
 		if op == memstore.OpPut {
 			return memstore.Failure(1 + faultRand.IntN(3))
 		}
-		return memstore.Refuses
+		return memstore.Rejects
 	})
 	var mu sync.Mutex
 	var spans []span
--- a/objstore/httpcall/httpcall.go
+++ b/objstore/httpcall/httpcall.go
@@ -24,12 +24,12 @@
 // cannot be read a second time, so that the transport never retries a write by
 // itself.
 func Do(ctx context.Context, client *http.Client, method, url string, body []byte, out any) error {
-	return DoHeaded(ctx, client, method, url, body, out, func(http.Header) error { return nil })
+	return DoCheckHeader(ctx, client, method, url, body, out, func(http.Header) error { return nil })
 }
 
-// DoHeaded is like Do, but passes the header of the response to head first. If head returns an
+// DoCheckHeader is like Do, but passes the header of the response to head first. If head returns an
 // error, that error is returned and the response is ignored.
-func DoHeaded(ctx context.Context, client *http.Client, method, url string, body []byte, out any, head func(http.Header) error) error {
+func DoCheckHeader(ctx context.Context, client *http.Client, method, url string, body []byte, out any, head func(http.Header) error) error {
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }})
 	req, err := http.NewRequestWithContext(ctx, method, url, nil)
--- a/objstore/memstore/memstore.go
+++ b/objstore/memstore/memstore.go
@@ -33,14 +33,14 @@
 
 // Failures of a call.
 const (
-	// Works means that the call does not fail.
-	Works Failure = iota
-	// Refuses means that the call has no effect and fails with Unavailable.
-	Refuses
+	// NoFailure means that the call does not fail.
+	NoFailure Failure = iota
+	// Rejects means that the call has no effect and fails with Unavailable.
+	Rejects
 	// LosesRequest means that a write has no effect and fails with Unknown.
 	LosesRequest
-	// LosesAnswer means that a write takes effect and fails with Unknown.
-	LosesAnswer
+	// LosesResponse means that a write takes effect and fails with Unknown.
+	LosesResponse
 )
 
 // Store implements objstore.Store in memory. It is safe for concurrent use.
@@ -71,7 +71,7 @@
 }
 
 // Down is a function for FailWith that makes every call fail with Unavailable.
-func Down(Op, string) Failure { return Refuses }
+func Down(Op, string) Failure { return Rejects }
 
 // Calls returns the number of calls of each kind so far.
 func (s *Store) Calls() map[Op]int {
@@ -92,7 +92,7 @@
 
 func (s *Store) failure(op Op, key string) Failure {
 	if s.fail == nil {
-		return Works
+		return NoFailure
 	}
 	return s.fail(op, key)
 }
@@ -115,7 +115,7 @@
 func (s *Store) Get(_ context.Context, key string) (objstore.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.begin(OpGet, key) != Works {
+	if s.begin(OpGet, key) != NoFailure {
 		return objstore.Object{}, refused()
 	}
 	obj, ok := s.objects[key]
@@ -129,7 +129,7 @@
 func (s *Store) List(_ context.Context, prefix string) ([]objstore.Object, objstore.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.begin(OpList, prefix) != Works {
+	if s.begin(OpList, prefix) != NoFailure {
 		return nil, 0, refused()
 	}
 	out := []objstore.Object{}
@@ -150,11 +150,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch s.begin(OpPut, key) {
-	case Refuses:
+	case Rejects:
 		return objstore.Object{}, refused()
 	case LosesRequest:
 		return objstore.Object{}, lostResponse()
-	case LosesAnswer:
+	case LosesResponse:
 		_, _ = s.put(key, value, ifVersion, writeID)
 		return objstore.Object{}, lostResponse()
 	}
@@ -190,11 +190,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch s.begin(OpDelete, key) {
-	case Refuses:
+	case Rejects:
 		return refused()
 	case LosesRequest:
 		return lostResponse()
-	case LosesAnswer:
+	case LosesResponse:
 		_ = s.delete(key, ifVersion)
 		return lostResponse()
 	}
@@ -240,7 +240,7 @@
 func (s *Store) changes(prefix string, after objstore.Revision) ([]objstore.Event, objstore.Revision, chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.failure(OpWatch, prefix) != Works {
+	if s.failure(OpWatch, prefix) != NoFailure {
 		return nil, after, nil, refused()
 	}
 	if len(s.events) == maxEvents && s.events[0].Revision > after+1 {
--- a/objstore/settle_test.go
+++ b/objstore/settle_test.go
@@ -22,12 +22,12 @@
 			done = true
 			return how
 		}
-		return memstore.Works
+		return memstore.NoFailure
 	}
 }
 
 func TestPutSettledRetriesAfterLostResponse(t *testing.T) {
-	for name, how := range map[string]memstore.Failure{"request lost": memstore.LosesRequest, "response lost": memstore.LosesAnswer} {
+	for name, how := range map[string]memstore.Failure{"request lost": memstore.LosesRequest, "response lost": memstore.LosesResponse} {
 		t.Run(name, func(t *testing.T) {
 			s := memstore.New()
 			s.FailWith(failOnce(memstore.OpPut, how))
@@ -47,9 +47,9 @@
 	s.FailWith(func(op memstore.Op, _ string) memstore.Failure {
 		if op == memstore.OpPut && first {
 			first = false
-			return memstore.LosesAnswer
+			return memstore.LosesResponse
 		}
-		return memstore.Works
+		return memstore.NoFailure
 	})
 	other := overwriter{s}
 	_, err := objstore.PutSettled(context.Background(), other, "k", []byte("v"), 0, "w1")
@@ -82,9 +82,9 @@
 	n := 0
 	s.FailWith(func(memstore.Op, string) memstore.Failure {
 		if n++; n == 1 {
-			return memstore.LosesAnswer
+			return memstore.LosesResponse
 		}
-		return memstore.Refuses
+		return memstore.Rejects
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
--- a/orders/giver.go
+++ b/orders/giver.go
@@ -42,7 +42,7 @@
 		},
 	}
 	defer tr.CloseIdleConnections()
-	return httpcontrol.New(tr).Give(ctx, address, o)
+	return httpcontrol.New(tr).Send(ctx, address, o)
 }
 
 // guardedConn is a connection whose writes fail after the end of the grant.
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -42,11 +42,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	how := e.nextFailure
-	e.nextFailure = memstore.Works
+	e.nextFailure = memstore.NoFailure
 	switch {
 	case !g.Valid(0):
 		return ErrNoGrant
-	case how == memstore.Refuses:
+	case how == memstore.Rejects:
 		return fault.New(fault.Unavailable, "not sent", "")
 	case how == memstore.LosesRequest:
 		return fault.New(fault.Unknown, "lost", "")
@@ -55,7 +55,7 @@
 	}
 	e.token = max(e.token, o.Token)
 	e.accept(o)
-	if how == memstore.LosesAnswer {
+	if how == memstore.LosesResponse {
 		return fault.New(fault.Unknown, "lost", "")
 	}
 	return nil
@@ -92,7 +92,7 @@
 // statusOnly is an engine.Controller whose Give must not be called.
 type statusOnly struct{ *fakeEngine }
 
-func (statusOnly) Give(context.Context, string, engine.Order) error {
+func (statusOnly) Send(context.Context, string, engine.Order) error {
 	panic("order bypasses the guard")
 }
 
@@ -127,9 +127,9 @@
 // engine's own record.
 func TestSuccessorRecoversFromFailureAtAnyStep(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
-		for _, orderFailure := range []memstore.Failure{memstore.Works, memstore.LosesRequest, memstore.LosesAnswer} {
+		for _, orderFailure := range []memstore.Failure{memstore.NoFailure, memstore.LosesRequest, memstore.LosesResponse} {
 			for _, crash := range []bool{false, true} {
-				for _, storeFailure := range []memstore.Failure{memstore.Refuses, memstore.LosesRequest, memstore.LosesAnswer} {
+				for _, storeFailure := range []memstore.Failure{memstore.Rejects, memstore.LosesRequest, memstore.LosesResponse} {
 					for step := 1; step <= 9; step++ {
 						name := fmt.Sprintf("fencing %t, order %d, crash %t, store %d at call %d", fencing, orderFailure, crash, storeFailure, step)
 						t.Run(name, func(t *testing.T) {
@@ -153,10 +153,10 @@
 	calls := 0
 	s.FailWith(func(op memstore.Op, _ string) memstore.Failure {
 		if calls++; calls < step {
-			return memstore.Works
+			return memstore.NoFailure
 		}
 		if op != memstore.OpPut || calls > step {
-			return memstore.Refuses
+			return memstore.Rejects
 		}
 		return storeFailure
 	})
--- a/placement/decisions_test.go
+++ b/placement/decisions_test.go
@@ -68,7 +68,7 @@
 		}
 		if n%20 == 0 {
 			for _, c := range p.Explain(j) {
-				fmt.Fprintf(&lines, "  %s score %.2f pace %.2f failures %.2f %s\n", c.Instance, c.Score, c.Slowdown, c.Failures, c.Unavailable)
+				fmt.Fprintf(&lines, "  %s score %.2f pace %.2f failures %.2f %s\n", c.Instance, c.Score, c.Slowdown, c.FailureRate, c.Unavailable)
 			}
 		}
 	}
--- a/placement/explain.go
+++ b/placement/explain.go
@@ -22,8 +22,8 @@
 	Slowdown float64 `json:"pace"`
 	// GapMs is the smoothed time between two events of a stream.
 	GapMs float64 `json:"gapMs,omitempty"`
-	// Failures is the share of recent requests that failed.
-	Failures float64 `json:"failures"`
+	// FailureRate is the share of recent requests that failed.
+	FailureRate float64 `json:"failures"`
 	// Unavailable is the reason why the instance gets no requests at present, empty if it may.
 	Unavailable string `json:"why,omitempty"`
 }
@@ -35,7 +35,7 @@
 	defer p.mu.Unlock()
 	p.setDefaultDomain(j)
 	j.AwaitsRateLimit = true // explaining a job must not count as demand
-	if groups := j.groups(); len(groups) > 1 && j.Call.Subject() != "" {
+	if groups := j.groups(); len(groups) > 1 && j.Call.PromptPrefix() != "" {
 		j.Permitted = groups[p.preferredGroup(j, len(groups))]
 	}
 	prefillEngines, targets := p.eligible(j)
@@ -44,7 +44,7 @@
 	var out []Candidate
 	for _, i := range j.Permitted {
 		st := p.state(i)
-		c := Candidate{Instance: i.ID, Domain: i.Domain, Role: i.Role, Load: p.load(st), Slowdown: st.slowdown, GapMs: st.gapMs, Failures: st.failureRate, Unavailable: p.unavailableReason(j, i, st)}
+		c := Candidate{Instance: i.ID, Domain: i.Domain, Role: i.Role, Load: p.load(st), Slowdown: st.slowdown, GapMs: st.gapMs, FailureRate: st.failureRate, Unavailable: p.unavailableReason(j, i, st)}
 		if i.Role == engine.RolePrefill {
 			e := p.estimate(j, i, holders, p.prefillRank(j.Route, false))
 			c.Uncached, c.QueueDelayMs, c.PrefillMs, c.Score = e.uncached, e.queueMs, e.prefillMs, e.score
--- a/placement/group.go
+++ b/placement/group.go
@@ -76,7 +76,7 @@
 // prompt prefix, so that all processes look for cached parts in the same group. For a job without a
 // prefix it is random.
 func (p *Placer) preferredGroup(j *Job, n int) int {
-	if prefix := j.Call.Subject(); prefix != "" {
+	if prefix := j.Call.PromptPrefix(); prefix != "" {
 		return fleet.GroupIndex(prefix, n)
 	}
 	return int(p.random() * float64(n))
--- a/placement/policy_test.go
+++ b/placement/policy_test.go
@@ -64,7 +64,7 @@
 		_, ticket := p.Place(&one)
 		require.NotNil(t, ticket)
 		ticket.FirstEvent()
-		ticket.Gaps(time.Duration(10*(1+n%2*3))*time.Millisecond, 20)
+		ticket.RecordGaps(time.Duration(10*(1+n%2*3))*time.Millisecond, 20)
 		if n > 0 {
 			ticket.RunEnded(Succeeded)
 		}
--- a/placement/reader.go
+++ b/placement/reader.go
@@ -110,7 +110,7 @@
 }
 
 func (p *Placer) cacheHolders(j *Job, parts []Part, prefillEngines []*fleet.Instance) cacheHolders {
-	holders := cacheHolders{parts: parts, preferred: PreferredEngine(j.Call.Subject(), prefillEngines)}
+	holders := cacheHolders{parts: parts, preferred: PreferredEngine(j.Call.PromptPrefix(), prefillEngines)}
 	for _, i := range prefillEngines {
 		p.state(i).cache.resize(j.Service.KVCapacity)
 	}
--- a/placement/ticket.go
+++ b/placement/ticket.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// Gaps records n gaps between events by their mean.
-func (t *Ticket) Gaps(mean time.Duration, n int) {
+// RecordGaps records n gaps between events by their mean.
+func (t *Ticket) RecordGaps(mean time.Duration, n int) {
 	t.p.mu.Lock()
 	defer t.p.mu.Unlock()
 	if t.targetState == nil {
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -54,9 +54,9 @@
 	Target *config.Target
 	Load   Load
 	Rates  Rates
-	// Broken means that the circuit breaker of the target is open because of recent
+	// BreakerOpen means that the circuit breaker of the target is open because of recent
 	// failures. Such a target is chosen only if the breakers of all candidates are.
-	Broken bool
+	BreakerOpen bool
 }
 
 // Policy scores candidates; the lowest score wins.
@@ -132,15 +132,15 @@
 }
 
 func less(a *Candidate, aScore float64, b *Candidate, bScore float64) bool {
-	if a.Broken != b.Broken {
-		return b.Broken
+	if a.BreakerOpen != b.BreakerOpen {
+		return b.BreakerOpen
 	}
 	return aScore < bScore
 }
 
 func reason(c *Candidate, considered int) Reason {
 	switch {
-	case c.Broken:
+	case c.BreakerOpen:
 		return ReasonLastResort
 	case considered == 1:
 		return ReasonOnly
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -51,10 +51,10 @@
 func TestBrokenTargetsAreChosenOnlyAsLastResort(t *testing.T) {
 	p, _ := New(LeastOutstanding)
 	cs := candidates(targets(2), func(i int) Load { return Load{Requests: i * 10} })
-	cs[0].Broken = true
+	cs[0].BreakerOpen = true
 	require.Equal(t, "e1", Choose(p, Cost{}, cs).Chosen.Target.Name)
 	only := candidates(targets(1), func(int) Load { return Load{} })
-	only[0].Broken = true
+	only[0].BreakerOpen = true
 	d := Choose(p, Cost{}, only)
 	require.Equal(t, "e0", d.Chosen.Target.Name)
 	require.Equal(t, ReasonLastResort, d.Reason)
--- a/wallclock/wallclock.go
+++ b/wallclock/wallclock.go
@@ -4,9 +4,9 @@
 
 import "time"
 
-// FileVariable is the environment variable with the path of the file that holds the offset, such as
+// OffsetFileVariable is the environment variable with the path of the file that holds the offset, such as
 // -3.5s. Only builds with the tag labclock read it.
-const FileVariable = "ROCKDOOR_LAB_CLOCK"
+const OffsetFileVariable = "ROCKDOOR_LAB_CLOCK"
 
 // Now returns the time of day by the host's clock.
 func Now() time.Time { return time.Now().Add(offset()) }
