--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -157,20 +157,20 @@
 type explanation struct{ cause, remedy string }
 
 var explanations = map[string]explanation{
-	"ok":              {"the whole answer was passed on", "if it was late, compare ahead and read of the decision with the latency target: a long queue, or a prompt that was not kept"},
-	"not-ready":       {"the process did not know a configuration and the instances yet", "see store lost and start; the balancer should not have led here"},
-	"no-route":        {"no route of the configuration in force matches", "compare config with the operator's version; an old one says that the store was not reached"},
-	"bad-request":     {"the request's headers were wrong", "see err"},
-	"bad-body":        {"the body was too large, too slow, or cut", "see err"},
-	"none-permitted":  {"no instance of the service takes requests: none is registered and ready where the rules permit", "see instance gone and store lost; ask a gateway with rockdoor gateway explain"},
-	"all-full":        {"all permitted instances have as much as they take", "see requests in rockdoor gateway explain; the fleet is too small for this peak, or engines are missing"},
-	"hopeless":        {"no engine was expected to read the prompt before the caller's time was up, so it was refused at once", "compare ahead and read with left of the decision: a peak, or readers missing"},
-	"attempts-used":   {"several instances refused", "see err of the attempts; engines may be full or failing"},
-	"budget-empty":    {"an instance refused or failed and the retry budget of the service is used up", "see which instances refuse in the other requests' lines"},
-	"lost":            {"an instance broke off and the request may have run, so it was not repeated", "see the log of the runner"},
-	"deadline":        {"the time was up before an answer", "see ahead and read of the decision; late=true says that no engine was expected to be in time"},
-	"caller-gone":     {"the caller left before the answer", "none"},
-	"lost-connection": {"the caller could not be reached", "none"},
+	"ok":              {"the complete response was sent to the client", "if the response was over its latency target, compare ahead (queueing delay) and read (prefill time) of the decision with the target: the queue was long, or the prompt was not cached"},
+	"not-ready":       {"the process had not loaded a configuration and the instances yet", "look for the messages store lost and start; the load balancer should not have sent the request to this process"},
+	"no-route":        {"no route of the configuration in force matches the request", "compare config with the version that the operator published; an older version means that the process could not reach the store"},
+	"bad-request":     {"the headers of the request were invalid", "see err"},
+	"bad-body":        {"the body was too large, arrived too slowly, or was truncated", "see err"},
+	"none-permitted":  {"no instance of the service accepts requests: none is registered and ready where the rules permit", "look for the messages instance gone and store lost; run rockdoor gateway explain against a gateway"},
+	"all-full":        {"all permitted instances were at their request limit", "see the requests of each instance in rockdoor gateway explain; the fleet is too small for this peak, or engines are unavailable"},
+	"hopeless":        {"no engine was expected to prefill the prompt before the client timeout, so the request was rejected at once", "compare ahead (queueing delay) and read (prefill time) with left (time until the deadline) of the decision: there was a load peak, or prefill engines are unavailable"},
+	"attempts-used":   {"several instances refused the request until all its attempts were used", "see err of the attempts; engines may be full or failing"},
+	"budget-empty":    {"an instance refused the request or failed, and the retry budget of the service is used up", "see in the lines of the other requests which instances refuse requests"},
+	"lost":            {"an instance failed, or the connection to it broke, when the request may already have run, so the request was not retried", "see the log of the instance that the decision names as runner"},
+	"deadline":        {"the deadline of the request passed before the response was complete", "see ahead (queueing delay) and read (prefill time) of the decision; late=true means that no engine was expected to meet the latency target"},
+	"caller-gone":     {"the client disconnected before the response was complete", "none"},
+	"lost-connection": {"the client could not be reached", "none"},
 }
 
 func (t *RequestTrace) explainOutcome(last Line) {
@@ -178,7 +178,7 @@
 	v, known := explanations[t.Outcome]
 	switch {
 	case t.Outcome == "":
-		v = explanation{"the logs end before the request did: the process was killed, or lines were dropped", "see the balancer's record; look for log lines dropped"}
+		v = explanation{"the logs end before the request did: the process was killed, or log lines were dropped", "see the log of the load balancer; look for the message log lines dropped"}
 	case !known:
 		v = explanation{"outcome " + t.Outcome, "see err"}
 	}
