--- a/duty/model_test.go
+++ b/duty/model_test.go
@@ -354,7 +354,7 @@
 // engines is the access of a process to the engines.
 type engines struct{ *process }
 
-// Report implements engine.Keeper.
+// Report implements engine.RoleClient.
 func (e engines) Report(_ context.Context, address string) (engine.Report, error) {
 	if !e.waitWhilePaused() {
 		return engine.Report{}, fault.New(fault.Unavailable, "process is dead", "wait")
@@ -365,7 +365,7 @@
 	return engine.Report{Role: e.world.roles[address]}, nil
 }
 
-// Order implements engine.Keeper.
+// Order implements engine.RoleClient.
 func (e engines) Order(ctx context.Context, address string, o engine.RoleOrder) error {
 	err := e.post(ctx, currentShard, o.Check, call{token: o.Token, subject: "role " + address})
 	if err == nil {
--- a/engine/serving.go
+++ b/engine/serving.go
@@ -115,7 +115,7 @@
 	Matches(id string, h http.Header) bool
 	// ReadOutcome decodes the status and the headers of a response.
 	ReadOutcome(status int, h http.Header) Verdict
-	// DecodePrefillResult decodes the response to a request with ReadOnly.
+	// DecodePrefillResult decodes the response to a request with PrefillOnly.
 	DecodePrefillResult(body []byte) (handle string, err error)
 	// FreeHandle returns the request that frees the KV cache of a prefilled prompt that
 	// is no longer needed.
--- a/internal/trace/summary.go
+++ b/internal/trace/summary.go
@@ -32,7 +32,7 @@
 	Phase                   Phase
 	// Error is the error without the parts that differ between the requests.
 	Error string
-	// Count is the number of requests, First the ID of one of them.
+	// Count is the number of requests, ExampleID the ID of one of them.
 	Count     int
 	ExampleID string
 }
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -89,7 +89,7 @@
 	})
 }
 
-// statusOnly is an engine.Controller whose Give must not be called.
+// statusOnly is an engine.Controller whose Send must not be called.
 type statusOnly struct{ *fakeEngine }
 
 func (statusOnly) Send(context.Context, string, engine.Order) error {
