--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -48,7 +48,7 @@
 	Timeout time.Duration
 	// LatencyTarget is the target for the time to the response, or to the first event of a stream.
 	LatencyTarget time.Duration
-	// GapTarget is the target for the time between two events of a stream.
+	// GapTarget is the target for the longest time between two events of a stream.
 	GapTarget time.Duration
 	// FirstEventTimeout is how long clients wait for the first event of a stream, regardless of the
 	// timeout that they state for the whole stream. 0 is no limit.
@@ -190,7 +190,8 @@
 	Domain  string
 	// Software is the version of the program that the instance runs.
 	Software string
-	Slots    int
+	// Slots is the number of requests that the instance runs concurrently, 0 if unknown.
+	Slots int
 	// Spot instances may be reclaimed by the platform at short notice.
 	Spot bool
 	// Draining instances finish their requests and accept no new ones.
--- a/fleet/workspace.go
+++ b/fleet/workspace.go
@@ -19,6 +19,7 @@
 // key's SHA-256, which is long enough to rule out finding another key with the same hash.
 type KeyHash [sha256.Size / 2]byte
 
+// HashKey returns the hash that identifies an API key.
 func HashKey(key string) KeyHash {
 	sum := sha256.Sum256([]byte(key))
 	return KeyHash(sum[:len(KeyHash{})])
--- a/placement/readlog.go
+++ b/placement/readlog.go
@@ -64,8 +64,8 @@
 	p.stateByID(r.Instance).recordPrefill(r.Parts, r.UnsharedTokens)
 }
 
-// RestoreCache sets which prompt parts the present run of an engine has cached. memory is in
-// tokens, 0 if unknown.
+// RestoreCache records prompt parts that the present run of an engine has cached, in addition to
+// those known already. memory is in tokens, 0 if unknown.
 func (p *Placer) RestoreCache(i *fleet.Instance, memory int, parts []engine.Part) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/placement/state.go
+++ b/placement/state.go
@@ -22,7 +22,8 @@
 	// failureHalfLife is the time after which the penalty for past failures has halved, so that an
 	// instance that has recovered is used again.
 	failureHalfLife = 2 * time.Second
-	// failurePenalty is the penalty of an instance that always fails.
+	// failurePenalty is added to the factor on the score of an instance that always fails. The factor
+	// is 1 for an instance without failures.
 	failurePenalty = 30.0
 	// unreachableFailureShare is the minimum failure rate after a failed connection, since the
 	// process there has most likely terminated.
--- a/roles/packing.go
+++ b/roles/packing.go
@@ -59,13 +59,13 @@
 	// Before the first request, maxInitialPrefillShare, prefillPerGateway and maxInitialPrefill limit
 	// the number of prefill engines, which exist so that the first prompts don't wait for a role
 	// change. Without the last two limits most engines of a large idle fleet would get an order.
-	// maxInitialPrefill suffices because one decision considers about 120 engines, some of which must
-	// decode the prompts without a separate prefill.
+	// maxInitialPrefill suffices because one decision considers about 120 engines, and the decode
+	// engines among them prefill the prompts that get no separate prefill.
 	prefillPerGateway = 1
 	maxInitialPrefill = 72
 	// registrationQuietTime is how long no new engine must have registered before roles change ahead
 	// of the first request. When thousands of engines register, the prefill engines may be the last
-	// ones.
+	// ones, and decode engines would be switched in their place.
 	registrationQuietTime = time.Second
 	// minDecode engines, and the share minDecodeShare of all, always decode, so that the loss of one
 	// engine or of a slow link doesn't stop the service. An engine receives the KV caches of prompts
