--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -60,7 +60,8 @@
 }
 
 // Start sends the request and waits for the response headers. The returned attempt is in the state
-// answering, in which its body can be read, or in a final state.
+// answering, in which its body can be read, or in a final state. If it ended before a response
+// arrived, Status, Header and Length must not be called.
 func (r *Sender) Start(ctx context.Context, s Request) *Attempt {
 	a := &Attempt{chart: charts.Attempt.Start()}
 	s.Header.Set(openai.AttemptHeader, s.ID)
--- a/internal/gateway/backup.go
+++ b/internal/gateway/backup.go
@@ -35,7 +35,8 @@
 
 // resumeAtBackup continues an interrupted stream at its backup, after the last event that the
 // client received. The platform treats it as the same run, so it is allowed for streams that
-// may run at most once. If the backup cannot continue, the original error is returned.
+// may run at most once. If the backup cannot continue, the original error is returned. The
+// continued stream has no further backup, so a second interruption ends it.
 func (q *request) resumeAtBackup(streamErr error) (lifecycle.Outcome, error) {
 	backup := q.backup
 	q.backup = nil
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -26,7 +26,7 @@
 	// usableBudgetShare is the share of the bounds that a process uses. The rest allows for
 	// windows that start between two slots, and for requests that other processes counted.
 	usableBudgetShare = 0.7
-	// minSlackDivisor is the min number of processes by which the slack is divided, so that a
+	// minSlackDivisor is the minimum number of processes by which the slack is divided, so that a
 	// growing fleet stays within it.
 	minSlackDivisor = 16
 )
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -27,7 +27,8 @@
 // TestNothingIsSentAfterAnnouncedShutdown has an instance announce its shutdown in its responses
 // while its registration still says that it is serving. The gateway once read only the registration.
 // During a store outage of twelve seconds the instance could not update it, and was sent requests all
-// that time, although its responses had announced the shutdown.
+// that time, although its responses had announced the shutdown. Two seconds after the first of these
+// responses the least-work placement still chose the instance, by registrations that were 5.247 s old.
 func TestNothingIsSentAfterAnnouncedShutdown(t *testing.T) {
 	engines := func(stages ...string) (out []*fleetengine.Engine) {
 		for n, stage := range stages {
@@ -70,7 +71,8 @@
 // TestNothingIsSentDuringRequestedBackoff has an instance reject requests and ask for a backoff. A
 // gateway once sent such an instance three or four more requests within the three seconds that it
 // had asked for: the Retry-After was not read, a rejection excluded the instance for that one
-// request only, and since it had nothing in flight, the least-work placement preferred it.
+// request only, and since it had nothing in flight, the least-work placement preferred it: the next
+// request was sent there 0.8 s later.
 func TestNothingIsSentDuringRequestedBackoff(t *testing.T) {
 	plain := []*fleetengine.Engine{fleetengine.New("a", ""), fleetengine.New("b", "")}
 	r := newHarness(t, harnessOptions{plain: plain})
--- a/internal/gateway/ratelimit_test.go
+++ b/internal/gateway/ratelimit_test.go
@@ -15,7 +15,7 @@
 
 const (
 	// testRate is the rate limit that an engine announces, in requests per second, and
-	// testMaxRateFactor the max multiple of it that the engine may receive.
+	// testMaxRateFactor the maximum multiple of it that the engine may receive.
 	testRate          = 5.0
 	testMaxRateFactor = 1.2
 	// Requests are sent for testRateDuration, one every testRateInterval.
--- a/internal/gateway/reply.go
+++ b/internal/gateway/reply.go
@@ -48,7 +48,7 @@
 	return &reply{status: status, code: code, err: err, retryAfter: retryAfter}
 }
 
-// retryJitter is the max share by which Retry-After is randomly extended, so that rejected
+// retryJitter is the maximum share by which Retry-After is randomly extended, so that rejected
 // clients do not all retry at once.
 const retryJitter = 0.5
 
--- a/internal/gateway/startup.go
+++ b/internal/gateway/startup.go
@@ -13,7 +13,7 @@
 	// ready. Most processes become ready in half of it. A process that takes longer most likely
 	// cannot reach the store; once the wait is over, it rejects requests at once.
 	startupWait = 1500 * time.Millisecond
-	// startupWaitShare is the max share of the client's timeout that its request waits, so that
+	// startupWaitShare is the maximum share of the client's timeout that its request waits, so that
 	// a client that is rejected after all has time to retry at another process.
 	startupWaitShare = 0.5
 	// maxStartupWaiters bounds the requests that wait at a time. Their bodies have not been read.
--- a/internal/suspects/suspects_test.go
+++ b/internal/suspects/suspects_test.go
@@ -35,9 +35,9 @@
 func (nopLogger) Log(...any) error { return nil }
 
 // TestExchangeOfObservationsSettles exchanges more crashes than are stored, and successful runs. Ages do not
-// include the transit time of a message. So each process considered received observations newer than
-// its own, sent them on, and received them again. The processes of a small fleet exchanged them forever,
-// with a sixth of a core each.
+// include the transit time of a message. Because of that, each process once considered received
+// observations newer than its own, sent them on, and received them again. The processes of a small fleet
+// exchanged them forever, and each used a sixth of a core for it.
 func TestExchangeOfObservationsSettles(t *testing.T) {
 	all := newSyncers(3)
 	f := quarantine.FingerprintOf("w", "POST", "h", "/", nil)
