--- a/internal/gatewayd/watchers_test.go
+++ b/internal/gatewayd/watchers_test.go
@@ -63,10 +63,11 @@
 // they go on serving the version that they have, and their followers, which can reach the store, stay
 // on it too. Followers whose snapshot is older than 0.6 of the limit ask other processes for a newer
 // one, but these have the same version: from one second after the change on, hosts received two to four
-// whole snapshots of 33 KB each, and again every three seconds. In a fleet of 295 hosts 315 requests on
-// a route that had been added 4.0 s before got 404 in this way. In a run with most hosts cut off, the
-// configuration was up to 8.891 s old, and the change was in force after 7.2 s, when the hosts reached
-// the store again. If processes read the store themselves once their watchers are stale, it takes 1.9 s.
+// whole snapshots of 33 KB each, and again every three seconds, for seven seconds in all. In a fleet of
+// 295 hosts 315 requests on a route that had been added 4.0 s before got 404 in this way. In a run with
+// most hosts cut off, the configuration was up to 8.891 s old, and the change was in force after 7.2 s,
+// when the hosts reached the store again. If processes read the store themselves once their watchers are
+// stale, it takes 1.9 s.
 func TestRouteAddedWhileAllWatchersAreCutOff(t *testing.T) {
 	d := newDeployment(t)
 	d.applyLimit = propagationLimit.String()
@@ -89,8 +90,9 @@
 // TestRouteAddedWhileTheStoreRejectsWatchers has the store reject the three watchers and one more
 // scheduler with 429 while it serves all others. The others can read the store themselves. The four
 // rejected processes must ask one of them: when a watcher followed no process and a scheduler only
-// watchers, their configuration was 9,163 ms old after nine seconds, against a median of 633 ms in the
-// fleet, and they responded 404 on a route that all others had.
+// watchers, in a run in which the store rejected them from 1.9 s to 11 s, their configuration was
+// 9,163 ms old after nine seconds, against a median of 633 ms in the fleet, and they responded 404 on a
+// route that all others had.
 func TestRouteAddedWhileTheStoreRejectsWatchers(t *testing.T) {
 	d := newDeployment(t)
 	d.applyLimit = propagationLimit.String()
@@ -133,8 +135,8 @@
 // An instance whose registration disappears during a store outage stays in use for a while, since the
 // platform then drops registrations of instances that still run. A watcher once took the loss of a
 // single response to itself for such an outage: it kept the instances that were removed meanwhile for
-// 2.7 s from the time at which it noticed, and passed them on to processes that had lost no response. In a fleet
-// of 65 processes and 93 instances, requests reached instances more than 3 s after the store had
+// 2.7 s from the time at which it noticed, and passed them on to processes that had lost no response. In
+// a fleet of 65 processes and 93 instances, requests reached instances more than 3 s after the store had
 // acknowledged that they were shutting down, although the store responded and the configuration of all
 // seven processes involved was at most 647 ms old. With that fault, the watcher in this test noticed the
 // loss 1.6 s after the store had last confirmed the instance, and 50 of the 96 requests that 16 processes
