--- a/internal/gatewayd/limits.go
+++ b/internal/gatewayd/limits.go
@@ -17,8 +17,8 @@
 	Limits      []LimitStatus `json:"limits"`
 }
 
-// LimitStatus is the rate limit of one run of an instance. LimitedForMs is how long the instance has been
-// limited, ReportAgeMs how long ago its last report was received.
+// LimitStatus is the rate limit of one run of an instance. LimitedForMs is how long the instance has
+// been limited, ReportAgeMs how long ago its last report was received.
 type LimitStatus struct {
 	Instance string `json:"instance"`
 	// PerSecond is the limit in requests per second for all gateways together.
--- a/internal/gatewayd/operators.go
+++ b/internal/gatewayd/operators.go
@@ -34,8 +34,8 @@
 	Era     int64 `json:"era"`
 	Members int   `json:"members"`
 	// Scheduling is true if the process is a scheduler. Schedulers are the names of all schedulers,
-	// Watchers of those among them that watch the store, ReachableSchedulers of the other schedulers that this
-	// process receives loads from.
+	// Watchers of those among them that watch the store, ReachableSchedulers of the other schedulers
+	// that this process receives loads from.
 	Scheduling          bool     `json:"scheduling"`
 	Schedulers          []string `json:"schedulers"`
 	Watchers            []string `json:"watchers"`
