--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -60,7 +60,7 @@
 	// RedactConfig returns a copy of a stored configuration without secrets, for other processes. If
 	// nil, the configuration is passed on unchanged.
 	RedactConfig func(objstore.Object) objstore.Object
-	// MaxConfigStaleness is the max staleness of the configuration: how long ago it may have been
+	// MaxConfigStaleness is the maximum staleness of the configuration: how long ago it may have been
 	// confirmed to be the newest one. 0 means no limit.
 	MaxConfigStaleness time.Duration
 	// ApplyLimit is the time in which a change must be in force.
@@ -89,12 +89,12 @@
 	// the configuration and the instances. A change ends any watch at once; the longer wait
 	// only delays the detection of a connection that was cut silently.
 	slowWatchFactor = 4
-	// stalenessWaitShare is the share of the max staleness that a watch waits at most. An
+	// stalenessWaitShare is the share of the maximum staleness that a watch waits at most. An
 	// answer confirms the configuration as of when the request was sent. The staleness
 	// therefore reaches twice the wait before the next answer, and more in the processes that
 	// receive it over a relay.
 	stalenessWaitShare = 0.15
-	// directReadStalenessShare is the share of the max staleness from which on a process that
+	// directReadStalenessShare is the share of the maximum staleness from which on a process that
 	// follows another one reads the store directly.
 	directReadStalenessShare = 0.6
 	// relayedWaitShare is the share of the propagation limit that a watch waits at most where
@@ -158,7 +158,7 @@
 	// the store's last answer about them, through this process's own reads or through a relay.
 	prevConfirmedAt bootclock.Instant
 	// prevOwnConfirmedAt is the same for this process's own reads alone. An update from another
-	// process may contain registrations that had expired and that this process still used.
+	// process may contain registrations that have expired and that the other process still uses.
 	prevOwnConfirmedAt bootclock.Instant
 	// ownConfirmedAt is the time as of which this process's own reads last confirmed the
 	// registrations.
--- a/internal/discovery/flood_test.go
+++ b/internal/discovery/flood_test.go
@@ -11,7 +11,7 @@
 const (
 	// burstDuration is how long changes follow one another.
 	burstDuration = time.Second
-	// maxRequests is the max number of requests per feed in this time: one every 80 ms, and a few at both ends.
+	// maxRequests is the maximum number of requests per feed in this time: one every 80 ms, and a few at both ends.
 	maxRequests = 16
 )
 
--- a/internal/discovery/follow.go
+++ b/internal/discovery/follow.go
@@ -60,7 +60,7 @@
 	answerTimeout time.Duration
 	// maxRetryDelay is the longest pause between failed calls.
 	maxRetryDelay time.Duration
-	// minInterval is the min time between two calls if the first one returned changes.
+	// minInterval is the minimum time between two calls if the first one returned changes.
 	minInterval time.Duration
 	events      chan<- any
 	logger      log.Logger
--- a/internal/discovery/instances.go
+++ b/internal/discovery/instances.go
@@ -27,7 +27,7 @@
 	// minOutage is how long calls must have failed for this to count as an outage of the
 	// store. A watch whose connection was cut and one further failed call end before that.
 	minOutage = 500 * time.Millisecond
-	// maxLoggedEach is the max number of registrations in one answer that are logged one by
+	// maxLoggedEach is the maximum number of registrations in one answer that are logged one by
 	// one. The log takes 2,000 lines a second; at a start with 3,000 registrations it dropped
 	// the lines after them.
 	maxLoggedEach = 200
@@ -44,8 +44,8 @@
 type expiry struct {
 	// dropAt is when the instance is removed unless it has registered again.
 	dropAt bootclock.Instant
-	// outage is true if this process saw an outage of the store. The time to register again
-	// then counts from the end of the outage.
+	// outage is true if this process saw an outage of the store, or a restore shortly before. The
+	// time to register again then counts from the end of an outage.
 	outage bool
 }
 
--- a/internal/discovery/mode.go
+++ b/internal/discovery/mode.go
@@ -223,11 +223,11 @@
 
 // minIntervalShare is the share of the propagation limit between two requests if the first one
 // returned changes. The first change after a quiet time is sent at once, and the number of messages in
-// a burst does not depend on the number of changes: when 10,000 instances registered at 490 a second,
-// each process received as many messages.
+// a burst does not depend on the number of changes. Without this interval, when 10,000 instances
+// registered at 490 a second, each process received a message for each of them.
 const minIntervalShare = 0.04
 
-// minInterval is the min time between two requests while changes arrive.
+// minInterval is the minimum time between two requests while changes arrive.
 func (d *Discovery) minInterval() time.Duration {
 	return time.Duration(minIntervalShare * float64(d.o.PropagationLimit))
 }
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -14,7 +14,7 @@
 	// CPU of a small host.
 	decodeBatch = 100
 	decodePause = 10 * time.Millisecond
-	// decodePauseShare is the max share of the propagation limit for all pauses together, since
+	// decodePauseShare is the maximum share of the propagation limit for all pauses together, since
 	// no changes are received during them.
 	decodePauseShare = 0.2
 )
--- a/internal/discovery/relay.go
+++ b/internal/discovery/relay.go
@@ -18,7 +18,7 @@
 
 const (
 	// directReadAfter is how long no scheduler must have answered before a process reads the
-	// store directly. directReadPause is the min time between two such reads; the actual time
+	// store directly. directReadPause is the minimum time between two such reads; the actual time
 	// is random, up to twice as long, and longer by a jitter while the view is incomplete.
 	directReadAfter = 1500 * time.Millisecond
 	directReadPause = time.Second
@@ -49,13 +49,13 @@
 	// data. The rest of the limit is for the answer of the store.
 	schedulerMaxAgeShare = 0.65
 	maxAgeShare          = 0.8
-	// directReadRetry is the min time between two direct reads because of old data; the actual
+	// directReadRetry is the minimum time between two direct reads because of old data; the actual
 	// time is random and up to twice as long. failedReadRetry is the same after a read that
 	// failed: the store then most likely does not answer the schedulers either, and these send
 	// an update once it does.
 	directReadRetry = 500 * time.Millisecond
 	failedReadRetry = 2500 * time.Millisecond
-	// followRetry is the min pause after no scheduler could be followed; the actual pause is
+	// followRetry is the minimum pause after no scheduler could be followed; the actual pause is
 	// random and up to twice as long.
 	followRetry = 100 * time.Millisecond
 )
@@ -186,10 +186,10 @@
 
 // readStoreIfStale reads the store directly if the data that this process receives is too old, or the
 // configuration too stale: the watchers may have lost the store while this process still reaches it.
-// Without it, in a fleet of 65 whose three watchers were cut off, draining engines received requests
-// up to 0.03 s beyond the propagation limit, and rules on placement did not change until the watchers
-// were back. f is the latest update. No read takes place before next; the result is the earliest time
-// of the next read.
+// Without it, in a fleet of 65 whose three watchers were cut off, engines that had stopped accepting
+// requests received some up to 0.03 s beyond the propagation limit, and rules on placement did not
+// change until the watchers were back. f is the latest update. No read takes place before next; the
+// result is the earliest time of the next read.
 func (d *Discovery) readStoreIfStale(ctx context.Context, f RelayUpdate, next bootclock.Instant) bootclock.Instant {
 	v := d.View()
 	age, staleness := v.Age(), v.ConfigStaleness()
--- a/internal/discovery/relay_test.go
+++ b/internal/discovery/relay_test.go
@@ -21,7 +21,7 @@
 
 // FetchFresher implements discovery.Relay.
 func (c fakeRelay) FetchFresher(context.Context, time.Duration) (discovery.RelayUpdate, error) {
-	return discovery.RelayUpdate{}, fault.New(fault.NotFound, "no other scheduler has a fresher copy", "not in this test")
+	return discovery.RelayUpdate{}, fault.New(fault.NotFound, "no other scheduler has a fresher snapshot", "not in this test")
 }
 
 // Follow implements discovery.Relay.
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -20,7 +20,8 @@
 type Position struct {
 	// RunID identifies the run of the process that has the feed; positions of different runs are
 	// not comparable.
-	RunID    string
+	RunID string
+	// Sequence is the number of the newest change that the replica has.
 	Sequence uint64
 }
 
--- a/internal/ratelimit/sharer.go
+++ b/internal/ratelimit/sharer.go
@@ -58,7 +58,8 @@
 	Self      string
 	Table     *Table
 	Transport *peer.Transport
-	Deciders  func() Deciders
+	// Deciders returns the deciders as this process sees them now.
+	Deciders func() Deciders
 	// Peers returns the processes to send rate reports to, without this process.
 	Peers  func() []members.Member
 	Logger log.Logger
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -52,7 +52,8 @@
 
 const (
 	// MaxGrantWait is the maximum time that a request waits for a grant. A requested grant usually arrives in
-	// that time, and it is better to reject a request immediately than to wait longer.
+	// that time, and it is better to reject a request immediately than to wait longer. Package scheduler lets a
+	// request wait longer whose prompt is prefilled already.
 	MaxGrantWait = 25 * time.Millisecond
 	// GrantPollInterval is the interval at which a waiting request checks for a grant.
 	GrantPollInterval = 4 * time.Millisecond
--- a/internal/scheduler/client.go
+++ b/internal/scheduler/client.go
@@ -41,8 +41,8 @@
 	Limits *ratelimit.Table
 	// Quarantine holds the requests that crash the instances running them; nil if there are none.
 	Quarantine *quarantine.Table
-	// HasContact reports whether this process receives messages from another process by means
-	// other than the other process following this scheduler; nil means never.
+	// HasContact reports whether this process receives messages from another process in other ways
+	// than as its scheduler. If it is nil, it never does.
 	HasContact func(name string) bool
 	// InstancePrefix is the key prefix of instance registrations in the store.
 	InstancePrefix string
--- a/internal/scheduler/follow.go
+++ b/internal/scheduler/follow.go
@@ -128,7 +128,7 @@
 // than age, and that candidate. A candidate without a fresher snapshot sends a message without
 // objects. The error is of kind NotFound if all candidates responded and none has a fresher one.
 func (c *Client) fetchFirstFresher(ctx context.Context, age time.Duration, candidates []members.Member) (discovery.RelayUpdate, members.Member, error) {
-	var lastErr error = fault.New(fault.NotFound, "no other scheduler has a fresher copy", "the store is asked again")
+	var lastErr error = fault.New(fault.NotFound, "no other scheduler has a fresher snapshot", "the store is asked again")
 	maxAge := age - minFreshnessGain
 	if maxAge <= 0 {
 		return discovery.RelayUpdate{}, members.Member{}, lastErr
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// placeRemotely places a prompt through a scheduler. On a busy machine a response may come too
+// placeRemotely places a prompt through a scheduler. On a busy host a response may come too
 // late, so that the process places the prompt itself. In that case it cancels the ticket, waits
 // until the scheduler has cancelled the ticket of the late response, and tries again.
 func placeRemotely(t *testing.T, n *node, prefix string) (placement.Plan, Ticket) {
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -19,6 +19,7 @@
 
 // Entry is the counts of one source in one window.
 type Entry struct {
+	// Window is the number of the window, as Ledger.Window returns it.
 	Window int64
 	Source Source
 	// Counts are the numbers of requests by workspace. They never decrease.
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -19,7 +19,9 @@
 
 // Report is the usage that is billed for one window.
 type Report struct {
-	Window int64          `json:"window"`
+	// Window is the number of the window, as Ledger.Window returns it.
+	Window int64 `json:"window"`
+	// Counts are the numbers of requests that started to run, by workspace.
 	Counts map[string]int `json:"counts"`
 }
 
@@ -165,7 +167,7 @@
 		r.record.Next++
 	}
 	if r.record.Next > skipped {
-		level.Error(r.logger).Log("msg", "usage lost", "from", skipped, "until", r.record.Next-1, "reason", "the store came back from an older copy; another process may have reported it", "era", era)
+		level.Error(r.logger).Log("msg", "usage lost", "from", skipped, "until", r.record.Next-1, "reason", "the store was restored from an older snapshot; another process may have reported it", "era", era)
 	}
 	level.Info(r.logger).Log("msg", "usage record reconciled with the era of the store", "era", era, "record_era", r.record.Era, "next", next, "now", r.record.Next, "pending", len(r.record.Pending))
 	r.record.Era = era
