--- a/duty/duty.go
+++ b/duty/duty.go
@@ -27,7 +27,7 @@
 	// two more requests to the store.
 	renewTimeout   = time.Second
 	acquireTimeout = 2 * renewTimeout
-	// grantMargin is the min remaining time of a grant for sending a request under it.
+	// grantMargin is the minimum remaining time of a grant for sending a request under it.
 	grantMargin = 300 * time.Millisecond
 	// firstToken is the token of the first grant ever. Its holder has no predecessor to wait for.
 	firstToken = 1
--- a/duty/history_test.go
+++ b/duty/history_test.go
@@ -46,7 +46,7 @@
 	// none.
 	faultPeriod = 70 * time.Second
 	quietPeriod = 30 * time.Second
-	// maxIdleAtEnd is the max time between the last call and the end. The quiet period is long
+	// maxIdleAtEnd is the maximum time between the last call and the end. The quiet period is long
 	// enough before that for a lease to expire, a successor to wait and a usage window to end.
 	maxIdleAtEnd = 15 * time.Second
 	// currentHolder stands for the host that holds the lease when the fault is injected.
@@ -73,7 +73,7 @@
 	faults        []scheduledFault
 }
 
-// maxFaults is the max number of faults in a scenario.
+// maxFaults is the maximum number of faults in a scenario.
 const maxFaults = 14
 
 // drawScenario draws a scenario. All but the number of faults is derived from the seed, since rapid
--- a/duty/model_test.go
+++ b/duty/model_test.go
@@ -36,14 +36,14 @@
 	modelHandoverDelay = modelTTL + 500*time.Millisecond
 	modelWindow        = 5 * time.Second
 	modelDue           = 10 * time.Second
-	// modelMargin is the min remaining time of a grant under which the previous version sends a
+	// modelMargin is the minimum remaining time of a grant under which the previous version sends a
 	// request.
 	modelMargin = 300 * time.Millisecond
-	// maxTransit is the max time in which a request reaches the platform.
+	// maxTransit is the maximum time in which a request reaches the platform.
 	maxTransit = 250 * time.Millisecond
-	// maxWriteDelay is the max delay of a write that the store carries out without a response.
+	// maxWriteDelay is the maximum delay of a write that the store carries out without a response.
 	maxWriteDelay = 4 * time.Second
-	// maxDrift is the max relative drift between the clocks of two processes.
+	// maxDrift is the maximum relative drift between the clocks of two processes.
 	maxDrift = 0.009
 	// modelDomains is the number of failure domains in which engines can be ordered. modelEngines
 	// is the number of engines whose roles can be changed.
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -237,7 +237,7 @@
 	return nil
 }
 
-// maxSummaryWorkspaces is the max number of workspaces in a summary, so that it fits on one
+// maxSummaryWorkspaces is the maximum number of workspaces in a summary, so that it fits on one
 // screen. The workspaces with the lowest share of served requests are shown.
 const maxSummaryWorkspaces = 20
 
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -3,8 +3,8 @@
 //
 // The TTL of a lease starts for its holder before the holder sends the write that
 // acquires or renews it. For a successor it starts when the successor sees the last
-// renewal, and the max drift between two clocks is added to it. Every grant has a
-// fencing token that is higher than all previous ones and is never reused.
+// renewal, and the maximum drift between two clocks is added to it. Every grant has
+// a fencing token that is higher than all previous ones and is never reused.
 package lease
 
 import (
@@ -31,7 +31,7 @@
 const (
 	// renewalsPerTTL is the number of renewals of a lease within its TTL.
 	renewalsPerTTL = 3
-	// maxDriftDivisor divides the TTL of a lease to give the max drift between the clocks of
+	// maxDriftDivisor divides the TTL of a lease to give the maximum drift between the clocks of
 	// two hosts during the TTL.
 	maxDriftDivisor = 100
 )
@@ -43,9 +43,10 @@
 	Incarnation string `json:"incarnation"`
 	// Address is where the holder listens for its peers. If a later process listens there,
 	// the holder has terminated.
-	Address string         `json:"address"`
-	Token   int64          `json:"token"`
-	TTL     jsonc.Duration `json:"ttl"`
+	Address string `json:"address"`
+	// Token is the fencing token of the holder's grant, TTL the life of the lease after each renewal.
+	Token int64          `json:"token"`
+	TTL   jsonc.Duration `json:"ttl"`
 	// Released is true if the holder has released the lease.
 	Released bool `json:"released"`
 	// Renewal counts renewals, so that every write of a holder is different.
@@ -57,6 +58,7 @@
 
 // Grant is authority for a limited time.
 type Grant struct {
+	// Token is the fencing token, which is higher than that of any earlier grant of the lease.
 	Token int64
 	// Until is when the authority ends.
 	Until bootclock.Instant
@@ -154,7 +156,7 @@
 	return l.waitReason
 }
 
-// Drift returns the max clock drift, which a successor adds to the TTL of a lease.
+// Drift returns the maximum clock drift, which a successor adds to the TTL of a lease.
 func Drift(ttl time.Duration) time.Duration { return ttl / maxDriftDivisor }
 
 // Interval returns how long to wait until the next Step.
@@ -251,7 +253,7 @@
 		return true
 	}
 	if rec.Holder == l.o.Holder && rec.Incarnation == l.o.Incarnation {
-		return true // this process's own grant, which has expired on its own clock
+		return true // this process's own grant, which has expired on its own clock or was dropped by Acquire
 	}
 	if rec.GoverningLease != "" && rec.GoverningLease == l.o.GoverningLease {
 		return true
--- a/members/members.go
+++ b/members/members.go
@@ -34,7 +34,7 @@
 	// SchedulersPerDomain is how many processes of a failure domain schedule for the others in
 	// a fleet of more than MaxFullMesh processes: one and a standby.
 	SchedulersPerDomain = 2
-	// MaxWatchers is the max number of schedulers that watch the store in such a fleet; the
+	// MaxWatchers is the maximum number of schedulers that watch the store in such a fleet; the
 	// other schedulers follow these.
 	MaxWatchers = 3
 )
--- a/orders/giver.go
+++ b/orders/giver.go
@@ -18,7 +18,7 @@
 	// MaxInFlightTime is how long bytes that were passed to the kernel may remain in flight. If
 	// they are not acknowledged by then, the kernel drops the connection.
 	MaxInFlightTime = 500 * time.Millisecond
-	// writeMargin is the min remaining time of a grant for a write under it.
+	// writeMargin is the minimum remaining time of a grant for a write under it.
 	writeMargin = MaxInFlightTime + 100*time.Millisecond
 	sendTimeout = 3 * time.Second
 )
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -223,8 +223,8 @@
 
 // TestEngineIsPolledAfterSlowReset has an engine respond to a reset only after the timeout of a change.
 // Such an engine was once considered stuck without polling its status again, although it had reverted
-// to its role. On busy hosts this failed 1 of 324 cases in CI, and 17 of 23,328 with six copies of the
-// test at once.
+// to its role. On busy hosts 1 of 324 cases in CI failed, where the engine still counted as stuck after
+// 2 s of rounds, and 17 of 23,328 with six copies of the test at once.
 func TestEngineIsPolledAfterSlowReset(t *testing.T) {
 	s, e := memstore.New(), &fakeEngine{role: engine.RoleMixed, crashNext: true}
 	x := newExecutor(s, e, 1)
--- a/truetime/truetime.go
+++ b/truetime/truetime.go
@@ -16,7 +16,7 @@
 // and a host's boot-time clock drifts by less than 1 ms in this time.
 const sampleLifetime = 10 * time.Second
 
-// maxSlewRate is the max rate at which changes of the host's clock are followed, as a share of the
+// maxSlewRate is the maximum rate at which changes of the host's clock are followed, as a share of the
 // elapsed time. A clock drifts by less than 0.1 ms a second; one that deviates faster has been set.
 // In a simulation the clocks of three schedulers of six jumped by 3.5 s, and four billing windows
 // of 5 s lacked up to 62% of their requests.
