--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -51,7 +51,7 @@
 			{
 				Name: "history", Usage: "list accepted changes, newest first",
 				Description: withExample("Each line has revision, time, change id, author and note.", "rockdoor config history -n 5"),
-				Flags:       []cli.Flag{adminFlag(), &cli.IntFlag{Name: "limit", Aliases: []string{"n"}, Value: 20, Usage: "max number of changes"}},
+				Flags:       []cli.Flag{adminFlag(), &cli.IntFlag{Name: "limit", Aliases: []string{"n"}, Value: 20, Usage: "maximum number of changes"}},
 				Action:      showHistory,
 			},
 			{
