--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -55,7 +55,8 @@
 	// Refresh updates the mirror from the store, so that this process sees its own writes at once.
 	Refresh func(context.Context)
 	// Ready returns why the process does not accept requests, or nil if it does.
-	Ready   func() error
+	Ready func() error
+	// Explain returns where a request would run and why not elsewhere, without running it.
 	Explain func(entry.ExplainRequest) (*entry.Explanation, error)
 	// Pools returns the pools that this process controls or is a candidate to control.
 	Pools func() []controller.PoolStatus
--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -38,8 +38,10 @@
 	WantedRole engine.Role `json:"wantedRole,omitempty"`
 	Changing   bool        `json:"changing,omitempty"`
 	// Order is the state of the last order to the engine, empty if that order has ended.
-	Order    string `json:"order,omitempty"`
-	Requests int    `json:"requests"`
+	Order string `json:"order,omitempty"`
+	// Requests is the number of requests that other processes have placed there. Those of this
+	// process are not counted.
+	Requests int `json:"requests"`
 	// Report is the reason why there is no current status report of the engine, empty if there is one.
 	Report string `json:"report,omitempty"`
 	// ReportAge is the age of the report, in milliseconds.
--- a/internal/discovery/relay.go
+++ b/internal/discovery/relay.go
@@ -66,7 +66,7 @@
 	// wait. It fails if no scheduler answers.
 	Follow(ctx context.Context, after feed.Position) (RelayUpdate, error)
 	// FetchFresher returns a full snapshot from a scheduler whose data is fresher than the given age.
-	// The error is of kind NotFound if none of the schedulers asked has one.
+	// The error is of kind NotFound if all schedulers that were asked responded and none has one.
 	FetchFresher(ctx context.Context, age time.Duration) (RelayUpdate, error)
 }
 
@@ -79,7 +79,8 @@
 	// one, on the clock of this process.
 	ConfigFreshAt bootclock.Instant
 	// StoreUp is false if the store does not answer the process that the update comes from.
-	StoreUp   bool
+	StoreUp bool
+	// Processes is the number of registered processes of the fleet.
 	Processes int
 	// Partial is true for a partial snapshot: Events hold only the configuration and the rules.
 	Partial bool
