--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -123,8 +123,8 @@
 	l.send(heartbeatReceived{from: from, beat: beat})
 }
 
-// responseArrived passes the response to a heartbeat that was sent at the instant
-// sent to the loop.
+// responseArrived passes the response to a heartbeat of this process to the loop. The
+// parameter sent is the instant at which that heartbeat was sent.
 func (l *Loop) responseArrived(from *peerpb.Identity, beat *peerpb.Heartbeat, sent bootclock.Instant) {
 	e := heartbeatReceived{from: from, beat: beat, isResponse: true}
 	if beat.GetMirrorRevision() <= int64(l.o.Mirror.Revision()) {
--- a/internal/control/heartbeat.go
+++ b/internal/control/heartbeat.go
@@ -21,8 +21,8 @@
 
 const (
 	fetchTimeout = 3 * time.Second
-	// minHeartbeatTimeout is the min timeout of a heartbeat. With a short interval and
-	// a slow link, a heartbeat may take longer than the interval.
+	// minHeartbeatTimeout is the minimum timeout of a heartbeat. With a short interval
+	// and a slow link, a heartbeat may take longer than the interval.
 	minHeartbeatTimeout = time.Second
 )
 
--- a/internal/control/reporter.go
+++ b/internal/control/reporter.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// maxPolledEngines is the approximate max number of engines that one process polls.
+	// maxPolledEngines is the approximate maximum number of engines that one process
+	// polls.
 	maxPolledEngines = 16
 	maxParallelPolls = 16
 	pollTimeout      = time.Second
--- a/internal/controller/drain.go
+++ b/internal/controller/drain.go
@@ -77,6 +77,6 @@
 const (
 	// staleMargin covers requests that are being sent when a process becomes stale.
 	staleMargin = time.Second
-	// reportLag is the max age of the load that an engine reports.
+	// reportLag is the maximum age of the load that an engine reports.
 	reportLag = 1500 * time.Millisecond
 )
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// maxSyncPeers is the max number of peers to which this process sends an update. These
-// peers forward the update to others.
+// maxSyncPeers is the maximum number of peers to which this process sends an update.
+// These peers forward the update to others.
 const maxSyncPeers = 16
 
 // syncPeers returns live members other than this process: all of them in a small fleet, a random
--- a/internal/entry/explain.go
+++ b/internal/entry/explain.go
@@ -28,8 +28,10 @@
 	Target string  `json:"target"`
 	Domain string  `json:"domain"`
 	Score  float64 `json:"score"`
-	Load   int     `json:"load"`
-	Broken bool    `json:"broken"`
+	// Load is the number of requests in flight at the target.
+	Load int `json:"load"`
+	// Broken is true if the circuit breaker of the target is open.
+	Broken bool `json:"broken"`
 	// Rule is the rule that excludes the target, empty if the target is permitted.
 	Rule string `json:"rule,omitempty"`
 }
--- a/internal/entry/lengths.go
+++ b/internal/entry/lengths.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// maxLengths is the max number of pairs of workspace and model for which a
+	// maxLengths is the maximum number of pairs of workspace and model for which a
 	// mean is kept.
 	maxLengths = 8192
 	// lengthWeight is the weight of the latest response in the moving average.
--- a/internal/entry/outcomes.go
+++ b/internal/entry/outcomes.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxOutcomes is the max number of requests with an idempotency key whose
+	// maxOutcomes is the maximum number of requests with an idempotency key whose
 	// outcome is stored.
 	maxOutcomes = 65536
 	// maxStoredBytes limits the total size of the stored responses, in bytes.
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -30,9 +30,10 @@
 	return errorReply(http.StatusServiceUnavailable, codeQuarantined, suspects.QuarantinedError(strings.Join(v.CrashedInstances, ", ")), v.RetryAfter)
 }
 
-// recordResult reports the end of an attempt to the quarantine table and to the crash detector. A
-// connection that breaks while the target is shutting down or carrying out an order does not count as a
-// crash.
+// recordResult reports a complete attempt to the quarantine table and an attempt of unknown outcome,
+// which may be the crash of its target, to the crash detector. The parameter sent is when the attempt
+// was sent. An attempt of unknown outcome does not count if the client has disconnected or its deadline
+// has passed, nor if the target is shutting down or carrying out an order, since its end is then planned.
 func (r *run) recordResult(s statechart.State, sent time.Time) {
 	switch {
 	case s == charts.AttemptComplete && !r.s.o.Quarantine.Empty():
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	// maxAttempts is the max number of attempts of one request.
+	// maxAttempts is the maximum number of attempts of one request.
 	maxAttempts = 6
 	// noTargetRetryAfter is the Retry-After time while no permitted target is
 	// active.
@@ -217,8 +217,9 @@
 	return int(float64(t.Capacity) * queueFactor(r.c.priority))
 }
 
-// candidates returns the permitted targets that have free capacity and on which no
-// attempt of this call has failed, and the number of full targets.
+// candidates returns the targets to choose from, and the number of full targets. It leaves
+// out targets that are full, on which an attempt of this call failed, for which fits returns
+// false, that are in backoff or unavailable, or whose rate limit grants no further call.
 func (r *run) candidates(permitted []*config.Target, fits func(*config.Target) bool) (cands []routing.Candidate, full int) {
 	for _, t := range permitted {
 		if r.avoid[t.Name] || r.s.notices.Backoff(t.Name) > 0 || !fits(t) {
