--- a/engine/engine.go
+++ b/engine/engine.go
@@ -57,11 +57,13 @@
 	Token    int64    `json:"token"`
 	Models   []string `json:"models"`
 
-	AsOf          time.Time `json:"asOf"`
-	Running       int       `json:"running"`
-	Waiting       int       `json:"waiting"`
-	PrefillTokens int       `json:"prefillTokens"`
-	DecodeTokens  int       `json:"decodeTokens"`
+	AsOf time.Time `json:"asOf"`
+	// Running and Waiting are numbers of requests. PrefillTokens and DecodeTokens are the
+	// tokens that all of them together still have to prefill and to decode.
+	Running       int `json:"running"`
+	Waiting       int `json:"waiting"`
+	PrefillTokens int `json:"prefillTokens"`
+	DecodeTokens  int `json:"decodeTokens"`
 }
 
 // Controller reads the status of the engine at an address and sends it orders.
--- a/engine/openai/openai.go
+++ b/engine/openai/openai.go
@@ -37,7 +37,7 @@
 // PhasePrefill is the value of PhaseHeader.
 const PhasePrefill = "prefill"
 
-// MaxDecodePrompt is the max length of a prompt, in tokens, that an engine in the
+// MaxDecodePrompt is the maximum length of a prompt, in tokens, that an engine in the
 // decode role prefills itself. The KV cache of a longer prompt is imported.
 const MaxDecodePrompt = 512
 
--- a/engine/ratelimit.go
+++ b/engine/ratelimit.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// maxRate is the max rate, in requests a second. Higher rates are reduced to it, since no instance
-// serves more.
+// maxRate is the maximum rate, in requests a second. Higher rates are reduced to it, since no
+// instance serves more.
 const maxRate = 1e6
 
 // RateLimit is the rate limit that an instance announces in a response. It applies to the sum of
--- a/engine/serving.go
+++ b/engine/serving.go
@@ -20,7 +20,7 @@
 	ClientTimeout time.Duration
 	// Model is empty for requests to plain services.
 	Model string
-	// PromptTokens is the size of the prompt and OutputTokens the max size of the
+	// PromptTokens is the size of the prompt and OutputTokens the maximum size of the
 	// output.
 	PromptTokens int
 	OutputTokens int
@@ -115,7 +115,7 @@
 	Matches(id string, h http.Header) bool
 	// ReadOutcome decodes the status and the headers of a response.
 	ReadOutcome(status int, h http.Header) Verdict
-	// DecodePrefillResult decodes the response to a request with ReadOnly.
+	// DecodePrefillResult decodes the response to a request with PrefillOnly.
 	DecodePrefillResult(body []byte) (handle string, err error)
 	// FreeHandle returns the request that frees the KV cache of a prefilled prompt that
 	// is no longer needed.
@@ -140,8 +140,8 @@
 	Holder   string
 	// Token is the fencing token of the holder's lease.
 	Token int64
-	// Orders is the number of orders that the engine must have accepted before it
-	// carries out this one.
+	// Orders is the number of orders that the engine must have accepted before this one,
+	// no more and no fewer. Otherwise it rejects this order.
 	Orders int64
 	// Check is called immediately before the order is written to the connection. If it
 	// fails, the order is not sent.
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -23,7 +23,8 @@
 	DecodeTokens int
 }
 
-// Load is the estimated work in flight at a target.
+// Load is the estimated work in flight at a target: the number of requests, and the
+// tokens that all of them together still have to prefill and to decode.
 type Load struct {
 	Requests      int
 	PrefillTokens int
--- a/statechart/statechart.go
+++ b/statechart/statechart.go
@@ -45,7 +45,7 @@
 	On map[Event]State `json:"on,omitempty"`
 	// Ignore lists events that don't change the state.
 	Ignore []Event `json:"ignore,omitempty"`
-	// Timeout is the max time in this state. TimeoutEvent must be fired when it has passed.
+	// Timeout is the maximum time in this state. TimeoutEvent must be fired when it has passed.
 	Timeout      jsonc.Duration `json:"timeout,omitempty"`
 	TimeoutEvent Event          `json:"timeoutEvent,omitempty"`
 }
