--- a/internal/e2e/chaos_test.go
+++ b/internal/e2e/chaos_test.go
@@ -73,10 +73,11 @@
 	}},
 }
 
-// Injects two concurrent faults, chosen by a seed, under a load of requests with
-// idempotency keys, while configurations are applied and a role changes. Afterwards the
-// fleet must have recovered, no request may have run twice, and no order may have taken
-// effect twice.
+// Injects two concurrent faults, chosen by a seed that the test logs, under a load of
+// requests with idempotency keys, while configurations are applied and a role changes.
+// Afterwards the fleet must have recovered, the responses must agree with the runs that
+// the engines recorded, no request may have run twice, fencing tokens must not have
+// decreased, and no order may have taken effect twice.
 func TestTwoConcurrentFaults(t *testing.T) {
 	seeds := []uint64{1, 2, 3, 4}
 	if extra, err := strconv.ParseUint(os.Getenv(seedVariable), 10, 64); err == nil {
--- a/internal/lab/load/report.go
+++ b/internal/lab/load/report.go
@@ -14,11 +14,13 @@
 	Class    string
 	Requests int
 	Outcomes map[Outcome]int
-	Good     int
-	Tokens   int
-	First    []time.Duration
-	Gaps     []time.Duration
-	Totals   []time.Duration
+	// Good is the number of useful responses, Tokens the sum of their prompt and output tokens.
+	Good   int
+	Tokens int
+	// First, Gaps and Totals are the times of the complete responses.
+	First  []time.Duration
+	Gaps   []time.Duration
+	Totals []time.Duration
 }
 
 // Summarize groups results by class, in the order of the mix.
--- a/internal/lab/soak/check.go
+++ b/internal/lab/soak/check.go
@@ -47,8 +47,8 @@
 }
 
 // minWithdrawalRate is the number of withdrawals that a run needs per process and minute. Without
-// it, runs of 65 processes with only 2 and 7 withdrawals were reported as kept, although they
-// proved nothing.
+// it, runs of 65 processes reported the guarantee as kept after only 2 and 7 withdrawals, which
+// prove nothing.
 const minWithdrawalRate = 1.5
 
 // minLimitCaseRate is the number of instances with a rate limit that a run needs per process and
--- a/internal/lab/soak/check_process.go
+++ b/internal/lab/soak/check_process.go
@@ -74,9 +74,10 @@
 // a process died of SIGHUP 25 ms after its start, and its packages take 40 ms to initialize.
 const signalSetupTime = 2 * time.Second
 
-// diedBeforeSignalSetup reports whether a process died of a signal before it had set up its signal
-// handlers and had responded to no request. Until then the signal's default action applies. Time in
-// which the process was frozen does not count, because it cannot set up handlers then.
+// diedBeforeSignalSetup reports whether a process died of a signal within signalSetupTime of its
+// start and without having responded to a request. It may not have set up its signal handlers by
+// then, so that the signal's default action applied. Time in which the process was frozen does not
+// count, because it cannot set up handlers then.
 func (c *checker) diedBeforeSignalSetup(e Exit, started time.Time) bool {
 	if e.Signal != syscall.SIGTERM.String() && e.Signal != syscall.SIGHUP.String() || c.observed.runningTime(e.Gateway, started, e.At) > signalSetupTime {
 		return false
--- a/internal/lab/soak/options.go
+++ b/internal/lab/soak/options.go
@@ -34,7 +34,8 @@
 	// Bounds are the limits that the deployment requires the processes to keep.
 	Bounds Bounds
 	// BoundsFactor multiplies the time bounds in which a process must react, for machines that are
-	// busy with other work. Guarantees without a time bound are not affected. 0 means 1.
+	// busy with other work. Guarantees without a time bound are not affected. A factor
+	// below 1, such as 0, counts as 1.
 	BoundsFactor float64
 }
 
--- a/internal/standin/answer/answer.go
+++ b/internal/standin/answer/answer.go
@@ -37,7 +37,8 @@
 	return string(rune('a'+h%alphabetSize)) + strconv.FormatUint(h%1000, 10) + " "
 }
 
-// Text returns the complete response to prompt. Limit is that of Length.
+// Text returns the complete response to prompt. The limit has the same meaning as in
+// Length.
 func Text(prompt string, limit int) string {
 	var b strings.Builder
 	for i := range Length(prompt, limit) {
--- a/internal/standin/crash/crash.go
+++ b/internal/standin/crash/crash.go
@@ -24,7 +24,7 @@
 }
 
 // NewRestartingServer listens on address, whose port may be 0, and serves the handler that newHandler returns.
-// NewHandler is called again for each restart, which follows restartDelay after a crash.
+// It calls newHandler again for each restart, which follows restartDelay after a crash.
 func NewRestartingServer(address string, restartDelay time.Duration, newHandler func(address string, crash func()) http.Handler) (*RestartingServer, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/standin/fleetengine/arrival.go
+++ b/internal/standin/fleetengine/arrival.go
@@ -45,8 +45,8 @@
 	Parts       []engine.Part
 }
 
-// ParseArrival parses the path and the headers of a call. Body is the body of r, which the caller has
-// already read.
+// ParseArrival parses the path and the headers of a call. The parameter body is the body of r, which
+// the caller has already read.
 func ParseArrival(r *http.Request, body []byte) Arrival {
 	remaining, err := time.ParseDuration(r.Header.Get("X-Deadline-Ms") + "ms")
 	return Arrival{
--- a/internal/standin/fleetengine/fleetengine.go
+++ b/internal/standin/fleetengine/fleetengine.go
@@ -73,9 +73,9 @@
 	Padding int
 	// OnStageChange is called after each change of the stage. It may be nil.
 	OnStageChange func(stage string)
-	// ShuttingDown makes the engine state in its responses that it is shutting down. Rest is the
-	// Retry-After of each shed request, 0 for none. Both are set before the engine is used;
-	// afterwards, SetLeaving sets ShuttingDown.
+	// ShuttingDown makes the engine state in its responses that it is shutting down. RetryAfter is
+	// sent in the Retry-After header of the response to each shed request; 0 means no header. Both
+	// are set before the engine is used; afterwards, SetShuttingDown sets ShuttingDown.
 	ShuttingDown bool
 	RetryAfter   time.Duration
 	// PoisonBody is the body of a poison request, empty for none: the engine crashes when it starts to
--- a/internal/standin/fleetstore/fleetstore.go
+++ b/internal/standin/fleetstore/fleetstore.go
@@ -104,7 +104,7 @@
 }
 
 // SetObserver sets the function that is called for every change, in order. The function must not use
-// the store. Observe must be called before the first change.
+// the store. SetObserver must be called before the first change.
 func (s *Server) SetObserver(f func(Change)) { s.observer = f }
 
 // New returns an empty store.
--- a/internal/standin/fleetstore/front.go
+++ b/internal/standin/fleetstore/front.go
@@ -22,8 +22,8 @@
 	faults Faults
 }
 
-// HandlerFor returns the store's handler for one client. Client is the name of the client's own
-// registration if the client is a process of the product.
+// HandlerFor returns the store's handler for one client. If the client is a process of the
+// product, the parameter client is the name of its own registration.
 func (s *Server) HandlerFor(client string, addresses Addresses) *ClientHandler {
 	return &ClientHandler{server: s, client: client, addresses: addresses}
 }
