--- a/Makefile
+++ b/Makefile
@@ -1,17 +1,17 @@
-# make demo   builds, runs a fleet with stand-ins, checks a short workload
-# make demo-gateway   the same for gateways on the users' platform
-# make test   the tests, with the race detector
-# make check  formatter and linters
-# make soak   faults from outside on gateway processes; SEED, MINUTES and PROCESSES
-# make bench  benchmarks, apart from the tests
+# make demo          builds, runs a fleet with stand-ins and checks a short workload
+# make demo-gateway  does the same for gateways on the users' platform
+# make test          runs the tests with the race detector
+# make check         runs the formatter and the linters
+# make soak          injects faults into running gateway processes; SEED, MINUTES and PROCESSES are options
+# make bench         runs the benchmarks without the tests
 GO ?= go
 export CGO_ENABLED = 1
-# Tests that fail for a known fault, one a line of KNOWN-RED.txt, its name first, such
-# as TestName/case; as the pattern that go test takes for just these.
+# Pattern for go test -skip that matches exactly the tests with a known failure. KNOWN-RED.txt has one
+# line for each, which starts with the name of the test, such as TestName/case.
 KNOWN_RED := $(shell test -f KNOWN-RED.txt && cut -d' ' -f1 KNOWN-RED.txt | sed 's,/,$$/^,g; s,.*,^&$$,' | paste -sd'|' -)
 SKIP := $(if $(KNOWN_RED),-skip '$(KNOWN_RED)')
-# Packages whose tests run many processes in real time. They are not run beside each other, nor
-# beside the rest: what they assert of times would be about the processor.
+# Packages whose tests run many processes in real time. They run one at a time and apart from the
+# rest: under CPU contention, their assertions on times would fail.
 HEAVY := internal/(e2e|gatewayd|lab/soak)$$
 
 .PHONY: build demo demo-gateway test check soak bench proto docs
@@ -36,7 +36,7 @@
 	$(GO) vet ./...
 	$(GO) tool staticcheck ./...
 
-# The gateways of a soak are built with clocks that the soak can set wrong.
+# The gateways of a soak are built with a clock that the soak can adjust, to simulate clock errors.
 SEED ?= 1
 MINUTES ?= 0.5
 PROCESSES ?= 8
@@ -47,10 +47,10 @@
 bench:
 	$(GO) test -run '^$$' -bench . -benchmem ./...
 
-# Needs protoc and protoc-gen-go; the generated code is committed.
+# Requires protoc and protoc-gen-go. The generated code is committed.
 proto:
 	protoc --go_out=. --go_opt=paths=source_relative internal/peer/peerpb/peer.proto
 
-# Writes the pages that are made from schemas and state charts.
+# Regenerates the pages that are generated from the schemas and state charts.
 docs:
 	ROCKDOOR_UPDATE_DOCS=1 $(GO) test -count=1 -run TestGeneratedPagesAreCurrent ./internal/cli
--- a/scripts/demo-gateway.sh
+++ b/scripts/demo-gateway.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Starts stand-ins of the users' platform and three gateways on loopback addresses,
-# sends requests through all of them, and shows what a gateway says of itself and
-# the story of one request. KEEP=1 leaves everything up.
+# sends requests through all of them, and prints the status of a gateway, a placement
+# decision and the trace of one request. KEEP=1 leaves everything running.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 out=${OUT:-demo-out}
@@ -41,7 +41,7 @@
 sleep 0.3
 bin/rockdoor trace review-60 "$out"/gateway-*.log
 if [ -n "${KEEP:-}" ]; then
-  echo "The gateways are up on 127.0.8.1 to 127.0.8.3; the logs are in $out. Interrupt to stop."
+  echo "The gateways are running on 127.0.8.1 to 127.0.8.3. The logs are in $out. Interrupt to stop."
   wait
 fi
 [ "$failed" -eq 0 ]
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
 # Starts the stand-ins and a fleet of entry processes on loopback addresses,
-# runs a short mixed workload through all of them and checks it. KEEP=1 leaves
-# everything up and prints what to try. FLEET sets the number of entry processes.
+# runs a short mixed workload through all of them and checks the results. KEEP=1
+# leaves everything running and prints commands to try. FLEET sets the number of
+# entry processes. MIX selects the workload and SEED its random numbers.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 fleet=${FLEET:-4}
@@ -11,10 +12,10 @@
 rm -rf "$out"
 mkdir -p "$out"
 config=$out/configuration.json
-# POLICY replaces the routing policy and PREFILL asks for that many engines in
-# the prefill role, for comparisons.
+# For comparisons, POLICY replaces the routing policy, and PREFILL sets the number of
+# engines that start in the prefill role.
 sed "s/\"policy\": \"[a-z-]*\"/\"policy\": \"${POLICY:-completion-time}\"/" "examples/$team/configuration.json" >"$config"
-# ROLES replaces the role policy; DWELL the shortest time between two changes.
+# ROLES replaces the role policy, DWELL the minimum time between two role changes of an engine.
 sed -i "s/\"roles\": {/\"roles\": {\"policy\": \"${ROLES:-cost-benefit}\", /; s/\"minDwell\": \"[0-9a-z]*\"/\"minDwell\": \"${DWELL:-10s}\"/" "$config"
 prefill=${PREFILL:-0}
 engines=127.0.1 services=127.0.2 service=flag
@@ -62,13 +63,13 @@
 echo "decisions by reason:"
 grep -ho 'msg=decision request.*' "$out"/entry-*.log | grep -oE ' phase=[a-z]+ reason=[a-z-]+' | sort | uniq -c
 echo "role changes: $(cat "$out"/entry-*.log | grep -c 'msg=decision.*kind=role' || true)"
-echo "one of them:"
+echo "one of the decisions:"
 grep -h 'msg=decision' "$out"/entry-1.log | grep class=rule-review | head -1 || true
 
 if [ -n "${KEEP:-}" ]; then
   cat <<TEXT
 
-The fleet is up. Try:
+The fleet is running. Try:
   curl -s 127.0.3.1:8080/flags/checkout -H 'Authorization: Bearer key-palermo'
   curl -sN 127.0.3.2:8080/v1/chat/completions -H 'Authorization: Bearer key-releases' -d '{"model": "rollout-notes", "stream": true, "messages": [{"role": "user", "content": "hello"}]}'
   bin/rockdoor explain --admin $ROCKDOOR_ADMIN --workspace palermo --model rule-review
--- a/scripts/policies.sh
+++ b/scripts/policies.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
 # Compares routing policies and role splits on the same mixes and seeds.
 # Usage: scripts/policies.sh "MIXES" "SEEDS" POLICY[:PREFILL]...
-# POLICY:4 asks for four engines in the prefill role.
-# ROLES chooses the role policy; manual keeps the split as it starts.
+# POLICY:4 starts four engines in the prefill role.
+# ROLES sets the role policy. The default, manual, keeps the initial split.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mixes=$1
--- a/scripts/regress.sh
+++ b/scripts/regress.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Scores the deployments that are played before each landing and prints their gates.
+# Scores the deployments that are run before each merge to the main branch, and prints their results and
+# pass/fail gates.
 # Usage: scripts/regress.sh FLEETBENCH SITES WHY [JOBS]
-# FLEETBENCH is the users' bench, SITES the folder that has their deployments, WHY a line for
-# the journal. One deployment is played after the other; a whole run takes some 30 minutes.
+# FLEETBENCH is the users' benchmark program, SITES the directory of its deployments, WHY a line for
+# the journal. The deployments run one after the other, which takes about 30 minutes in total.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bench=$1
--- a/scripts/scale.sh
+++ b/scripts/scale.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Measures what control costs at a number of entry processes, and how long a
-# change takes to be in force everywhere, healthy and with the watchers killed.
+# Measures the control overhead of a number of entry processes, and how long a
+# configuration change takes until all processes apply it: without failures, and
+# with all watchers of the store killed.
 # Usage: scripts/scale.sh PROCESSES [SECONDS]
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -20,7 +21,7 @@
 pids+=($!)
 await() {
   for _ in $(seq 600); do curl -fs -o /dev/null "$1" && return 0; sleep 0.1; done
-  echo "scale: $1 did not answer" >&2
+  echo "scale: $1 did not respond" >&2
   return 1
 }
 await http://127.0.0.9:9100/hosts
